--- a/store/src/test/java/nettletrail/store/StateOnDiskTest.java
+++ b/store/src/test/java/nettletrail/store/StateOnDiskTest.java
@@ -5,13 +5,8 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.HexFormat;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
-import java.util.stream.Stream;
 import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.ShardVersion;
@@ -51,24 +46,9 @@
     store.storePromise(4, new Ballot(2L, "10.2.0.34:7680#0"));
   }
 
-  private static Map<String, String> contents(Path root) throws IOException {
-    Map<String, String> contents = new TreeMap<>();
-    try (Stream<Path> files = Files.walk(root)) {
-      for (Path file : files.filter(Files::isRegularFile).toList()) {
-        contents.put(
-            root.relativize(file).toString(), HexFormat.of().formatHex(Files.readAllBytes(file)));
-      }
-    }
-    return contents;
-  }
-
   private Path copyOfSample() throws IOException {
     Path copy = folder.resolve("copy");
-    for (String name : contents(SAMPLE).keySet()) {
-      Path target = copy.resolve(name);
-      Files.createDirectories(target.getParent());
-      Files.copy(SAMPLE.resolve(name), target);
-    }
+    DiskSamples.copy(SAMPLE, copy);
     return copy;
   }
 
@@ -96,6 +76,6 @@
   void sameStateIsWrittenInTheSameBytes() throws IOException {
     Path disk = folder.resolve("written");
     writeSample(disk);
-    assertEquals(contents(SAMPLE), contents(disk));
+    assertEquals(DiskSamples.contents(SAMPLE), DiskSamples.contents(disk));
   }
 }
