--- /dev/null
+++ b/fleet/src/test/java/nettletrail/fleet/cli/demonstration/DemonstrationFormTest.java
@@ -0,0 +1,18 @@
+package nettletrail.fleet.cli.demonstration;
+
+import com.jsoniter.output.JsonStream;
+import java.io.IOException;
+import java.util.List;
+import nettletrail.fleet.ApprovedForm;
+import nettletrail.fleet.JsonShape;
+import org.junit.jupiter.api.Test;
+
+/** The keys that {@code try --json} writes. */
+class DemonstrationFormTest {
+  @Test
+  void resultHasItsKeys() throws IOException {
+    RuleResult rule = new RuleResult("a rule", true, "seen");
+    DemonstrationResult result = DemonstrationResult.of(List.of(), List.of(rule), 0);
+    ApprovedForm.verify("try-json.txt", JsonShape.of(JsonStream.serialize(result.toJson())));
+  }
+}
