--- a/fleet/src/test/java/nettletrail/fleet/TestCore.java
+++ b/fleet/src/test/java/nettletrail/fleet/TestCore.java
@@ -41,6 +41,21 @@
     return ip + ":" + CONTROL_PORT;
   }
 
+  /** Answers questions for the figures of this process on a port of its address. */
+  void serveMetrics(int port) {
+    process.serveMetrics(port);
+  }
+
+  /** The address that it has for itself. */
+  String ip() {
+    return ip;
+  }
+
+  /** An address for a door of this core. */
+  String doorIp() {
+    return ip.substring(0, ip.lastIndexOf('.')) + ".10";
+  }
+
   private static String freeAddress() throws IOException {
     SplittableRandom random = new SplittableRandom(System.nanoTime());
     while (true) {
