--- a/configuration/src/main/java/nettletrail/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/nettletrail/configuration/ConfigurationDocument.java
@@ -16,10 +16,10 @@
 
   private final byte[] json;
   private final ConfigurationModel model;
-  private final Map<String, List<KnownItems.Item>> itemsByList;
+  private final Map<String, List<ParsedItemCache.Item>> itemsByList;
 
   private ConfigurationDocument(
-      byte[] json, ConfigurationModel model, Map<String, List<KnownItems.Item>> itemsByList) {
+      byte[] json, ConfigurationModel model, Map<String, List<ParsedItemCache.Item>> itemsByList) {
     this.json = json;
     this.model = model;
     this.itemsByList = itemsByList;
@@ -47,14 +47,14 @@
     if (earlier == null) {
       return parse(json);
     }
-    KnownItems known = new KnownItems(earlier.json, earlier.itemsByList);
+    ParsedItemCache known = new ParsedItemCache(earlier.json, earlier.itemsByList);
     return read(json, JsonParser.parse(json, SOURCE_NAME, known));
   }
 
   private static ConfigurationDocument read(byte[] json, JsonValue value)
       throws ConfigurationException {
     ConfigurationModel model = ModelReader.read(value);
-    Map<String, List<KnownItems.Item>> items =
+    Map<String, List<ParsedItemCache.Item>> items =
         Map.of(
             ModelReader.ROUTES, items(value, ModelReader.ROUTES, model.routes()),
             ModelReader.TENANTS, items(value, ModelReader.TENANTS, model.tenants()));
@@ -62,11 +62,11 @@
   }
 
   /** The places of a list's objects with what was read from each; both are in the same order. */
-  private static List<KnownItems.Item> items(JsonValue document, String list, List<?> models) {
-    List<KnownItems.Item> items = new ArrayList<>(models.size());
+  private static List<ParsedItemCache.Item> items(JsonValue document, String list, List<?> models) {
+    List<ParsedItemCache.Item> items = new ArrayList<>(models.size());
     for (Object model : models) {
       JsonValue value = document.member(list).items().get(items.size());
-      items.add(new KnownItems.Item(value.start(), value.end(), model));
+      items.add(new ParsedItemCache.Item(value.start(), value.end(), model));
     }
     return items;
   }
--- a/configuration/src/main/java/nettletrail/configuration/JsonParser.java
+++ b/configuration/src/main/java/nettletrail/configuration/JsonParser.java
@@ -29,14 +29,14 @@
   private final byte[] source;
   private final String sourceName;
   private final JsonIterator stringDecoder = new JsonIterator();
-  private final KnownItems knownItems;
+  private final ParsedItemCache knownItems;
 
   /** The name of the member of the outermost object that is being parsed. */
   private String outermostMember = "";
 
   private int position;
 
-  private JsonParser(byte[] source, String sourceName, KnownItems knownItems) {
+  private JsonParser(byte[] source, String sourceName, ParsedItemCache knownItems) {
     this.source = source;
     this.sourceName = sourceName;
     this.knownItems = knownItems;
@@ -49,7 +49,7 @@
    * @throws ConfigurationException if the text is not exactly one JSON value in UTF-8
    */
   static JsonValue parse(byte[] source, String sourceName) throws ConfigurationException {
-    return parse(source, sourceName, KnownItems.none());
+    return parse(source, sourceName, ParsedItemCache.none());
   }
 
   /**
@@ -57,7 +57,7 @@
    *
    * @throws ConfigurationException as the other method
    */
-  static JsonValue parse(byte[] source, String sourceName, KnownItems knownItems)
+  static JsonValue parse(byte[] source, String sourceName, ParsedItemCache knownItems)
       throws ConfigurationException {
     JsonParser parser = new JsonParser(source, sourceName, knownItems);
     parser.requireUtf8();
@@ -155,7 +155,8 @@
 
   private JsonValue parseItem(int depth) throws ConfigurationException {
     skipWhitespace();
-    KnownItems.Item known = depth == 1 ? knownItems.at(outermostMember, source, position) : null;
+    ParsedItemCache.Item known =
+        depth == 1 ? knownItems.at(outermostMember, source, position) : null;
     if (known == null) {
       return parseValue(depth + 1);
     }
--- a/configuration/src/main/java/nettletrail/configuration/ModelReader.java
+++ b/configuration/src/main/java/nettletrail/configuration/ModelReader.java
@@ -19,7 +19,7 @@
   private static final int DEFAULT_ENGINE_SLOTS = 16;
   private static final String DEFAULT_HEALTH_PATH = "/health";
   private static final String TOKEN_UNIT = "token_count";
-  private static final int WHOLE_SHARE = 1;
+  private static final int COMPLETE_SHARE = 1;
 
   private ModelReader() {}
 
@@ -81,7 +81,7 @@
       shares.add(new ServiceShare(share.requiredText("carrier"), share.requiredInt("share")));
     }
     if (reader.has("carrier")) {
-      int weight = shares.isEmpty() ? WHOLE_SHARE : 0;
+      int weight = shares.isEmpty() ? COMPLETE_SHARE : 0;
       shares.add(new ServiceShare(reader.requiredText("carrier"), weight));
     }
     return shares;
--- a/configuration/src/main/java/nettletrail/configuration/KnownItems.java
+++ b/configuration/src/main/java/nettletrail/configuration/ParsedItemCache.java
@@ -13,7 +13,7 @@
  * begin, since its closing brace ends it. Items are looked for in their order, a bounded number of
  * places ahead; one that has moved further is read like a new one. For one pass over one document.
  */
-final class KnownItems {
+final class ParsedItemCache {
   /** How many items may have been taken out in a row, or changed, before others are found again. */
   private static final int LOOK_AHEAD = 64;
 
@@ -48,14 +48,14 @@
    * @param source the document that they were read from
    * @param itemsByList the items of each list in the order of the document
    */
-  KnownItems(byte[] source, Map<String, List<Item>> itemsByList) {
+  ParsedItemCache(byte[] source, Map<String, List<Item>> itemsByList) {
     this.source = source;
     itemsByList.forEach((list, items) -> cursors.put(list, new Cursor(items)));
   }
 
   /** Knows no item. */
-  static KnownItems none() {
-    return new KnownItems(new byte[0], Map.of());
+  static ParsedItemCache none() {
+    return new ParsedItemCache(new byte[0], Map.of());
   }
 
   /** The item of this list whose bytes stand at a position of another text, or null. */
--- a/configuration/src/test/java/nettletrail/configuration/InvalidDocumentTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/InvalidDocumentTest.java
@@ -162,9 +162,9 @@
 
   @Test
   void refusesEveryTruncation() {
-    byte[] whole = Documents.bytes(Documents.EXAMPLE.strip());
-    for (int length = 0; length < whole.length; length++) {
-      byte[] truncated = Arrays.copyOf(whole, length);
+    byte[] complete = Documents.bytes(Documents.EXAMPLE.strip());
+    for (int length = 0; length < complete.length; length++) {
+      byte[] truncated = Arrays.copyOf(complete, length);
       assertThrows(ConfigurationException.class, () -> ConfigurationDocument.parse(truncated));
     }
   }
--- a/control/src/main/java/nettletrail/control/CoreRegistry.java
+++ b/control/src/main/java/nettletrail/control/CoreRegistry.java
@@ -83,7 +83,7 @@
   public CoreRegistry(CoreRegistrySettings settings, ShardOwnership ownership, long now) {
     this.settings = settings;
     this.ownership = ownership;
-    this.registry = new BackendRegistry(settings.beatMs(), now);
+    this.registry = new BackendRegistry(settings.heartbeatMs(), now);
     this.feed = new Feed(settings.address(), settings.feed());
     this.doors = new DoorSessions(feed, registry, now);
     this.peers = new CorePeers(settings.address(), settings.feed());
--- a/control/src/main/java/nettletrail/control/CoreRegistrySettings.java
+++ b/control/src/main/java/nettletrail/control/CoreRegistrySettings.java
@@ -8,16 +8,16 @@
  * @param address this process's address as other core processes and doors dial it
  * @param zone the zone that this process stands in
  * @param feed the id of this life's feed; above 0 and never used before
- * @param beatMs how often backends call, in milliseconds
+ * @param heartbeatMs how often backends call, in milliseconds
  * @param grants the bounds that grants keep
  */
 public record CoreRegistrySettings(
-    String address, String zone, long feed, long beatMs, GrantTerms grants) {
+    String address, String zone, long feed, long heartbeatMs, GrantTerms grants) {
   /** Checks the ranges. */
   public CoreRegistrySettings {
-    if (feed <= 0 || beatMs <= 0) {
+    if (feed <= 0 || heartbeatMs <= 0) {
       throw new IllegalArgumentException(
-          "feed and beatMs must be above 0, not " + feed + ", " + beatMs);
+          "feed and beatMs must be above 0, not " + feed + ", " + heartbeatMs);
     }
   }
 }
--- a/control/src/main/java/nettletrail/control/ShardOwnership.java
+++ b/control/src/main/java/nettletrail/control/ShardOwnership.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.OptionalLong;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 
 /**
  * What the registry and the grants need to know of the replicated shards. Called on the control
@@ -20,7 +20,7 @@
    * The fencing token under which this process owns the shard; changes whenever the shard is won
    * again.
    */
-  Ballot token(int shard);
+  ProposalNumber token(int shard);
 
   /** The address of the shard's owner as this process knows it, empty where it knows none. */
   String ownerAddress(int shard);
--- a/control/src/main/java/nettletrail/control/door/BackendView.java
+++ b/control/src/main/java/nettletrail/control/door/BackendView.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettletrail.control.registry.BackendOrder;
+import nettletrail.control.registry.BackendOrdering;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendState;
 
 /**
  * All backends as the door sees them, merged over the feeds of all core processes.
  *
- * <p>Of several reports about a backend the one that wins by {@link BackendOrder} counts, whoever
- * sent it. A backend leaves when it is gone, or when a core process lets it expire that no other
- * linked one holds; a core process that is cut off or has restarted removes nothing by that. What
- * no linked core process holds any more leaves after a while, unless none is linked.
+ * <p>Of several reports about a backend the one that wins by {@link BackendOrdering} counts,
+ * whoever sent it. A backend leaves when it is gone, or when a core process lets it expire that no
+ * other linked one holds; a core process that is cut off or has restarted removes nothing by that.
+ * What no linked core process holds any more leaves after a while, unless none is linked.
  *
  * <p>That a backend closes or is gone may have been acknowledged by core processes that all lost it
  * since. So the view keeps which of them reported it, and names what the others lack.
@@ -75,7 +75,7 @@
     Entry entry = entries.computeIfAbsent(backend.getId(), id -> new Entry());
     entry.holders.add(core);
     entry.heldAt = now;
-    if (!BackendOrder.replaces(backend, entry.backend)) {
+    if (!BackendOrdering.replaces(backend, entry.backend)) {
       noteStateKnown(entry, core, backend);
       return;
     }
@@ -86,7 +86,7 @@
       entry.stateSince = now;
     }
     entry.stateKnownTo.add(core);
-    if (earlier == null ? !BackendOrder.isGone(backend) : differs(earlier, backend)) {
+    if (earlier == null ? !BackendOrdering.isGone(backend) : differs(earlier, backend)) {
       changed(backend);
       if (earlier != null) {
         changed(earlier);
@@ -120,7 +120,7 @@
   /** A core process let this expire. */
   void expired(String core, String id) {
     Entry entry = entries.get(id);
-    if (entry == null || BackendOrder.isGone(entry.backend)) {
+    if (entry == null || BackendOrdering.isGone(entry.backend)) {
       return;
     }
     entry.holders.remove(core);
@@ -131,11 +131,11 @@
   }
 
   /**
-   * A core process's whole contents. {@code sameLife}: of a feed that was followed before, so what
-   * it lacks is expired.
+   * A core process's whole contents. {@code sameIncarnation}: of a feed that was followed before,
+   * so what it lacks is expired.
    */
-  void snapshot(String core, List<Backend> contents, boolean sameLife, long now) {
-    if (!sameLife) {
+  void snapshot(String core, List<Backend> contents, boolean sameIncarnation, long now) {
+    if (!sameIncarnation) {
       entries.values().forEach(entry -> entry.stateKnownTo.remove(core));
     }
     Set<String> ids = new HashSet<>();
@@ -151,7 +151,7 @@
           }
         });
     for (String id : lacking) {
-      if (sameLife) {
+      if (sameIncarnation) {
         expired(core, id);
       } else {
         entries.get(id).holders.remove(core);
@@ -163,7 +163,7 @@
   void tick(long now) {
     for (Iterator<Entry> iterator = entries.values().iterator(); iterator.hasNext(); ) {
       Entry entry = iterator.next();
-      if (heldByLinked(entry) && !BackendOrder.isGone(entry.backend)) {
+      if (heldByLinked(entry) && !BackendOrdering.isGone(entry.backend)) {
         entry.heldAt = now;
       } else if (isOld(entry, now)) {
         iterator.remove();
@@ -185,7 +185,7 @@
   }
 
   private boolean isOld(Entry entry, long now) {
-    if (BackendOrder.isGone(entry.backend)) {
+    if (BackendOrdering.isGone(entry.backend)) {
       return now - entry.heldAt > TOMBSTONE_AGE;
     }
     boolean coreTalks = !linked.isEmpty() && now - linkedSince > UNHELD_FOR;
@@ -204,7 +204,7 @@
   private List<Backend> collect(String service) {
     List<Backend> backends = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      if (!BackendOrder.isGone(entry.backend) && entry.backend.getService().equals(service)) {
+      if (!BackendOrdering.isGone(entry.backend) && entry.backend.getService().equals(service)) {
         backends.add(entry.backend);
       }
     }
@@ -217,8 +217,8 @@
   }
 
   private static boolean differs(Backend earlier, Backend later) {
-    return !BackendOrder.sameContent(earlier, later)
+    return !BackendOrdering.sameContent(earlier, later)
         || earlier.getCallSequence() != later.getCallSequence()
-            && earlier.getColdLeftMs() != later.getColdLeftMs();
+            && earlier.getWarmUpLeftMs() != later.getWarmUpLeftMs();
   }
 }
--- a/control/src/main/java/nettletrail/control/door/ConfigurationFollower.java
+++ b/control/src/main/java/nettletrail/control/door/ConfigurationFollower.java
@@ -25,7 +25,7 @@
   /** After so long without a piece another core process is asked; doubles with each attempt. */
   private static final long PIECE_WITHIN = 600 * MILLIS;
 
-  private static final int MOST_DOUBLINGS = 2;
+  private static final int MAX_DOUBLINGS = 2;
 
   private final String door;
   private final ConfigurationGate gate;
@@ -68,7 +68,7 @@
       gate.renumbered(chunk.getSequence(), chunk.getEdition());
     } else if (!transfer.take(chunk, gate.heldSequence(), now)) {
       return Optional.empty();
-    } else if (!transfer.isWhole()) {
+    } else if (!transfer.isComplete()) {
       return Optional.of(missing());
     } else {
       gate.received(transfer.finish());
@@ -125,7 +125,7 @@
     if (attempts > 0 && askedAt - since > 0) {
       since = askedAt;
     }
-    return since + (PIECE_WITHIN << Math.min(MOST_DOUBLINGS, Math.max(0, attempts - 1)));
+    return since + (PIECE_WITHIN << Math.min(MAX_DOUBLINGS, Math.max(0, attempts - 1)));
   }
 
   private ConfigurationFetch missing() {
--- a/control/src/main/java/nettletrail/control/door/ConfigurationGate.java
+++ b/control/src/main/java/nettletrail/control/door/ConfigurationGate.java
@@ -35,7 +35,7 @@
   private long inForceSequence;
   private long dueFrom = Long.MIN_VALUE;
   private long heldEdition;
-  private HeldConfiguration waiting;
+  private PendingConfiguration waiting;
 
   /** {@code keys} is told what is held. */
   ConfigurationGate(KeyLease keys) {
@@ -43,7 +43,7 @@
   }
 
   /** A configuration came whole; one that is not newer than the held one is left. */
-  void received(HeldConfiguration configuration) {
+  void received(PendingConfiguration configuration) {
     if (configuration.sequence() > heldSequence) {
       heldSequence = configuration.sequence();
       heldEdition = configuration.edition();
@@ -65,7 +65,7 @@
     }
     heldSequence = sequence;
     if (waiting != null) {
-      waiting = new HeldConfiguration(sequence, edition, waiting.document());
+      waiting = new PendingConfiguration(sequence, edition, waiting.document());
     }
     if (inForceSequence == 0) {
       keys.holds(heldSequence);
@@ -81,11 +81,11 @@
   }
 
   /** The configuration that comes into force now, if there is one. */
-  Optional<HeldConfiguration> takeDue(long now) {
+  Optional<PendingConfiguration> takeDue(long now) {
     if (waiting == null || !isDue(now)) {
       return Optional.empty();
     }
-    HeldConfiguration taken = waiting;
+    PendingConfiguration taken = waiting;
     waiting = null;
     inForceSequence = taken.sequence();
     keys.holds(inForceSequence);
--- a/control/src/main/java/nettletrail/control/door/ConfigurationTransfer.java
+++ b/control/src/main/java/nettletrail/control/door/ConfigurationTransfer.java
@@ -55,21 +55,21 @@
   }
 
   /** Whether all pieces are there. */
-  boolean isWhole() {
+  boolean isComplete() {
     return content != null && received == content.length;
   }
 
   /** Whether the document began to come and isn't whole. */
   boolean isUnderWay() {
-    return content != null && !isWhole();
+    return content != null && !isComplete();
   }
 
   /** Hands out the whole document, after which nothing is on its way. */
-  HeldConfiguration finish() {
-    HeldConfiguration whole =
-        new HeldConfiguration(sequence, edition, ByteBuffer.wrap(content).asReadOnlyBuffer());
+  PendingConfiguration finish() {
+    PendingConfiguration complete =
+        new PendingConfiguration(sequence, edition, ByteBuffer.wrap(content).asReadOnlyBuffer());
     content = null;
-    return whole;
+    return complete;
   }
 
   /** Forgets what is on its way, since the door holds something as new. */
--- a/control/src/main/java/nettletrail/control/door/DoorControl.java
+++ b/control/src/main/java/nettletrail/control/door/DoorControl.java
@@ -75,7 +75,7 @@
     this.keys = new KeyLease(settings.revokeMs());
     this.configuration = new ConfigurationGate(keys);
     this.follower = new ConfigurationFollower(settings.door(), settings.zone(), configuration);
-    this.grants = new GrantClient(settings.door(), settings.life(), new Owners());
+    this.grants = new GrantClient(settings.door(), settings.incarnation(), new Owners());
     this.seeds = new HashSet<>(settings.seeds());
     this.lastTick = now;
     this.endsHandedOverAt = now;
@@ -201,12 +201,12 @@
    * The steady instant, nanoseconds, until which keys may be used and refused; empty when nothing
    * was ever confirmed.
    */
-  public OptionalLong keysHeldUntil() {
+  public OptionalLong keysValidUntil() {
     return keys.until();
   }
 
   /** Whether keys may be used and refused at this instant. */
-  public boolean keysHeld(long now) {
+  public boolean keysValid(long now) {
     OptionalLong until = keys.until();
     return until.isPresent() && now - until.getAsLong() < 0;
   }
@@ -258,7 +258,7 @@
     return new DoorHeartbeat(
         settings.door(),
         settings.zone(),
-        settings.life(),
+        settings.incarnation(),
         now,
         configuration.heldSequence(),
         link.feed(),
@@ -303,9 +303,9 @@
   }
 
   private void snapshot(CoreLink link, FeedSnapshot snapshot, List<DoorAction> actions, long now) {
-    boolean sameLife = link.feed() == snapshot.getFeed();
+    boolean sameIncarnation = link.feed() == snapshot.getFeed();
     backends.linked(link.address(), now);
-    backends.snapshot(link.address(), snapshot.getBackends(), sameLife, now);
+    backends.snapshot(link.address(), snapshot.getBackends(), sameIncarnation, now);
     link.read(snapshot.getFeed(), snapshot.getOffset());
     acknowledge(link, actions);
   }
--- a/control/src/main/java/nettletrail/control/door/DoorControlSettings.java
+++ b/control/src/main/java/nettletrail/control/door/DoorControlSettings.java
@@ -7,13 +7,13 @@
  *
  * @param door the door's name, the same in all its lives
  * @param zone the zone that it stands in
- * @param life a number that no earlier life of the door had, above 0
+ * @param incarnation a number that no earlier life of the door had, above 0
  * @param revokeMs how long keys hold after the last confirmation, in milliseconds
  * @param inForceMs within which an acknowledged configuration has to be in force, in milliseconds
  * @param seeds addresses of core processes to begin with
  */
 public record DoorControlSettings(
-    String door, String zone, long life, long revokeMs, long inForceMs, List<String> seeds) {
+    String door, String zone, long incarnation, long revokeMs, long inForceMs, List<String> seeds) {
   /** Copies the list. */
   public DoorControlSettings {
     seeds = List.copyOf(seeds);
--- a/control/src/main/java/nettletrail/control/door/DoorCount.java
+++ b/control/src/main/java/nettletrail/control/door/DoorCount.java
@@ -13,14 +13,14 @@
   private int count;
   private boolean lower;
   private long lowerSince;
-  private int mostSinceLower;
+  private int maxSinceLower;
 
   void tick(Collection<CoreLink> links, long now) {
     int seen = 0;
     for (CoreLink link : links) {
       seen = Math.max(seen, link.up() ? link.doors() : 0);
     }
-    if (seen == 0 || seen >= count || !mostAreLinked(links)) {
+    if (seen == 0 || seen >= count || !majorityLinked(links)) {
       count = Math.max(count, seen);
       lower = false;
       return;
@@ -28,16 +28,16 @@
     if (!lower) {
       lower = true;
       lowerSince = now;
-      mostSinceLower = 0;
+      maxSinceLower = 0;
     }
-    mostSinceLower = Math.max(mostSinceLower, seen);
+    maxSinceLower = Math.max(maxSinceLower, seen);
     if (now - lowerSince > FALLS_AFTER) {
-      count = mostSinceLower;
+      count = maxSinceLower;
       lower = false;
     }
   }
 
-  private static boolean mostAreLinked(Collection<CoreLink> links) {
+  private static boolean majorityLinked(Collection<CoreLink> links) {
     long up = links.stream().filter(CoreLink::up).count();
     return 2 * up > links.size();
   }
--- a/control/src/main/java/nettletrail/control/door/GrantClient.java
+++ b/control/src/main/java/nettletrail/control/door/GrantClient.java
@@ -12,9 +12,9 @@
 import nettletrail.control.ShardMap;
 import nettletrail.control.grant.GrantTerms;
 import nettletrail.control.grant.QuotaLimit;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.GrantRequest;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.TenantGrant;
 import nettletrail.protocol.TenantUse;
 
@@ -36,7 +36,7 @@
   private static final long GIVE_UP = 300 * MILLIS;
 
   private final String door;
-  private final long life;
+  private final long incarnation;
   private final OwnerLookup ownerLookup;
   private final Map<Integer, ShardState> shards = new HashMap<>();
   private final Map<String, TenantTokens> tenants = new LinkedHashMap<>();
@@ -54,7 +54,7 @@
   }
 
   private static final class ShardState {
-    Ballot token;
+    ProposalNumber token;
     long askedAt;
     boolean askedBefore;
     long requestUnderWay;
@@ -66,14 +66,14 @@
   /**
    * Holds nothing.
    *
-   * @param life of the door's process; requests are numbered from it on, so that a reply to a
-   *     former life is never taken for one to this life
+   * @param incarnation of the door's process; requests are numbered from it on, so that a reply to
+   *     a former life is never taken for one to this life
    */
-  GrantClient(String door, long life, OwnerLookup ownerLookup) {
+  GrantClient(String door, long incarnation, OwnerLookup ownerLookup) {
     this.door = door;
-    this.life = life;
+    this.incarnation = incarnation;
     this.ownerLookup = ownerLookup;
-    this.lastRequest = life >>> 1;
+    this.lastRequest = incarnation >>> 1;
   }
 
   /**
@@ -95,10 +95,10 @@
   }
 
   /** Returns the tokens of a request that was sent to no backend, or that no backend ran. */
-  public void giveBack(String tenant, long tokens) {
+  public void refund(String tenant, long tokens) {
     TenantTokens held = tenants.get(tenant);
     if (held != null) {
-      held.giveBack(tokens);
+      held.refund(tokens);
     }
   }
 
@@ -219,7 +219,7 @@
     shard.tenantsAsked = tenantsAsked;
     return Optional.of(
         new DoorAction.SendToCore(
-            owner.get(), new GrantRequest(door, life, lastRequest, number, uses)));
+            owner.get(), new GrantRequest(door, incarnation, lastRequest, number, uses)));
   }
 
   private static boolean due(ShardState shard, long shortestPause, long now) {
@@ -264,8 +264,8 @@
     return tenants.computeIfAbsent(tenant, name -> new TenantTokens(name, now));
   }
 
-  private static int compare(Ballot one, Ballot other) {
-    int rounds = Long.compare(one.getRound(), other.getRound());
+  private static int compare(ProposalNumber one, ProposalNumber other) {
+    int rounds = Long.compare(one.getTerm(), other.getTerm());
     return rounds != 0 ? rounds : one.getNode().compareTo(other.getNode());
   }
 }
--- a/control/src/main/java/nettletrail/control/door/KeyLease.java
+++ b/control/src/main/java/nettletrail/control/door/KeyLease.java
@@ -23,7 +23,7 @@
   private static final long MARGIN_MS = 100;
 
   /** Confirmations that wait for their configurations at once. */
-  private static final int MOST_WAITING = 8;
+  private static final int MAX_WAITING = 8;
 
   private final long lasts;
   private long heldSequence;
@@ -73,7 +73,7 @@
    */
   private void waitFor(long sequence, long until) {
     waitingUntilBySequence.merge(sequence, until, Math::max);
-    if (waitingUntilBySequence.size() > MOST_WAITING) {
+    if (waitingUntilBySequence.size() > MAX_WAITING) {
       waitingUntilBySequence.remove(
           waitingUntilBySequence.lowerKey(waitingUntilBySequence.lastKey()));
     }
--- a/control/src/main/java/nettletrail/control/door/HeldConfiguration.java
+++ b/control/src/main/java/nettletrail/control/door/PendingConfiguration.java
@@ -9,4 +9,4 @@
  * @param edition the operator's number
  * @param document as it is stored and sent, compressed; to be read only
  */
-record HeldConfiguration(long sequence, long edition, ByteBuffer document) {}
+record PendingConfiguration(long sequence, long edition, ByteBuffer document) {}
--- a/control/src/main/java/nettletrail/control/door/TenantTokens.java
+++ b/control/src/main/java/nettletrail/control/door/TenantTokens.java
@@ -17,12 +17,12 @@
   /**
    * What is asked for beyond a shortage grows from request to request up to this multiple of it.
    */
-  private static final int MOST_SURPLUS = 64;
+  private static final int MAX_SURPLUS = 64;
 
   private static final int SURPLUS_GROWTH = 3;
 
   /** It doesn't grow beyond a second of demand and so many requests of the usual size. */
-  private static final int MOST_SURPLUS_REQUESTS = 8;
+  private static final int MAX_SURPLUS_REQUESTS = 8;
 
   /** A shortage that isn't met or repeated is forgotten after this. */
   private static final long SHORTAGE_LASTS = 500 * MILLIS;
@@ -72,7 +72,7 @@
       }
     }
 
-    void giveBack(long returned) {
+    void refund(long returned) {
       tokens = Math.min(granted, tokens + returned);
     }
   }
@@ -101,10 +101,10 @@
    * again: the owner has refilled for the rest already. A former owner's tokens don't come back as
    * the present one's, with which they would last longer than was granted.
    */
-  void giveBack(long tokens) {
+  void refund(long tokens) {
     long returned = Math.min(tokens, usedTotal - reportedTotal);
     usedTotal -= returned;
-    lot.giveBack(returned);
+    lot.refund(returned);
   }
 
   void queued(long tokens) {
@@ -115,7 +115,7 @@
   TenantUse report(long now) {
     reportedTotal = usedTotal;
     if (shortage(now) > 0) {
-      surplusFactor = Math.min(MOST_SURPLUS, SURPLUS_GROWTH * surplusFactor + 1);
+      surplusFactor = Math.min(MAX_SURPLUS, SURPLUS_GROWTH * surplusFactor + 1);
     } else {
       surplusFactor /= SURPLUS_GROWTH;
     }
@@ -135,7 +135,7 @@
       formerOwnersLot = lot;
     }
     long usedSince = Math.max(0, usedTotal - lastReport.getUsedTotal());
-    long keepable = Math.min(lastReport.getWantedTokens(), lastReport.getHeldTokens());
+    long keepable = Math.min(lastReport.getWantedTokens(), lastReport.getUnusedTokens());
     returnsTokens = grant.getTokens() < keepable;
     grantedInFull = grant.getTokens() >= lastReport.getWantedTokens();
     lot = new Lot(grant.getTokens(), Math.max(0, grant.getTokens() - usedSince), expiresAt);
@@ -167,7 +167,7 @@
     if (shortage(now) == 0 || requests == 0) {
       return 0;
     }
-    double usual = MOST_SURPLUS_REQUESTS * demand / requests + demandPerSecond(now);
+    double usual = MAX_SURPLUS_REQUESTS * demand / requests + demandPerSecond(now);
     return (long) Math.min((double) shortage(now) * surplusFactor, usual);
   }
 
--- a/control/src/main/java/nettletrail/control/grant/GrantOwner.java
+++ b/control/src/main/java/nettletrail/control/grant/GrantOwner.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Optional;
 import nettletrail.control.ShardMap;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.GrantRequest;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.TenantGrant;
 import nettletrail.protocol.TenantUse;
 
@@ -29,7 +29,7 @@
   private Map<String, QuotaLimit> limits = Map.of();
 
   /** The buckets of one shard under one fencing token. */
-  private record Shard(Ballot token, Map<String, TenantBucket> buckets) {}
+  private record Shard(ProposalNumber token, Map<String, TenantBucket> buckets) {}
 
   /** {@code terms}: the bound to keep. */
   public GrantOwner(GrantTerms terms) {
@@ -54,7 +54,7 @@
    * This process owns the shard under this token at {@code now}. Buckets fill from the first time
    * that is said.
    */
-  public void owned(int number, Ballot token, long now) {
+  public void owned(int number, ProposalNumber token, long now) {
     Shard known = shards.get(number);
     if (known == null || !known.token().equals(token)) {
       Shard shard = new Shard(token, new HashMap<>());
@@ -64,10 +64,11 @@
   }
 
   /** Answers a door. {@code token}: the one under which the shard is owned at {@code now}. */
-  public GrantReply answer(String sender, GrantRequest request, Ballot token, long now) {
+  public GrantReply answer(String sender, GrantRequest request, ProposalNumber token, long now) {
     owned(request.getShard(), token, now);
     Shard shard = shards.get(request.getShard());
-    TenantBucket.Holder holder = new TenantBucket.Holder(request.getDoor(), request.getLife());
+    TenantBucket.Holder holder =
+        new TenantBucket.Holder(request.getDoor(), request.getIncarnation());
     List<TenantGrant> grants = new ArrayList<>();
     long validMs = terms.validMs();
     for (TenantUse use : request.getTenants()) {
--- a/control/src/main/java/nettletrail/control/grant/TenantBucket.java
+++ b/control/src/main/java/nettletrail/control/grant/TenantBucket.java
@@ -59,7 +59,7 @@
   private double outstandingSum;
 
   /** One life of a door's process. */
-  record Holder(String door, long life) {}
+  record Holder(String door, long incarnation) {}
 
   /** What the bucket has of one holder; times in steady nanoseconds. */
   private static final class Holding {
@@ -67,14 +67,14 @@
     long usedTotal;
     double outstanding;
     double wanted;
-    double least;
+    double min;
     long expiresAt;
     long askedAt;
     long waitingSince;
     boolean waiting;
 
     double ahead() {
-      return wanted - least;
+      return wanted - min;
     }
   }
 
@@ -103,14 +103,14 @@
     holding.lastRequest = request;
     holding.askedAt = now;
     double held = account(holding, use, now);
-    holding.wanted = Math.max(use.getWantedTokens(), use.getLeastTokens());
-    holding.least = use.getLeastTokens();
+    holding.wanted = Math.max(use.getWantedTokens(), use.getMinTokens());
+    holding.min = use.getMinTokens();
     markWaiting(holding, held, now);
     long granted = (long) share(holding, held);
     level -= Math.max(0, granted - held);
     setOutstanding(holding, Math.max(granted, held));
     holding.expiresAt = now + terms.outstandingMs(limit) * MILLIS;
-    holding.waiting = holding.waiting && granted < holding.least;
+    holding.waiting = holding.waiting && granted < holding.min;
     return granted;
   }
 
@@ -155,14 +155,14 @@
     holding.usedTotal = Math.max(holding.usedTotal, use.getUsedTotal());
     pressure.add(used, now);
     double left = Math.max(0, holding.outstanding - used);
-    double held = Math.min(Math.max(0, use.getHeldTokens()), left);
+    double held = Math.min(Math.max(0, use.getUnusedTokens()), left);
     level += left - held;
     setOutstanding(holding, held);
     return held;
   }
 
   private void markWaiting(Holding holding, double held, long now) {
-    boolean waits = holding.least > held;
+    boolean waits = holding.min > held;
     if (waits && !holding.waiting) {
       holding.waitingSince = now;
     }
@@ -179,15 +179,15 @@
     Wants wants = wants(holding.askedAt);
     if (holding.waiting && wants.firstWaiting == holding) {
       double ahead = aheadShare(holding, wants, held);
-      return Math.min(available, holding.least + ahead);
+      return Math.min(available, holding.min + ahead);
     }
     if (wants.firstWaiting != null) {
       available = held + level * PART_BESIDE_FIRST;
     }
     double needed =
-        holding.least == 0 ? 0 : Math.min(holding.least, MaxMinShare.of(wants.needs(), supply()));
+        holding.min == 0 ? 0 : Math.min(holding.min, MaxMinShare.of(wants.needs(), supply()));
     double granted = Math.min(available, needed + aheadShare(holding, wants, held));
-    boolean useless = holding.waiting && granted < holding.least;
+    boolean useless = holding.waiting && granted < holding.min;
     return useless && crowded() ? 0 : granted;
   }
 
@@ -198,7 +198,7 @@
     }
     double share = Math.min(holding.ahead(), MaxMinShare.of(wants.aheads(), left));
     double unreserved = Math.max(0, level - RESERVED_PART * terms.capacity(limit));
-    return Math.min(share, Math.max(0, held - holding.least) + unreserved);
+    return Math.min(share, Math.max(0, held - holding.min) + unreserved);
   }
 
   private double supply() {
@@ -222,7 +222,7 @@
     private void add(Holding holding, long now) {
       holders[count] = holding;
       count++;
-      sumOfNeeds += holding.least;
+      sumOfNeeds += holding.min;
       boolean waits = holding.waiting && now - holding.askedAt < WAITING;
       boolean before = firstWaiting == null || holding.waitingSince - firstWaiting.waitingSince < 0;
       if (waits && before) {
@@ -233,7 +233,7 @@
     private double[] needs() {
       double[] needs = new double[count];
       for (int index = 0; index < count; index++) {
-        needs[index] = holders[index].least;
+        needs[index] = holders[index].min;
       }
       return needs;
     }
--- a/control/src/main/java/nettletrail/control/registry/BackendOrder.java
+++ b/control/src/main/java/nettletrail/control/registry/BackendOrdering.java
@@ -8,8 +8,8 @@
  * is final, then the higher call sequence wins, then the later state of the life cycle.
  * Commutative, so reports may arrive in any order.
  */
-public final class BackendOrder {
-  private BackendOrder() {}
+public final class BackendOrdering {
+  private BackendOrdering() {}
 
   /** Whether {@code candidate} replaces {@code current}, which may be null. */
   public static boolean replaces(Backend candidate, Backend current) {
--- a/control/src/main/java/nettletrail/control/registry/BackendRegistry.java
+++ b/control/src/main/java/nettletrail/control/registry/BackendRegistry.java
@@ -23,21 +23,23 @@
  */
 public final class BackendRegistry {
   private static final long MILLIS = 1_000_000L;
-  private static final int MOST_TOMBSTONES = 2_048;
+  private static final int MAX_TOMBSTONES = 2_048;
   private static final long TOMBSTONE_AGE = 600_000 * MILLIS;
   private static final long EXPIRY_EXTRA = 1_000 * MILLIS;
-  private static final int EXPIRY_BEATS = 4;
+  private static final int EXPIRY_HEARTBEATS = 4;
 
   /** How long a backend stays that isn't heard, while most others aren't heard either. */
   private static final long EXPIRY_AMONG_FEW = 20_000 * MILLIS;
 
-  /** Hearing works well while one in so many live backends is heard in {@link #HEARING_BEATS}. */
+  /**
+   * Hearing works well while one in so many live backends is heard in {@link #HEARING_HEARTBEATS}.
+   */
   private static final int HEARING_PART = 3;
 
-  private static final int HEARING_BEATS = 2;
+  private static final int HEARING_HEARTBEATS = 2;
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
-  private final long beat;
+  private final long heartbeat;
   private long partHeardSince;
   private long anyHeardSince;
 
@@ -62,9 +64,9 @@
     CHANGED
   }
 
-  /** {@code beatMs}: how often backends call, in milliseconds. */
-  public BackendRegistry(long beatMs, long now) {
-    this.beat = beatMs * MILLIS;
+  /** {@code heartbeatMs}: how often backends call, in milliseconds. */
+  public BackendRegistry(long heartbeatMs, long now) {
+    this.heartbeat = heartbeatMs * MILLIS;
     this.partHeardSince = now;
     this.anyHeardSince = now;
   }
@@ -86,10 +88,10 @@
   /** Another core process reported a backend. Only a report that is news shows that it lives. */
   public Change enter(Backend backend, long now) {
     Entry entry = entries.computeIfAbsent(backend.getId(), id -> new Entry());
-    if (!BackendOrder.replaces(backend, entry.backend)) {
+    if (!BackendOrdering.replaces(backend, entry.backend)) {
       return Change.NONE;
     }
-    boolean same = entry.backend != null && BackendOrder.sameContent(backend, entry.backend);
+    boolean same = entry.backend != null && BackendOrdering.sameContent(backend, entry.backend);
     boolean wasExpired = entry.expired;
     entry.backend = backend;
     entry.lastHeardAt = now;
@@ -103,7 +105,7 @@
    */
   public boolean heardElsewhere(BackendFreshness freshness, long now) {
     Entry entry = entries.get(freshness.getId());
-    if (entry == null || BackendOrder.isGone(entry.backend)) {
+    if (entry == null || BackendOrdering.isGone(entry.backend)) {
       return false;
     }
     long heardAt = now - freshness.getAgeMs() * MILLIS;
@@ -122,7 +124,7 @@
   public List<BackendFreshness> takeDigest(long now) {
     List<BackendFreshness> digest = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      if (entry.heardSinceDigest && !BackendOrder.isGone(entry.backend)) {
+      if (entry.heardSinceDigest && !BackendOrdering.isGone(entry.backend)) {
         entry.heardSinceDigest = false;
         long ageMs = (now - entry.directlyHeardAt) / MILLIS;
         digest.add(
@@ -146,7 +148,7 @@
     List<String> expired = new ArrayList<>();
     int tombstones = 0;
     for (Entry entry : entries.values()) {
-      if (BackendOrder.isGone(entry.backend)) {
+      if (BackendOrdering.isGone(entry.backend)) {
         tombstones++;
       } else if (!entry.expired && isLost(entry, now)) {
         entry.expired = true;
@@ -204,9 +206,9 @@
     int live = 0;
     int heard = 0;
     for (Entry entry : entries.values()) {
-      if (!entry.expired && !BackendOrder.isGone(entry.backend)) {
+      if (!entry.expired && !BackendOrdering.isGone(entry.backend)) {
         live++;
-        heard += now - entry.lastHeardAt <= HEARING_BEATS * beat ? 1 : 0;
+        heard += now - entry.lastHeardAt <= HEARING_HEARTBEATS * heartbeat ? 1 : 0;
       }
     }
     if (heard == 0) {
@@ -223,16 +225,16 @@
   }
 
   private long expiry() {
-    return EXPIRY_BEATS * beat + EXPIRY_EXTRA;
+    return EXPIRY_HEARTBEATS * heartbeat + EXPIRY_EXTRA;
   }
 
   /** Expired entries leave with the tombstones' age too; nobody asks for them any more. */
   private void dropOld(int tombstones, long now) {
-    int surplus = tombstones - MOST_TOMBSTONES;
+    int surplus = tombstones - MAX_TOMBSTONES;
     Collection<Entry> all = entries.values();
     for (Iterator<Entry> iterator = all.iterator(); iterator.hasNext(); ) {
       Entry entry = iterator.next();
-      boolean gone = BackendOrder.isGone(entry.backend);
+      boolean gone = BackendOrdering.isGone(entry.backend);
       boolean old = now - entry.lastHeardAt > TOMBSTONE_AGE;
       if (gone && (surplus > 0 || old)) {
         iterator.remove();
--- a/control/src/main/java/nettletrail/control/registry/BackendStatus.java
+++ b/control/src/main/java/nettletrail/control/registry/BackendStatus.java
@@ -6,7 +6,7 @@
  * What one core process knows of a backend, for operators; decides nothing.
  *
  * @param backend its newest report
- * @param heardAgoMs how long ago any core process heard of it, as far as known here
+ * @param lastSeenAgoMs how long ago any core process heard of it, as far as known here
  * @param expired whether nobody has heard of it for too long
  */
-public record BackendStatus(Backend backend, long heardAgoMs, boolean expired) {}
+public record BackendStatus(Backend backend, long lastSeenAgoMs, boolean expired) {}
--- a/control/src/main/java/nettletrail/control/registry/ConfigurationSender.java
+++ b/control/src/main/java/nettletrail/control/registry/ConfigurationSender.java
@@ -14,7 +14,7 @@
   /** A piece holds up a heartbeat or a grant behind it for less than 40 ms at 7 Mbit/s. */
   static final int CHUNK_BYTES = 32 << 10;
 
-  private static final int MOST_KEPT = 8;
+  private static final int MAX_KEPT = 8;
 
   private final Map<Long, Kept> keptBySequence = new LinkedHashMap<>();
   private Kept newest;
@@ -31,7 +31,7 @@
     }
     newest = new Kept(sequence, edition, document);
     keptBySequence.put(sequence, newest);
-    if (keptBySequence.size() > MOST_KEPT) {
+    if (keptBySequence.size() > MAX_KEPT) {
       keptBySequence.remove(keptBySequence.keySet().iterator().next());
     }
   }
--- a/control/src/main/java/nettletrail/control/registry/CorePeers.java
+++ b/control/src/main/java/nettletrail/control/registry/CorePeers.java
@@ -34,12 +34,12 @@
    * Knows no peer yet.
    *
    * @param self this process's address
-   * @param life of this process; keeps the numbers of its updates apart from those of other lives,
-   *     whose acknowledgements may come late
+   * @param incarnation of this process; keeps the numbers of its updates apart from those of other
+   *     lives, whose acknowledgements may come late
    */
-  public CorePeers(String self, long life) {
+  public CorePeers(String self, long incarnation) {
     this.self = self;
-    this.lastUpdate = life << UPDATE_NUMBER_BITS;
+    this.lastUpdate = incarnation << UPDATE_NUMBER_BITS;
   }
 
   private long nextUpdate() {
--- a/control/src/main/java/nettletrail/control/registry/Feed.java
+++ b/control/src/main/java/nettletrail/control/registry/Feed.java
@@ -19,7 +19,7 @@
  * journal is bounded; a reader that is behind its start gets a snapshot.
  */
 public final class Feed {
-  private static final int MOST_ENTRIES = 4_096;
+  private static final int MAX_ENTRIES = 4_096;
 
   private final String sender;
   private final long id;
@@ -57,7 +57,7 @@
 
   private long append(Entry entry) {
     journal.addLast(entry);
-    if (journal.size() > MOST_ENTRIES) {
+    if (journal.size() > MAX_ENTRIES) {
       journal.removeFirst();
     }
     offset++;
--- a/control/src/main/java/nettletrail/control/registry/HintedHandoff.java
+++ b/control/src/main/java/nettletrail/control/registry/HintedHandoff.java
@@ -18,8 +18,8 @@
   private static final long MILLIS = 1_000_000L;
   private static final long FIRST_PAUSE = 200 * MILLIS;
   private static final long LONGEST_PAUSE = 3_000 * MILLIS;
-  private static final int MOST_HINTS = 4_096;
-  private static final int MOST_IN_UPDATE = 256;
+  private static final int MAX_HINTS = 4_096;
+  private static final int MAX_IN_UPDATE = 256;
   private static final long UNSENT = 0;
 
   private final String sender;
@@ -52,7 +52,7 @@
   public void keep(Backend backend) {
     hints.remove(backend.getId());
     hints.put(backend.getId(), new Hint(backend));
-    if (hints.size() > MOST_HINTS) {
+    if (hints.size() > MAX_HINTS) {
       hints.remove(hints.keySet().iterator().next());
     }
   }
@@ -105,7 +105,7 @@
     List<Hint> batch =
         hints.values().stream()
             .filter(hint -> again || hint.sentIn == UNSENT)
-            .limit(MOST_IN_UPDATE)
+            .limit(MAX_IN_UPDATE)
             .toList();
     if (batch.isEmpty()) {
       return Optional.empty();
--- a/control/src/main/java/nettletrail/control/registry/PendingCalls.java
+++ b/control/src/main/java/nettletrail/control/registry/PendingCalls.java
@@ -61,7 +61,7 @@
   public void otherCoreHas(Backend backend) {
     for (Call call : calls) {
       boolean same = call.backend.getId().equals(backend.getId());
-      if (same && (call.backend == backend || !BackendOrder.replaces(call.backend, backend))) {
+      if (same && (call.backend == backend || !BackendOrdering.replaces(call.backend, backend))) {
         call.otherCoreHasIt = true;
       }
     }
--- a/control/src/main/java/nettletrail/control/shard/Acceptor.java
+++ b/control/src/main/java/nettletrail/control/shard/Acceptor.java
@@ -2,14 +2,14 @@
 
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.AcceptReply;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.PreVote;
 import nettletrail.protocol.PreVoteReply;
 import nettletrail.protocol.Prepare;
 import nettletrail.protocol.PrepareReply;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.store.StoredShard;
 
@@ -25,7 +25,7 @@
 final class Acceptor {
 
   /** A message that is answered once its content is durable. */
-  private record WaitingPrepare(String address, Ballot ballot) {}
+  private record WaitingPrepare(String address, ProposalNumber proposal) {}
 
   private record WaitingAccept(String address, ShardVersion version) {}
 
@@ -37,10 +37,10 @@
   private final Outbox outbox;
   private final long promisesFrom;
 
-  private Ballot promised;
+  private ProposalNumber promised;
   private ShardVersion accepted;
 
-  private Ballot leaseBallot = Ballots.ZERO;
+  private ProposalNumber leaseProposal = ProposalNumbers.ZERO;
   private long leaseUntil = Long.MIN_VALUE;
 
   private WaitingPrepare waitingPrepare;
@@ -62,11 +62,12 @@
     this.outbox = outbox;
     this.promisesFrom = promisesFrom;
     this.accepted = stored.version();
-    this.promised = Ballots.max(stored.promised(), accepted == null ? null : accepted.getBallot());
+    this.promised =
+        ProposalNumbers.max(stored.promised(), accepted == null ? null : accepted.getProposal());
   }
 
   /** The highest ballot that it promised, durable or about to be. */
-  Ballot promised() {
+  ProposalNumber promised() {
     return promised;
   }
 
@@ -82,7 +83,7 @@
     if (now < promisesFrom) {
       return true;
     }
-    return now < leaseUntil && !leaseBallot.getNode().equals(node);
+    return now < leaseUntil && !leaseProposal.getNode().equals(node);
   }
 
   /** Stores the version that the whole system starts from. */
@@ -93,31 +94,31 @@
   }
 
   void onPreVote(String address, PreVote request, long now) {
-    boolean granted = mayPromise(request.getBallot(), now);
+    boolean granted = mayPromise(request.getProposal(), now);
     outbox.send(
-        address, new PreVoteReply(shard, self.getId(), request.getBallot(), granted, promised));
+        address, new PreVoteReply(shard, self.getId(), request.getProposal(), granted, promised));
   }
 
   /** Returns true if the ballot is promised as soon as that is durable. */
   boolean onPrepare(String address, Prepare request, long now) {
-    Ballot ballot = request.getBallot();
-    if (!mayPromise(ballot, now)) {
-      outbox.send(address, new PrepareReply(shard, self.getId(), ballot, false, promised, null));
+    ProposalNumber proposal = request.getProposal();
+    if (!mayPromise(proposal, now)) {
+      outbox.send(address, new PrepareReply(shard, self.getId(), proposal, false, promised, null));
       return false;
     }
-    promised = ballot;
-    waitingPrepare = new WaitingPrepare(address, ballot);
+    promised = proposal;
+    waitingPrepare = new WaitingPrepare(address, proposal);
     startStoring();
     return true;
   }
 
-  private boolean mayPromise(Ballot ballot, long now) {
-    return Ballots.above(ballot, promised) && !boundToOther(ballot.getNode(), now);
+  private boolean mayPromise(ProposalNumber proposal, long now) {
+    return ProposalNumbers.above(proposal, promised) && !boundToOther(proposal.getNode(), now);
   }
 
   void onAccept(String address, Accept request) {
     ShardVersion version = request.getVersion();
-    if (Ballots.above(promised, version.getBallot())) {
+    if (ProposalNumbers.above(promised, version.getProposal())) {
       replyAccept(address, version, false, "");
       return;
     }
@@ -128,7 +129,7 @@
     if (order <= 0 || isUnderWay(version)) {
       return;
     }
-    promised = Ballots.max(promised, version.getBallot());
+    promised = ProposalNumbers.max(promised, version.getProposal());
     waitingAccept = new WaitingAccept(address, version);
     startStoring();
   }
@@ -142,23 +143,23 @@
   }
 
   /** Renews the owner's lease unless a higher ballot is promised. */
-  ShardBeatReply onBeat(ShardBeat beat, long now) {
-    boolean granted = !Ballots.above(promised, beat.getBallot());
+  ShardHeartbeatReply onHeartbeat(ShardHeartbeat heartbeat, long now) {
+    boolean granted = !ProposalNumbers.above(promised, heartbeat.getProposal());
     if (granted) {
-      leaseBallot = beat.getBallot();
+      leaseProposal = heartbeat.getProposal();
       leaseUntil = Math.max(leaseUntil, now + settings.lease());
     }
-    return new ShardBeatReply(
+    return new ShardHeartbeatReply(
         shard,
         granted,
         promised,
-        accepted == null ? null : accepted.getBallot(),
+        accepted == null ? null : accepted.getProposal(),
         accepted == null ? 0L : accepted.getSequence());
   }
 
   /** Ends the lease that was granted under this ballot; false if another one runs. */
-  boolean onRelease(Ballot ballot, long now) {
-    if (!leaseBallot.equals(ballot)) {
+  boolean onRelease(ProposalNumber proposal, long now) {
+    if (!leaseProposal.equals(proposal)) {
       return false;
     }
     leaseUntil = Math.min(leaseUntil, now);
@@ -198,12 +199,12 @@
   }
 
   private void finishPrepare(WaitingPrepare done, StoreOutcome outcome) {
-    boolean overtaken = Ballots.above(promised, done.ballot());
+    boolean overtaken = ProposalNumbers.above(promised, done.proposal());
     boolean granted = outcome.stored() && !overtaken;
     outbox.send(
         done.address(),
         new PrepareReply(
-            shard, self.getId(), done.ballot(), granted, promised, granted ? accepted : null));
+            shard, self.getId(), done.proposal(), granted, promised, granted ? accepted : null));
   }
 
   private void startStoring() {
@@ -217,7 +218,7 @@
     } else if (waitingPrepare != null) {
       storingPrepare = waitingPrepare;
       waitingPrepare = null;
-      storingTicket = outbox.storePromise(shard, storingPrepare.ballot());
+      storingTicket = outbox.storePromise(shard, storingPrepare.proposal());
     }
   }
 
@@ -227,7 +228,7 @@
         new AcceptReply(
             shard,
             self.getId(),
-            version.getBallot(),
+            version.getProposal(),
             version.getSequence(),
             stored,
             promised,
--- a/control/src/main/java/nettletrail/control/shard/ConfigurationRegister.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfigurationRegister.java
@@ -4,9 +4,9 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Iterator;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.OrderForward;
 import nettletrail.protocol.OrderForwardReply;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
 /**
@@ -28,7 +28,7 @@
   /** The order that is being written. */
   private static final class WriteInFlight {
     final WaitingOrder waiting;
-    final Ballot ballot;
+    final ProposalNumber proposal;
     final long sequence;
     final long ifMatch;
     final ByteBuffer digest;
@@ -36,7 +36,7 @@
 
     WriteInFlight(WaitingOrder waiting, ShardVersion version, long ifMatch, ByteBuffer digest) {
       this.waiting = waiting;
-      this.ballot = version.getBallot();
+      this.proposal = version.getProposal();
       this.sequence = version.getSequence();
       this.ifMatch = ifMatch;
       this.digest = digest;
@@ -78,7 +78,7 @@
   void onOrder(String address, OrderForward order, long now) {
     if (!replica.owns(now)) {
       outbox.send(address, OrderReplies.notOwner(order.getCall()));
-    } else if (queue.size() >= settings.orderQueue()) {
+    } else if (queue.size() >= settings.requestQueueCapacity()) {
       outbox.send(address, OrderReplies.unavailable(order.getCall(), "too many orders wait"));
     } else {
       queue.add(new WaitingOrder(address, order, now));
@@ -120,10 +120,10 @@
     if (replica.committed().getSequence() >= inFlight.sequence) {
       answerWrite(committedOutcome());
       inFlight = null;
-    } else if (!inFlight.ballot.equals(replica.token())) {
+    } else if (!inFlight.proposal.equals(replica.token())) {
       answerWrite(unknownOutcome(inFlight.waiting));
       inFlight = null;
-    } else if (now - inFlight.waiting.receivedAt() >= settings.orderTimeout()) {
+    } else if (now - inFlight.waiting.receivedAt() >= settings.requestTimeout()) {
       answerWrite(unknownOutcome(inFlight.waiting));
     }
   }
@@ -159,7 +159,7 @@
     Iterator<WaitingOrder> orders = queue.iterator();
     while (orders.hasNext()) {
       WaitingOrder waiting = orders.next();
-      if (now - waiting.receivedAt() >= settings.orderTimeout()) {
+      if (now - waiting.receivedAt() >= settings.requestTimeout()) {
         orders.remove();
         outbox.send(
             waiting.address(),
--- a/control/src/main/java/nettletrail/control/shard/Confirmation.java
+++ b/control/src/main/java/nettletrail/control/shard/Confirmation.java
@@ -32,7 +32,7 @@
       return;
     }
     VersionStamp accepted =
-        new VersionStamp(reply.getAcceptedBallot(), reply.getAcceptedSequence());
+        new VersionStamp(reply.getAcceptedProposal(), reply.getAcceptedSequence());
     latest.put(reply.getSender(), new Report(reply.getSentAt(), accepted));
   }
 
--- a/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
@@ -75,7 +75,7 @@
             query.getShard(),
             query.getSentAt(),
             group.contains(self.getId()),
-            accepted == null ? null : accepted.getBallot(),
+            accepted == null ? null : accepted.getProposal(),
             accepted == null ? -1L : accepted.getSequence(),
             committed == null ? -1L : committed.getSequence(),
             replica.ownerAddress(now),
@@ -83,8 +83,8 @@
   }
 
   void onReply(String peer, ConfirmReply reply, long now) {
-    boolean sentInThisLife = reply.getSentAt() >= startedAt && reply.getSentAt() <= now;
-    if (!sentInThisLife) {
+    boolean sentInThisIncarnation = reply.getSentAt() >= startedAt && reply.getSentAt() <= now;
+    if (!sentInThisIncarnation) {
       return;
     }
     addressBook.onConfirmReply(reply, now);
--- a/control/src/main/java/nettletrail/control/shard/CoreAction.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreAction.java
@@ -1,7 +1,7 @@
 package nettletrail.control.shard;
 
 import java.nio.ByteBuffer;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.apache.avro.specific.SpecificRecord;
 
@@ -29,7 +29,7 @@
    * Make a promise durable, in the order of the tickets of its shard, then call {@link
    * CoreShards#stored}.
    */
-  record StorePromise(long ticket, int shard, Ballot ballot) implements CoreAction {}
+  record StorePromise(long ticket, int shard, ProposalNumber proposal) implements CoreAction {}
 
   /**
    * Make a version durable, in the order of the tickets of its shard, then call {@link
@@ -47,7 +47,7 @@
    * @param validUntil steady instant from which on the call is answered with 503 instead: what the
    *     answer rests on, as the owner's lease, has ended by then
    */
-  record AnswerOrder(long call, int status, String edition, byte[] body, long validUntil)
+  record AnswerOperator(long call, int status, String edition, byte[] body, long validUntil)
       implements CoreAction {}
 
   /**
--- a/control/src/main/java/nettletrail/control/shard/CoreShards.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreShards.java
@@ -8,7 +8,6 @@
 import java.util.SplittableRandom;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.AcceptReply;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.ConfirmQuery;
 import nettletrail.protocol.ConfirmReply;
 import nettletrail.protocol.JoinRequest;
@@ -22,8 +21,9 @@
 import nettletrail.protocol.PreVoteReply;
 import nettletrail.protocol.Prepare;
 import nettletrail.protocol.PrepareReply;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.protocol.VersionQuery;
 import nettletrail.protocol.VersionReply;
@@ -113,7 +113,8 @@
         new ShardReplica(shard, self, settings, start.shard(shard), outbox, random, promisesFrom);
     List<Member> founders = start.seedAddresses().stream().map(NodeIdentity::founding).toList();
     if (founding && founders.contains(self)) {
-      ShardVersion initial = new ShardVersion(Ballots.ZERO, 0L, founders, ByteBuffer.allocate(0));
+      ShardVersion initial =
+          new ShardVersion(ProposalNumbers.ZERO, 0L, founders, ByteBuffer.allocate(0));
       replica.bootstrap(initial, now);
     }
     return replica;
@@ -157,7 +158,7 @@
 
   /**
    * Takes an operator's call that arrived at this process; it is answered by an {@link
-   * CoreAction.AnswerOrder}.
+   * CoreAction.AnswerOperator}.
    */
   public List<CoreAction> submit(long call, String method, String ifMatch, byte[] body, long now) {
     String owner = ownerAddress(CONFIGURATION_SHARD, now);
@@ -185,7 +186,7 @@
   }
 
   /** The fencing token of a shard that this process owns, or null. */
-  public Ballot token(int shard) {
+  public ProposalNumber token(int shard) {
     return replicas.get(shard).token();
   }
 
@@ -295,9 +296,10 @@
   }
 
   private void onHeartbeat(String peer, OwnerHeartbeat heartbeat, long now) {
-    List<ShardBeatReply> replies = new ArrayList<>();
-    for (ShardBeat beat : heartbeat.getShards()) {
-      ShardBeatReply reply = replicas.get(beat.getShard()).onBeat(beat, now);
+    List<ShardHeartbeatReply> replies = new ArrayList<>();
+    for (ShardHeartbeat shardHeartbeat : heartbeat.getShards()) {
+      ShardHeartbeatReply reply =
+          replicas.get(shardHeartbeat.getShard()).onHeartbeat(shardHeartbeat, now);
       if (reply != null) {
         replies.add(reply);
       }
@@ -308,33 +310,33 @@
   }
 
   private void onHeartbeatReply(OwnerHeartbeatReply reply, long now) {
-    if (!sentInThisLife(reply.getSentAt(), now)) {
+    if (!sentInThisIncarnation(reply.getSentAt(), now)) {
       return;
     }
-    for (ShardBeatReply shardReply : reply.getShards()) {
+    for (ShardHeartbeatReply shardReply : reply.getShards()) {
       replicas
           .get(shardReply.getShard())
-          .onBeatReply(reply.getSender(), reply.getSentAt(), shardReply, now);
+          .onHeartbeatReply(reply.getSender(), reply.getSentAt(), shardReply, now);
     }
   }
 
   /** An answer to a former life of this process must not count: its clock may have been another. */
-  private boolean sentInThisLife(long sentAt, long now) {
+  private boolean sentInThisIncarnation(long sentAt, long now) {
     return sentAt >= startedAt && sentAt <= now;
   }
 
   // Periodic work
 
   private void sendHeartbeats(List<ShardReplica> owned, long now) {
-    Map<String, List<ShardBeat>> beats = new LinkedHashMap<>();
+    Map<String, List<ShardHeartbeat>> heartbeats = new LinkedHashMap<>();
     for (ShardReplica replica : owned) {
       for (Member member : replica.heartbeatTargets()) {
-        beats
+        heartbeats
             .computeIfAbsent(member.getAddress(), address -> new ArrayList<>())
-            .add(replica.beat(member));
+            .add(replica.heartbeat(member));
       }
     }
-    beats.forEach(
+    heartbeats.forEach(
         (address, shards) -> outbox.send(address, new OwnerHeartbeat(self.getId(), now, shards)));
   }
 
@@ -346,7 +348,7 @@
     for (int shard = 0; shard < replicas.size(); shard++) {
       ShardReplica replica = replicas.get(shard);
       boolean member = replica.group().contains(self.getId());
-      boolean heard = now - replica.ownerHeardAt() <= 2 * settings.lease();
+      boolean heard = now - replica.ownerLastSeenAt() <= 2 * settings.lease();
       if (member && heard) {
         continue;
       }
--- a/control/src/main/java/nettletrail/control/shard/Election.java
+++ b/control/src/main/java/nettletrail/control/shard/Election.java
@@ -4,12 +4,12 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.PreVote;
 import nettletrail.protocol.PreVoteReply;
 import nettletrail.protocol.Prepare;
 import nettletrail.protocol.PrepareReply;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.apache.avro.specific.SpecificRecord;
 
@@ -25,21 +25,21 @@
     PREPARE
   }
 
-  private final Ballot ballot;
+  private final ProposalNumber proposal;
   private long deadline;
   private final Set<String> grants = new HashSet<>();
   private final Set<String> refusals = new HashSet<>();
   private final Set<String> asked = new HashSet<>();
   private Phase phase;
   private ShardVersion newest;
-  private Ballot highestSeen;
+  private ProposalNumber highestSeen;
 
   /** Starts from the newest version that the candidate itself accepted. */
-  Election(Phase phase, Ballot ballot, ShardVersion ownAccepted, long deadline) {
+  Election(Phase phase, ProposalNumber proposal, ShardVersion ownAccepted, long deadline) {
     this.phase = phase;
-    this.ballot = ballot;
+    this.proposal = proposal;
     this.newest = ownAccepted;
-    this.highestSeen = ballot;
+    this.highestSeen = proposal;
     this.deadline = deadline;
   }
 
@@ -47,8 +47,8 @@
     return phase;
   }
 
-  Ballot ballot() {
-    return ballot;
+  ProposalNumber proposal() {
+    return proposal;
   }
 
   long deadline() {
@@ -56,7 +56,7 @@
   }
 
   /** The highest ballot that any answer named. */
-  Ballot highestSeen() {
+  ProposalNumber highestSeen() {
     return highestSeen;
   }
 
@@ -83,20 +83,20 @@
   /** What a member is asked in this phase. */
   SpecificRecord request(int shard, Member member) {
     return phase == Phase.PRE_VOTE
-        ? new PreVote(shard, member.getId(), ballot)
-        : new Prepare(shard, member.getId(), ballot);
+        ? new PreVote(shard, member.getId(), proposal)
+        : new Prepare(shard, member.getId(), proposal);
   }
 
   void onPreVoteReply(PreVoteReply reply) {
-    highestSeen = Ballots.max(highestSeen, reply.getPromised());
-    if (phase == Phase.PRE_VOTE && reply.getBallot().equals(ballot)) {
+    highestSeen = ProposalNumbers.max(highestSeen, reply.getPromised());
+    if (phase == Phase.PRE_VOTE && reply.getProposal().equals(proposal)) {
       (reply.getGranted() ? grants : refusals).add(reply.getSender());
     }
   }
 
   void onPrepareReply(PrepareReply reply) {
-    highestSeen = Ballots.max(highestSeen, reply.getPromised());
-    if (phase != Phase.PREPARE || !reply.getBallot().equals(ballot)) {
+    highestSeen = ProposalNumbers.max(highestSeen, reply.getPromised());
+    if (phase != Phase.PREPARE || !reply.getProposal().equals(proposal)) {
       return;
     }
     (reply.getGranted() ? grants : refusals).add(reply.getSender());
--- a/control/src/main/java/nettletrail/control/shard/OrderHistory.java
+++ b/control/src/main/java/nettletrail/control/shard/OrderHistory.java
@@ -17,13 +17,13 @@
  * at most one order was taken on top of an edition, and whether a given order was is a fact that
  * later changes don't touch. The history is stored with every version of the configuration, so it
  * is bounded: at {@value #DIGEST_BYTES} bytes and some three to five for edition and length, an
- * order takes about 20 bytes, {@value #MOST_ORDERS} of them some 80 KB. An order that may have been
+ * order takes about 20 bytes, {@value #MAX_ORDERS} of them some 80 KB. An order that may have been
  * dropped from it is neither taken nor refused: {@link Outcome#FORGOTTEN}.
  */
 final class OrderHistory {
 
   /** How many orders that were taken are remembered. */
-  static final int MOST_ORDERS = 4_096;
+  static final int MAX_ORDERS = 4_096;
 
   /** How much of an order's SHA-256 is stored; earlier versions stored the whole of it. */
   static final int DIGEST_BYTES = 16;
@@ -58,7 +58,7 @@
     if (sameDigest(orders.get(next).getDigest(), digest)) {
       return Outcome.TAKEN;
     }
-    boolean dropped = next == 0 && orders.size() >= MOST_ORDERS;
+    boolean dropped = next == 0 && orders.size() >= MAX_ORDERS;
     return dropped ? Outcome.FORGOTTEN : Outcome.NOT_TAKEN;
   }
 
@@ -69,7 +69,7 @@
 
   /** The history with one order more; the oldest is dropped beyond the bound. */
   OrderHistory with(long edition, ByteBuffer digest) {
-    int first = Math.max(0, orders.size() + 1 - MOST_ORDERS);
+    int first = Math.max(0, orders.size() + 1 - MAX_ORDERS);
     List<ConfigurationChange> longer = new ArrayList<>(orders.subList(first, orders.size()));
     longer.add(new ConfigurationChange(edition, digest));
     return new OrderHistory(longer);
--- a/control/src/main/java/nettletrail/control/shard/OrderRouter.java
+++ b/control/src/main/java/nettletrail/control/shard/OrderRouter.java
@@ -62,7 +62,7 @@
       answer(call, OrderReplies.METHOD_NOT_ALLOWED, "", error, CoreAction.ALWAYS);
       return;
     }
-    if (pending.size() >= settings.orderQueue()) {
+    if (pending.size() >= settings.requestQueueCapacity()) {
       unavailable(call, "too many calls wait");
       return;
     }
@@ -100,7 +100,9 @@
     pending.remove(reply.getCall());
     boolean taken = reply.getStatus() == OrderReplies.OK && !call.isRead();
     long validUntil =
-        taken ? CoreAction.ALWAYS : Math.min(sentUntil, call.receivedAt + settings.orderTimeout());
+        taken
+            ? CoreAction.ALWAYS
+            : Math.min(sentUntil, call.receivedAt + settings.requestTimeout());
     answer(call.call, reply.getStatus(), reply.getEdition(), reply.getBody(), validUntil);
   }
 
@@ -109,9 +111,9 @@
     List<PendingCall> calls = new ArrayList<>(pending.values());
     for (PendingCall call : calls) {
       long age = now - call.receivedAt;
-      if (age >= settings.orderTimeout()) {
+      if (age >= settings.requestTimeout()) {
         giveUp(call, "the owner does not answer");
-      } else if (call.forwardedTo.isEmpty() && age >= settings.orderHold()) {
+      } else if (call.forwardedTo.isEmpty() && age >= settings.ownerWait()) {
         giveUp(call, "no owner is known");
       } else if (call.forwardedTo.isEmpty()) {
         forward(call, ownerAddress);
@@ -133,6 +135,6 @@
     ByteBuffer copy = body.duplicate();
     byte[] bytes = new byte[copy.remaining()];
     copy.get(bytes);
-    outbox.add(new CoreAction.AnswerOrder(call, status, edition, bytes, validUntil));
+    outbox.add(new CoreAction.AnswerOperator(call, status, edition, bytes, validUntil));
   }
 }
--- a/control/src/main/java/nettletrail/control/shard/Outbox.java
+++ b/control/src/main/java/nettletrail/control/shard/Outbox.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.apache.avro.specific.SpecificRecord;
 
@@ -44,9 +44,9 @@
   }
 
   /** Returns the ticket with which the outcome comes back. */
-  long storePromise(int shard, Ballot ballot) {
+  long storePromise(int shard, ProposalNumber proposal) {
     lastTicket++;
-    actions.add(new CoreAction.StorePromise(lastTicket, shard, ballot));
+    actions.add(new CoreAction.StorePromise(lastTicket, shard, proposal));
     return lastTicket;
   }
 
--- a/control/src/main/java/nettletrail/control/shard/Ownership.java
+++ b/control/src/main/java/nettletrail/control/shard/Ownership.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.AcceptReply;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 
 /**
@@ -47,33 +47,33 @@
   }
 
   private final int shard;
-  private final Ballot ballot;
+  private final ProposalNumber proposal;
   private final ShardSettings settings;
   private final Outbox outbox;
   private final long startedAt;
   private final Map<String, Progress> progressOf = new HashMap<>();
   private final Set<String> acknowledged = new HashSet<>();
   private ShardVersion committed;
-  private ShardVersion proposal;
+  private ShardVersion inFlightVersion;
 
   /** Begins by writing the version found by the election again, under the own ballot. */
   Ownership(
       int shard,
-      Ballot ballot,
+      ProposalNumber proposal,
       ShardVersion found,
       ShardSettings settings,
       Outbox outbox,
       long now) {
     this.shard = shard;
-    this.ballot = ballot;
+    this.proposal = proposal;
     this.settings = settings;
     this.outbox = outbox;
     this.startedAt = now;
     propose(found.getSequence(), found, new ReplicaGroup(found.getMembers()), now);
   }
 
-  Ballot ballot() {
-    return ballot;
+  ProposalNumber proposal() {
+    return proposal;
   }
 
   /** The newest version committed under the own ballot, or null. */
@@ -82,18 +82,18 @@
   }
 
   /** The version in flight, or null. */
-  ShardVersion proposal() {
-    return proposal;
+  ShardVersion inFlightVersion() {
+    return inFlightVersion;
   }
 
   /** True when something was committed under the own ballot and no write is in flight. */
   boolean settled() {
-    return committed != null && proposal == null;
+    return committed != null && inFlightVersion == null;
   }
 
   /** The newest version, committed or in flight. */
   ShardVersion newest() {
-    return proposal != null ? proposal : committed;
+    return inFlightVersion != null ? inFlightVersion : committed;
   }
 
   /** The members of the newest group. */
@@ -108,9 +108,9 @@
     }
     welcomeJoiners(group, now);
     ShardVersion changed =
-        new ShardVersion(ballot, committed.getSequence(), group.members(), value);
+        new ShardVersion(proposal, committed.getSequence(), group.members(), value);
     propose(committed.getSequence() + 1, changed, group, now);
-    return proposal;
+    return inFlightVersion;
   }
 
   /**
@@ -129,7 +129,7 @@
   }
 
   private void propose(long sequence, ShardVersion from, ReplicaGroup group, long now) {
-    proposal = new ShardVersion(ballot, sequence, group.members(), from.getValue());
+    inFlightVersion = new ShardVersion(proposal, sequence, group.members(), from.getValue());
     acknowledged.clear();
     for (Member member : group.members()) {
       if (!progress(member.getId()).transfer.isUnderWay()) {
@@ -140,7 +140,7 @@
 
   private void sendVersion(Member member, long now) {
     progress(member.getId()).transfer.start(VersionStamp.of(newest()), now);
-    outbox.send(member.getAddress(), new Accept(shard, member.getId(), ballot, newest()));
+    outbox.send(member.getAddress(), new Accept(shard, member.getId(), proposal, newest()));
   }
 
   /** Returns true if this committed the version in flight. */
@@ -150,7 +150,7 @@
     if (!reply.getAccepted()) {
       return false;
     }
-    VersionStamp held = new VersionStamp(reply.getBallot(), reply.getSequence());
+    VersionStamp held = new VersionStamp(reply.getProposal(), reply.getSequence());
     progress.transfer.onHeld(held);
     boolean behind = isBehind(reply.getSender(), held);
     if (behind && !progress.transfer.isUnderWay()) {
@@ -160,14 +160,14 @@
   }
 
   /** Returns true if this committed the version in flight. */
-  boolean onBeatReply(String sender, long askedAt, ShardBeatReply reply, long now) {
+  boolean onHeartbeatReply(String sender, long askedAt, ShardHeartbeatReply reply, long now) {
     Progress progress = progress(sender);
     progress.heard(now);
     if (!reply.getGranted()) {
       return false;
     }
     progress.grantAskedAt = Math.max(progress.grantAskedAt, askedAt);
-    VersionStamp held = new VersionStamp(reply.getAcceptedBallot(), reply.getAcceptedSequence());
+    VersionStamp held = new VersionStamp(reply.getAcceptedProposal(), reply.getAcceptedSequence());
     progress.transfer.onHeld(held);
     if (isBehind(sender, held) && progress.transfer.isDue(askedAt, now)) {
       sendVersion(member(sender), now);
@@ -185,22 +185,22 @@
   }
 
   private boolean acknowledge(String sender, VersionStamp held) {
-    if (proposal == null || !VersionStamp.of(proposal).equals(held)) {
+    if (inFlightVersion == null || !VersionStamp.of(inFlightVersion).equals(held)) {
       return false;
     }
     acknowledged.add(sender);
-    if (!new ReplicaGroup(proposal.getMembers()).hasMajority(acknowledged)) {
+    if (!new ReplicaGroup(inFlightVersion.getMembers()).hasMajority(acknowledged)) {
       return false;
     }
-    committed = proposal;
-    proposal = null;
+    committed = inFlightVersion;
+    inFlightVersion = null;
     return true;
   }
 
   /**
    * Tells when the former owner was last heard of, which the silence of a member is counted from.
    */
-  void formerOwnerHeardAt(String id, long heardAt) {
+  void formerOwnerLastSeenAt(String id, long heardAt) {
     progress(id).heard(heardAt);
   }
 
@@ -210,7 +210,7 @@
    */
   long leaseUntil() {
     long askedAt = leaseAskedAt(newest());
-    if (proposal != null && committed != null) {
+    if (inFlightVersion != null && committed != null) {
       askedAt = Math.min(askedAt, leaseAskedAt(committed));
     }
     if (askedAt == ReplicaGroup.NEVER) {
@@ -240,9 +240,9 @@
   }
 
   /** This shard's part of a heartbeat, for one member. */
-  ShardBeat beat(Member member) {
+  ShardHeartbeat heartbeat(Member member) {
     long sequence = committed == null ? NOTHING_COMMITTED : committed.getSequence();
-    return new ShardBeat(shard, member.getId(), ballot, sequence);
+    return new ShardHeartbeat(shard, member.getId(), proposal, sequence);
   }
 
   /** The members that heartbeats go to. */
--- a/control/src/main/java/nettletrail/control/shard/ShardReplica.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardReplica.java
@@ -5,15 +5,15 @@
 import java.util.SplittableRandom;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.AcceptReply;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.LeaseRelease;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.PreVote;
 import nettletrail.protocol.PreVoteReply;
 import nettletrail.protocol.Prepare;
 import nettletrail.protocol.PrepareReply;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.store.StoredShard;
 
@@ -38,12 +38,12 @@
   private Election election;
   private Ownership ownership;
   private ShardVersion knownCommitted;
-  private Ballot highestSeen = Ballots.ZERO;
+  private ProposalNumber highestSeen = ProposalNumbers.ZERO;
   private String ownerId = "";
-  private long ownerHeardAt;
+  private long ownerLastSeenAt;
   private boolean heartbeatRequested;
   private boolean released;
-  private long foundingHoldUntil = Long.MIN_VALUE;
+  private long bootstrapWaitUntil = Long.MIN_VALUE;
 
   /** Starts as a follower; promisesFrom is the instant before which it promises nothing. */
   ShardReplica(
@@ -61,7 +61,7 @@
     this.acceptor = new Acceptor(shard, self, settings, stored, outbox, promisesFrom);
     this.groupChanges = new GroupChanges(settings);
     this.electionTimer = new ElectionTimer(shard, self.getAddress(), settings, random);
-    this.ownerHeardAt = promisesFrom - settings.lease();
+    this.ownerLastSeenAt = promisesFrom - settings.lease();
     electionTimer.postpone(group(), promisesFrom);
   }
 
@@ -69,7 +69,7 @@
   void bootstrap(ShardVersion initial, long now) {
     acceptor.bootstrap(initial);
     electionTimer.postpone(group(), now);
-    foundingHoldUntil = now + settings.foundingHold();
+    bootstrapWaitUntil = now + settings.bootstrapWait();
   }
 
   // Views
@@ -80,8 +80,8 @@
   }
 
   /** The fencing token: the own ballot, or null when this process is not the owner. */
-  Ballot token() {
-    return ownership == null ? null : ownership.ballot();
+  ProposalNumber token() {
+    return ownership == null ? null : ownership.proposal();
   }
 
   /** The end of the lease; only while {@link #owns}. */
@@ -99,14 +99,14 @@
     if (owns(now)) {
       return self.getAddress();
     }
-    boolean fresh = now - ownerHeardAt <= settings.lease();
+    boolean fresh = now - ownerLastSeenAt <= settings.lease();
     Member owner = fresh ? group().find(ownerId) : null;
     return owner == null || ownerId.equals(self.getId()) ? "" : owner.getAddress();
   }
 
   /** When an owner's heartbeat was last granted. */
-  long ownerHeardAt() {
-    return ownerHeardAt;
+  long ownerLastSeenAt() {
+    return ownerLastSeenAt;
   }
 
   /** The group that the newest accepted version names; empty where there is none. */
@@ -131,7 +131,7 @@
    * for, but not for long: there may be fewer machines.
    */
   boolean writable(long now) {
-    return settled(now) && (now >= foundingHoldUntil || hasFullGroup());
+    return settled(now) && (now >= bootstrapWaitUntil || hasFullGroup());
   }
 
   private boolean hasFullGroup() {
@@ -167,45 +167,45 @@
   void onPrepare(String address, Prepare request, long now) {
     if (isForSelf(request.getRecipient()) && acceptor.onPrepare(address, request, now)) {
       electionTimer.yieldToCandidate(group(), now);
-      deposeBy(request.getBallot(), now);
+      deposeBy(request.getProposal(), now);
     }
   }
 
   void onAccept(String address, Accept request, long now) {
     if (isForSelf(request.getRecipient())) {
       acceptor.onAccept(address, request);
-      deposeBy(request.getBallot(), now);
+      deposeBy(request.getProposal(), now);
     }
   }
 
   /** Answers a heartbeat, or null if it is meant for another identity. */
-  ShardBeatReply onBeat(ShardBeat beat, long now) {
-    if (!isForSelf(beat.getRecipient())) {
+  ShardHeartbeatReply onHeartbeat(ShardHeartbeat heartbeat, long now) {
+    if (!isForSelf(heartbeat.getRecipient())) {
       return null;
     }
-    ShardBeatReply reply = acceptor.onBeat(beat, now);
+    ShardHeartbeatReply reply = acceptor.onHeartbeat(heartbeat, now);
     if (reply.getGranted()) {
-      followOwner(beat, now);
+      followOwner(heartbeat, now);
     }
     return reply;
   }
 
-  private void followOwner(ShardBeat beat, long now) {
-    ownerId = beat.getBallot().getNode();
-    ownerHeardAt = now;
+  private void followOwner(ShardHeartbeat heartbeat, long now) {
+    ownerId = heartbeat.getProposal().getNode();
+    ownerLastSeenAt = now;
     electionTimer.postpone(group(), now + settings.lease());
-    deposeBy(beat.getBallot(), now);
+    deposeBy(heartbeat.getProposal(), now);
     ShardVersion accepted = acceptor.accepted();
     if (accepted != null
-        && accepted.getBallot().equals(beat.getBallot())
-        && accepted.getSequence() <= beat.getCommittedSequence()) {
+        && accepted.getProposal().equals(heartbeat.getProposal())
+        && accepted.getSequence() <= heartbeat.getCommittedSequence()) {
       learnCommitted(accepted);
     }
   }
 
   /** The owner ends in good order: another may be elected at once. */
   void onRelease(LeaseRelease release, long now) {
-    if (isForSelf(release.getRecipient()) && acceptor.onRelease(release.getBallot(), now)) {
+    if (isForSelf(release.getRecipient()) && acceptor.onRelease(release.getProposal(), now)) {
       ownerId = "";
       electionTimer.expedite(group(), now);
     }
@@ -220,7 +220,8 @@
       return;
     }
     for (Member member : ownership.members()) {
-      outbox.send(member.getAddress(), new LeaseRelease(shard, member.getId(), ownership.ballot()));
+      outbox.send(
+          member.getAddress(), new LeaseRelease(shard, member.getId(), ownership.proposal()));
     }
     ownership = null;
   }
@@ -256,7 +257,7 @@
 
   /** Tries again after a while that differs between candidates. */
   private void endElection(long now) {
-    highestSeen = Ballots.max(highestSeen, election.highestSeen());
+    highestSeen = ProposalNumbers.max(highestSeen, election.highestSeen());
     election = null;
     electionTimer.retry(group(), now);
   }
@@ -272,9 +273,9 @@
   }
 
   private void startElection(Election.Phase phase, long now) {
-    Ballot above = Ballots.max(highestSeen, acceptor.promised());
-    Ballot ballot = Ballots.next(above, self.getId());
-    election = new Election(phase, ballot, acceptor.accepted(), now + settings.electionTimeout());
+    ProposalNumber above = ProposalNumbers.max(highestSeen, acceptor.promised());
+    ProposalNumber proposal = ProposalNumbers.next(above, self.getId());
+    election = new Election(phase, proposal, acceptor.accepted(), now + settings.electionTimeout());
     askMembers();
   }
 
@@ -314,9 +315,9 @@
   }
 
   private void takeOwnership(long now) {
-    ownership = new Ownership(shard, election.ballot(), election.newest(), settings, outbox, now);
+    ownership = new Ownership(shard, election.proposal(), election.newest(), settings, outbox, now);
     if (!ownerId.isEmpty() && !ownerId.equals(self.getId())) {
-      ownership.formerOwnerHeardAt(ownerId, ownerHeardAt);
+      ownership.formerOwnerLastSeenAt(ownerId, ownerLastSeenAt);
     }
     election = null;
     heartbeatRequested = true;
@@ -334,11 +335,11 @@
     deposeBy(reply.getPromised(), now);
   }
 
-  void onBeatReply(String sender, long askedAt, ShardBeatReply reply, long now) {
+  void onHeartbeatReply(String sender, long askedAt, ShardHeartbeatReply reply, long now) {
     if (ownership == null) {
       return;
     }
-    if (ownership.onBeatReply(sender, askedAt, reply, now)) {
+    if (ownership.onHeartbeatReply(sender, askedAt, reply, now)) {
       onCommit(now);
     }
     deposeBy(reply.getPromised(), now);
@@ -357,9 +358,9 @@
    * Ends the ownership if a higher ballot is known; takes a new ballot at once while the lease
    * still runs.
    */
-  private void deposeBy(Ballot ballot, long now) {
-    highestSeen = Ballots.max(highestSeen, ballot);
-    if (ownership == null || !Ballots.above(ballot, ownership.ballot())) {
+  private void deposeBy(ProposalNumber proposal, long now) {
+    highestSeen = ProposalNumbers.max(highestSeen, proposal);
+    if (ownership == null || !ProposalNumbers.above(proposal, ownership.proposal())) {
       return;
     }
     boolean leaseRuns = now < ownership.leaseUntil();
@@ -402,8 +403,8 @@
     return ownership == null ? List.of() : ownership.heartbeatTargets();
   }
 
-  ShardBeat beat(Member member) {
-    return ownership.beat(member);
+  ShardHeartbeat heartbeat(Member member) {
+    return ownership.heartbeat(member);
   }
 
   /** True once after something that the members should hear at once. */
--- a/control/src/main/java/nettletrail/control/shard/ShardSettings.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardSettings.java
@@ -18,11 +18,11 @@
  * @param replaceUnheardAfter as replaceAfter, for a member that has never answered this owner
  * @param removeAfter silence after which a member leaves a group of an even size
  * @param fullGroup how many members a group needs to bear the losses that the system withstands
- * @param foundingHold how long after the first start of the whole system the owner holds orders
+ * @param bootstrapWait how long after the first start of the whole system the owner holds orders
  *     until the group is full
- * @param orderHold how long an operator's call waits for an owner to be known
- * @param orderTimeout how long an operator's call may take before its outcome counts as unknown
- * @param orderQueue how many calls may wait for a write in progress
+ * @param ownerWait how long an operator's call waits for an owner to be known
+ * @param requestTimeout how long an operator's call may take before its outcome counts as unknown
+ * @param requestQueueCapacity how many calls may wait for a write in progress
  */
 public record ShardSettings(
     long lease,
@@ -38,10 +38,10 @@
     long replaceUnheardAfter,
     long removeAfter,
     int fullGroup,
-    long foundingHold,
-    long orderHold,
-    long orderTimeout,
-    int orderQueue) {
+    long bootstrapWait,
+    long ownerWait,
+    long requestTimeout,
+    int requestQueueCapacity) {
 
   private static final long LEASE_MS = 1_200;
   private static final long LEASE_MARGIN_MS = 50;
@@ -56,17 +56,17 @@
   private static final long REPLACE_UNHEARD_AFTER_MS = 1_000;
   private static final long REMOVE_AFTER_MS = 3_000;
   private static final int FULL_GROUP = 3;
-  private static final long FOUNDING_HOLD_MS = 2_000;
-  private static final long ORDER_HOLD_MS = 700;
-  private static final long ORDER_TIMEOUT_MS = 900;
-  private static final int ORDER_QUEUE = 64;
+  private static final long BOOTSTRAP_WAIT_MS = 2_000;
+  private static final long OWNER_WAIT_MS = 700;
+  private static final long REQUEST_TIMEOUT_MS = 900;
+  private static final int REQUEST_QUEUE_CAPACITY = 64;
 
   /** Checks that a lease outlasts some heartbeats and its margin. */
   public ShardSettings {
     if (heartbeat <= 0 || lease < 2 * heartbeat || leaseMargin < 0 || leaseMargin >= lease / 2) {
       throw new IllegalArgumentException("lease must outlast two heartbeats and its margin");
     }
-    if (orderHold > orderTimeout) {
+    if (ownerWait > requestTimeout) {
       throw new IllegalArgumentException("orderHold must not exceed orderTimeout");
     }
   }
@@ -87,10 +87,10 @@
         millis(REPLACE_UNHEARD_AFTER_MS),
         millis(REMOVE_AFTER_MS),
         FULL_GROUP,
-        millis(FOUNDING_HOLD_MS),
-        millis(ORDER_HOLD_MS),
-        millis(ORDER_TIMEOUT_MS),
-        ORDER_QUEUE);
+        millis(BOOTSTRAP_WAIT_MS),
+        millis(OWNER_WAIT_MS),
+        millis(REQUEST_TIMEOUT_MS),
+        REQUEST_QUEUE_CAPACITY);
   }
 
   /** The same for a system that withstands the loss of so many core machines at once. */
@@ -109,10 +109,10 @@
         replaceUnheardAfter,
         removeAfter,
         2 * machines + 1,
-        foundingHold,
-        orderHold,
-        orderTimeout,
-        orderQueue);
+        bootstrapWait,
+        ownerWait,
+        requestTimeout,
+        requestQueueCapacity);
   }
 
   private static long millis(long value) {
--- a/control/src/main/java/nettletrail/control/shard/VersionStamp.java
+++ b/control/src/main/java/nettletrail/control/shard/VersionStamp.java
@@ -1,19 +1,19 @@
 package nettletrail.control.shard;
 
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
 /**
  * What orders the versions of one shard: the ballot under which a version was written, then its
  * sequence number.
  *
- * @param ballot the owner's ballot
+ * @param proposal the owner's ballot
  * @param sequence counts the values of the register, from 0
  */
-record VersionStamp(Ballot ballot, long sequence) implements Comparable<VersionStamp> {
+record VersionStamp(ProposalNumber proposal, long sequence) implements Comparable<VersionStamp> {
 
   static VersionStamp of(ShardVersion version) {
-    return new VersionStamp(version.getBallot(), version.getSequence());
+    return new VersionStamp(version.getProposal(), version.getSequence());
   }
 
   /** Compares two versions; null is below all. */
@@ -26,7 +26,7 @@
 
   @Override
   public int compareTo(VersionStamp other) {
-    int byBallot = Ballots.compare(ballot, other.ballot);
-    return byBallot != 0 ? byBallot : Long.compare(sequence, other.sequence);
+    int byProposal = ProposalNumbers.compare(proposal, other.proposal);
+    return byProposal != 0 ? byProposal : Long.compare(sequence, other.sequence);
   }
 }
--- a/control/src/test/java/nettletrail/control/ControlFleet.java
+++ b/control/src/test/java/nettletrail/control/ControlFleet.java
@@ -25,7 +25,7 @@
  * set by the test.
  */
 final class ControlFleet extends VirtualClock {
-  static final long BEAT_MS = 1_200;
+  static final long HEARTBEAT_MS = 1_200;
   static final long REVOKE_MS = 5_000;
   static final long IN_FORCE_MS = 2_000;
   static final GrantTerms TERMS = new GrantTerms(8, 0.1, 190_000, GrantTerms.USUAL_VALID_MS);
@@ -41,7 +41,7 @@
   /** How many messages doors sent, by their kind. */
   final Map<String, Integer> messagesOfDoors = new TreeMap<>();
 
-  private final LifeNumbers lives = new LifeNumbers();
+  private final IncarnationNumbers incarnations = new IncarnationNumbers();
   private long calls;
   long shortestDelay = MILLIS;
   long longestDelay = 2 * MILLIS;
@@ -49,7 +49,7 @@
   /** One core process. */
   final class Core extends SimulatedOwnership {
     CoreRegistry registry;
-    long life;
+    long incarnation;
     boolean running = true;
     boolean confirming;
 
@@ -60,22 +60,24 @@
 
     void start() {
       running = true;
-      life = lives.next();
+      incarnation = incarnations.next();
       registry =
           new CoreRegistry(
-              new CoreRegistrySettings(address, "zone", life, BEAT_MS, terms), this, now);
-      schedule(random.nextInt(50) * MILLIS, () -> tick(life));
+              new CoreRegistrySettings(address, "zone", incarnation, HEARTBEAT_MS, terms),
+              this,
+              now);
+      schedule(random.nextInt(50) * MILLIS, () -> tick(incarnation));
     }
 
-    private void tick(long ofLife) {
-      if (!running || life != ofLife) {
+    private void tick(long ofIncarnation) {
+      if (!running || incarnation != ofIncarnation) {
         return;
       }
       if (confirming) {
         confirmedAt = OptionalLong.of(now - 20 * MILLIS);
       }
       perform(this, registry.tick(now));
-      schedule(TICK, () -> tick(ofLife));
+      schedule(TICK, () -> tick(ofIncarnation));
     }
   }
 
@@ -85,7 +87,7 @@
     final List<Long> configurations = new ArrayList<>();
     final Set<String> dialled = new TreeSet<>();
     DoorControl control;
-    long life;
+    long incarnation;
     boolean running = true;
     Runnable afterMessage = () -> {};
     private boolean pollScheduled;
@@ -97,29 +99,29 @@
 
     void start() {
       running = true;
-      life = lives.next();
+      incarnation = incarnations.next();
       dialled.clear();
       control =
           new DoorControl(
               new DoorControlSettings(
                   name,
                   "zone",
-                  life,
+                  incarnation,
                   REVOKE_MS,
                   IN_FORCE_MS,
                   List.of(cores.keySet().iterator().next())),
               now);
       control.grants().limits(currentLimits);
-      schedule(random.nextInt(50) * MILLIS, () -> tick(life));
+      schedule(random.nextInt(50) * MILLIS, () -> tick(incarnation));
     }
 
-    private void tick(long ofLife) {
-      if (!running || life != ofLife) {
+    private void tick(long ofIncarnation) {
+      if (!running || incarnation != ofIncarnation) {
         return;
       }
       perform(this, control.tick(now));
       afterMessage.run();
-      schedule(TICK, () -> tick(ofLife));
+      schedule(TICK, () -> tick(ofIncarnation));
     }
 
     /** Takes quota as the data plane does. */
@@ -139,12 +141,12 @@
         return;
       }
       pollScheduled = true;
-      long ofLife = life;
+      long ofIncarnation = incarnation;
       ControlFleet.this.schedule(
           delay.getAsLong(),
           () -> {
             pollScheduled = false;
-            if (running && life == ofLife) {
+            if (running && incarnation == ofIncarnation) {
               perform(this, control.poll(now));
               schedulePoll();
             }
@@ -381,18 +383,18 @@
     long span = Math.max(1, longestDelay - shortestDelay);
     long delay = shortestDelay + (long) (random.nextDouble() * span);
     long at = arrivals.next(from, to, now + delay);
-    long targetLife = life(to);
+    long targetIncarnation = incarnation(to);
     schedule(
         at - now,
         () -> {
-          if (links.contains(link) && running(to) && life(to) == targetLife) {
+          if (links.contains(link) && running(to) && incarnation(to) == targetIncarnation) {
             deliver(from, to, message);
           }
         });
   }
 
-  private long life(String name) {
-    return cores.get(name) != null ? cores.get(name).life : doors.get(name).life;
+  private long incarnation(String name) {
+    return cores.get(name) != null ? cores.get(name).incarnation : doors.get(name).incarnation;
   }
 
   private void deliver(String from, String to, SpecificRecord message) {
--- a/control/src/test/java/nettletrail/control/LifeNumbers.java
+++ b/control/src/test/java/nettletrail/control/IncarnationNumbers.java
@@ -1,7 +1,7 @@
 package nettletrail.control;
 
 /** Numbers of processes' lives, far apart as they are when they are drawn at random. */
-final class LifeNumbers {
+final class IncarnationNumbers {
   private static final long APART = 1_000_000;
 
   private long last;
--- a/control/src/test/java/nettletrail/control/QuotaStoriesTest.java
+++ b/control/src/test/java/nettletrail/control/QuotaStoriesTest.java
@@ -175,13 +175,13 @@
     traffic.returnedPart = random.nextDouble() * 0.3;
     long unit = Math.max(1, rate / 20);
     long[] sizes = {Math.max(1, unit / 10), unit, 5 * unit};
-    int most = 1 + random.nextInt(2_000);
+    int max = 1 + random.nextInt(2_000);
     for (int step = 0; step < 40; step++) {
       if (random.nextInt(3) == 0) {
         pressFor(random.nextInt(10_000), traffic, doors, sizes);
       }
       disturb(fleet, random, doors);
-      fleet.run(random.nextInt(most));
+      fleet.run(random.nextInt(max));
     }
     fleet.run(2_000);
     double worst = traffic.worstWindow(terms, limit);
--- a/control/src/test/java/nettletrail/control/QuotaTraffic.java
+++ b/control/src/test/java/nettletrail/control/QuotaTraffic.java
@@ -145,14 +145,14 @@
   private void used(int door, long tokens) {
     Use use = new Use(fleet.now, tokens);
     uses.add(use);
-    long life = fleet.door(door).life;
+    long incarnation = fleet.door(door).incarnation;
     if (random.nextDouble() < returnedPart) {
       use.tokens = 0;
       fleet.schedule(
           random.nextInt(400) * ControlFleet.MILLIS,
           () -> {
-            if (fleet.door(door).running && fleet.door(door).life == life) {
-              fleet.door(door).control.grants().giveBack(tenant, tokens);
+            if (fleet.door(door).running && fleet.door(door).incarnation == incarnation) {
+              fleet.door(door).control.grants().refund(tenant, tokens);
             }
           });
     }
--- a/control/src/test/java/nettletrail/control/RegistryPropertyTest.java
+++ b/control/src/test/java/nettletrail/control/RegistryPropertyTest.java
@@ -16,7 +16,7 @@
 
 /** Backends come, close and go while core processes and doors are cut off, killed and started. */
 class RegistryPropertyTest {
-  private static final long BEAT = ControlFleet.BEAT_MS * ControlFleet.MILLIS;
+  private static final long HEARTBEAT = ControlFleet.HEARTBEAT_MS * ControlFleet.MILLIS;
   private static final int CORES = 3;
 
   /**
@@ -80,7 +80,7 @@
     Caller caller = new Caller("stays", 0);
     caller.stays = true;
     callers.put(caller.id, caller);
-    beat(caller);
+    heartbeat(caller);
   }
 
   private void disturb(int doors, Faults faults) {
@@ -147,7 +147,7 @@
     if (choice <= 1) {
       Caller caller = new Caller("b" + step, random.nextInt(CORES));
       callers.put(caller.id, caller);
-      beat(caller);
+      heartbeat(caller);
     } else if (choice == 2 && !live.isEmpty()) {
       live.get(random.nextInt(live.size())).crashed = true;
     } else if (choice == 3 && !live.isEmpty()) {
@@ -163,7 +163,7 @@
    * Calls now and at each beat; moves on to the next core process when one doesn't answer within a
    * second.
    */
-  private void beat(Caller caller) {
+  private void heartbeat(Caller caller) {
     if (caller.crashed || caller.state == BackendState.GONE && caller.acknowledged) {
       return;
     }
@@ -179,7 +179,7 @@
     } else {
       caller.core = (core + 1) % CORES;
     }
-    fleet.schedule(BEAT, () -> beat(caller));
+    fleet.schedule(HEARTBEAT, () -> heartbeat(caller));
   }
 
   /** A call may arrive seconds after it was sent, when others have overtaken it. */
--- a/control/src/test/java/nettletrail/control/RegistryStoriesTest.java
+++ b/control/src/test/java/nettletrail/control/RegistryStoriesTest.java
@@ -85,7 +85,7 @@
 
   @Test
   void givenDoorsThatReadAFormerFeedFurtherWhenABackendClosesAtTheRestartedCoreThenTheyDontCount() {
-    beat(4_000, List.of("a", "b"));
+    heartbeat(4_000, List.of("a", "b"));
     changeOften("a", 20);
     fleet.kill("core-0");
     fleet.run(500);
@@ -101,7 +101,7 @@
 
   @Test
   void givenARestartedCoreProcessThatKnowsOneOfItsDoorsWhenABackendClosesThenOneIsNotAll() {
-    beat(4_000, List.of("a", "b"));
+    heartbeat(4_000, List.of("a", "b"));
     fleet.kill("core-0");
     List.of("core-1", "core-2", "door-1", "door-2").forEach(peer -> fleet.cut("core-0", peer));
     fleet.restart("core-0");
@@ -118,7 +118,7 @@
 
   @Test
   void givenRepliesToAFormerLifeOfACoreProcessWhenTheyComeLateThenTheyAcknowledgeNoEnd() {
-    beat(4_000, List.of("a", "b"));
+    heartbeat(4_000, List.of("a", "b"));
     fleet.kill("core-0");
     fleet.restart("core-0");
     fleet.run(1_000);
@@ -133,9 +133,9 @@
 
   @Test
   void givenAClosingBackendThatIsForgottenWhenANewCoreProcessHearsALateCallThenItStaysClosing() {
-    beat(4_000, List.of("a", "b", "c"));
+    heartbeat(4_000, List.of("a", "b", "c"));
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
-    beat(8_000, List.of("a", "c"));
+    heartbeat(8_000, List.of("a", "c"));
     assertEquals(List.of("a", "c"), ids(0));
     fleet.kill("core-2");
     fleet.restart("core-2");
@@ -180,27 +180,27 @@
 
   @Test
   void givenASilentBackendAmongOthersWhenItIsExpiredThenDoorsDropItAndItMayComeBack() {
-    beat(8_000, List.of("a", "b", "c"));
+    heartbeat(8_000, List.of("a", "b", "c"));
     assertEquals(List.of("a", "b", "c"), ids(0));
-    beat(8_000, List.of("a", "b"));
+    heartbeat(8_000, List.of("a", "b"));
     assertEquals(List.of("a", "b"), ids(0));
     assertEquals(List.of("a", "b"), ids(2));
-    beat(2_000, List.of("a", "b", "c"));
+    heartbeat(2_000, List.of("a", "b", "c"));
     assertEquals(List.of("a", "b", "c"), ids(0));
   }
 
   @Test
   void givenAllBackendsUnheardWhenTheCoreIsCutFromThemThenNobodyIsExpired() {
-    beat(8_000, List.of("a", "b", "c"));
+    heartbeat(8_000, List.of("a", "b", "c"));
     fleet.run(30_000);
     assertEquals(List.of("a", "b", "c"), ids(0));
-    beat(3_000, List.of("a", "b", "c"));
+    heartbeat(3_000, List.of("a", "b", "c"));
     assertEquals(List.of("a", "b", "c"), ids(0));
   }
 
   @Test
   void givenRestartsOfTheWholeCoreWhenDoorsReconnectThenTheyKeepTheirBackends() {
-    beat(4_000, List.of("a", "b"));
+    heartbeat(4_000, List.of("a", "b"));
     for (int core = 0; core < 3; core++) {
       fleet.kill("core-" + core);
     }
@@ -211,13 +211,13 @@
     }
     fleet.run(1_500);
     assertEquals(List.of("a", "b"), ids(1));
-    beat(30_000, List.of("a"));
+    heartbeat(30_000, List.of("a"));
     assertEquals(List.of("a"), ids(1));
   }
 
   @Test
   void givenEndsThatTheWholeCoreLostWhenALateCallComesThenDoorsHaveToldThem() {
-    beat(4_000, List.of("a", "b", "c"));
+    heartbeat(4_000, List.of("a", "b", "c"));
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
     fleet.call(1, "DELETE", ControlFleet.backend("c", BackendState.READY, 50));
     fleet.run(200);
@@ -236,7 +236,7 @@
 
   @Test
   void givenAnEndThatOnlyTwoLostCoreProcessesKnewWhenTheThirdHearsALateCallThenItHolds() {
-    beat(4_000, List.of("a", "b"));
+    heartbeat(4_000, List.of("a", "b"));
     fleet.cut("core-0", "core-1");
     fleet.cut("core-0", "core-2");
     long call = fleet.call(1, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
@@ -253,17 +253,17 @@
 
   @Test
   void givenAnEndThatAllCoreProcessesKnowWhenDoorsFollowThemThenDoorsTellNothing() {
-    beat(4_000, List.of("a", "b"));
+    heartbeat(4_000, List.of("a", "b"));
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
     fleet.run(20);
     fleet.messagesOfDoors.clear();
-    beat(6_000, List.of("a"));
+    heartbeat(6_000, List.of("a"));
     assertEquals(0, fleet.messagesOfDoors.getOrDefault("RegistryUpdate", 0));
   }
 
   @Test
   void givenADoorCutFromOneCoreProcessWhenTheOthersHearThenItFollowsThem() {
-    beat(4_000, List.of("a"));
+    heartbeat(4_000, List.of("a"));
     fleet.cut("core-0", "door-1");
     fleet.call(0, "PUT", ControlFleet.backend("d", BackendState.READY, 1));
     fleet.run(100);
@@ -276,24 +276,24 @@
   @Test
   void givenACommittedConfigurationWhenPushedThenDoorsHaveItOnceConfirmedAndKeysHoldSoLong() {
     fleet.run(1_000);
-    assertFalse(fleet.door(0).control.keysHeld(fleet.now));
+    assertFalse(fleet.door(0).control.keysValid(fleet.now));
     fleet.commit(3, Map.of());
     fleet.run(10);
     assertEquals(List.of(), fleet.door(0).configurations);
     fleet.run(150);
     assertEquals(List.of(3L), fleet.door(0).configurations);
     fleet.run(1_000);
-    assertTrue(fleet.door(0).control.keysHeld(fleet.now));
+    assertTrue(fleet.door(0).control.keysValid(fleet.now));
     fleet.cutOff("door-0");
     fleet.run(4_000);
-    assertTrue(fleet.door(0).control.keysHeld(fleet.now));
+    assertTrue(fleet.door(0).control.keysValid(fleet.now));
     fleet.run(1_000);
-    assertFalse(fleet.door(0).control.keysHeld(fleet.now));
+    assertFalse(fleet.door(0).control.keysValid(fleet.now));
     fleet.commit(4, Map.of());
     fleet.heal();
     fleet.run(1_000);
     assertEquals(List.of(3L, 4L), fleet.door(0).configurations);
-    assertTrue(fleet.door(0).control.keysHeld(fleet.now));
+    assertTrue(fleet.door(0).control.keysValid(fleet.now));
     fleet.commit(5, Map.of());
     fleet.run(10);
     assertEquals(List.of(3L, 4L, 5L), fleet.door(0).configurations);
@@ -314,14 +314,14 @@
   private long callSequence = 1;
 
   /** Lets backends call core processes in turn, as they do. */
-  private void beat(long millis, List<String> ids) {
-    for (long elapsed = 0; elapsed < millis; elapsed += ControlFleet.BEAT_MS) {
+  private void heartbeat(long millis, List<String> ids) {
+    for (long elapsed = 0; elapsed < millis; elapsed += ControlFleet.HEARTBEAT_MS) {
       callSequence++;
       for (String id : ids) {
         int core = (int) (callSequence % 3);
         fleet.call(core, "PUT", ControlFleet.backend(id, BackendState.READY, callSequence));
       }
-      fleet.run(ControlFleet.BEAT_MS);
+      fleet.run(ControlFleet.HEARTBEAT_MS);
     }
   }
 
--- a/control/src/test/java/nettletrail/control/SimulatedOwnership.java
+++ b/control/src/test/java/nettletrail/control/SimulatedOwnership.java
@@ -5,8 +5,8 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.function.Supplier;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 
 /** What a core process's registry is told of the shards in tests: who owns which is set by them. */
 class SimulatedOwnership implements ShardOwnership {
@@ -38,8 +38,8 @@
   }
 
   @Override
-  public Ballot token(int shard) {
-    return new Ballot(owners.get().rounds().get(shard), address);
+  public ProposalNumber token(int shard) {
+    return new ProposalNumber(owners.get().rounds().get(shard), address);
   }
 
   @Override
--- a/control/src/test/java/nettletrail/control/SingleCoreStoriesTest.java
+++ b/control/src/test/java/nettletrail/control/SingleCoreStoriesTest.java
@@ -41,10 +41,10 @@
   @Test
   void givenADoorThatMissedMoreThanTheJournalHoldsWhenItIsBackThenWhatExpiredMeanwhileIsGone() {
     ControlFleet fleet = new ControlFleet(1, 1, 3);
-    beat(fleet, 4_000, List.of("a", "b"));
+    heartbeat(fleet, 4_000, List.of("a", "b"));
     assertEquals(List.of("a", "b"), ids(fleet));
     fleet.cutOff("door-0");
-    beat(fleet, 8_000, List.of("a"));
+    heartbeat(fleet, 8_000, List.of("a"));
     for (int change = 1; change <= MORE_THAN_THE_JOURNAL; change++) {
       callSequence++;
       Backend report = ControlFleet.backend("a", BackendState.READY, callSequence);
@@ -58,13 +58,13 @@
     assertEquals(MORE_THAN_THE_JOURNAL, newest.getSlots());
   }
 
-  private void beat(ControlFleet fleet, long millis, List<String> ids) {
-    for (long elapsed = 0; elapsed < millis; elapsed += ControlFleet.BEAT_MS) {
+  private void heartbeat(ControlFleet fleet, long millis, List<String> ids) {
+    for (long elapsed = 0; elapsed < millis; elapsed += ControlFleet.HEARTBEAT_MS) {
       callSequence++;
       for (String id : ids) {
         fleet.call(0, "PUT", ControlFleet.backend(id, BackendState.READY, callSequence));
       }
-      fleet.run(ControlFleet.BEAT_MS);
+      fleet.run(ControlFleet.HEARTBEAT_MS);
     }
   }
 
--- a/control/src/test/java/nettletrail/control/StatusViewsTest.java
+++ b/control/src/test/java/nettletrail/control/StatusViewsTest.java
@@ -15,9 +15,9 @@
 import nettletrail.control.registry.DoorStatus;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendState;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.DoorHeartbeat;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -26,7 +26,7 @@
   private static final long MILLIS = 1_000_000L;
   private static final long START = 5_000 * MILLIS;
   private static final String ADDRESS = "10.0.0.1:7680";
-  private static final long BEAT_MS = 1_000;
+  private static final long HEARTBEAT_MS = 1_000;
 
   /** The only core process; owns everything. */
   private static final class OnlyCore implements ShardOwnership {
@@ -36,8 +36,8 @@
     }
 
     @Override
-    public Ballot token(int shard) {
-      return new Ballot(1L, ADDRESS);
+    public ProposalNumber token(int shard) {
+      return new ProposalNumber(1L, ADDRESS);
     }
 
     @Override
@@ -71,7 +71,7 @@
   @BeforeEach
   void start() {
     GrantTerms terms = new GrantTerms(8, 0.1, 1_000, GrantTerms.USUAL_VALID_MS);
-    CoreRegistrySettings settings = new CoreRegistrySettings(ADDRESS, "a", 1, BEAT_MS, terms);
+    CoreRegistrySettings settings = new CoreRegistrySettings(ADDRESS, "a", 1, HEARTBEAT_MS, terms);
     registry = new CoreRegistry(settings, new OnlyCore(), START);
   }
 
--- a/control/src/test/java/nettletrail/control/door/ConfigurationSpacingTest.java
+++ b/control/src/test/java/nettletrail/control/door/ConfigurationSpacingTest.java
@@ -79,8 +79,8 @@
     gate.putInForce(TOOK, now);
   }
 
-  private static HeldConfiguration held(long sequence) {
-    return new HeldConfiguration(sequence, sequence, ByteBuffer.allocate(0));
+  private static PendingConfiguration held(long sequence) {
+    return new PendingConfiguration(sequence, sequence, ByteBuffer.allocate(0));
   }
 
   private DoorHeartbeatReply confirmation(long sequence) {
--- a/control/src/test/java/nettletrail/control/door/GrantClientTest.java
+++ b/control/src/test/java/nettletrail/control/door/GrantClientTest.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import nettletrail.control.ShardMap;
 import nettletrail.control.grant.QuotaLimit;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.GrantRequest;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.TenantGrant;
 import org.junit.jupiter.api.Test;
 
@@ -46,7 +46,7 @@
     assertFalse(client.take(TENANT, 90_000, now));
     GrantRequest request = poll();
     assertEquals(90_000, request.getTenants().get(0).getWantedTokens());
-    assertEquals(90_000, request.getTenants().get(0).getLeastTokens());
+    assertEquals(90_000, request.getTenants().get(0).getMinTokens());
     reply(request, 1, 90_000);
     assertEquals(List.of(TENANT), client.takeGrownTenants());
     assertTrue(client.take(TENANT, 90_000, now));
@@ -108,10 +108,10 @@
   void givenTokensGivenBackWhenTheUseWasntReportedThenTheyCanBeTakenAgain() {
     reply(askFor(100), 1, 100);
     assertTrue(client.take(TENANT, 100, now));
-    client.giveBack(TENANT, 100);
+    client.refund(TENANT, 100);
     assertTrue(client.take(TENANT, 100, now));
     GrantRequest renewal = askFor(50);
-    client.giveBack(TENANT, 100);
+    client.refund(TENANT, 100);
     assertEquals(0, client.usable(TENANT, now), "the owner has been told that they are used");
     reply(renewal, 1, 0);
     assertEquals(0, client.usable(TENANT, now));
@@ -124,7 +124,7 @@
     GrantRequest request = askFor(100);
     assertTrue(client.take(TENANT, 40, now));
     reply(request, 2, 10);
-    client.giveBack(TENANT, 40);
+    client.refund(TENANT, 40);
     assertEquals(60, client.usable(TENANT, now));
     after(401);
     assertEquals(10, client.usable(TENANT, now));
@@ -186,7 +186,7 @@
 
   private void reply(GrantRequest request, long round, long tokens) {
     TenantGrant grant = new TenantGrant(TENANT, tokens, 10.0, 2, true);
-    Ballot token = new Ballot(round, "core");
+    ProposalNumber token = new ProposalNumber(round, "core");
     long number = request.getRequest();
     client.received(
         new GrantReply("core", number, SHARD, true, token, 1_000L, List.of(grant)), now);
--- a/control/src/test/java/nettletrail/control/registry/ConfigurationPushTest.java
+++ b/control/src/test/java/nettletrail/control/registry/ConfigurationPushTest.java
@@ -15,13 +15,13 @@
 /** What a core process pushes to a door while configurations follow each other quickly. */
 class ConfigurationPushTest {
   private static final long MILLIS = 1_000_000L;
-  private static final long BEAT_MS = 1_200;
+  private static final long HEARTBEAT_MS = 1_200;
   private static final String DOOR = "door";
   private static final byte[] DOCUMENT = {1};
 
   private long now = 1_000 * MILLIS;
   private final DoorSessions doors =
-      new DoorSessions(new Feed("core", 1), new BackendRegistry(BEAT_MS, now), now);
+      new DoorSessions(new Feed("core", 1), new BackendRegistry(HEARTBEAT_MS, now), now);
   private final List<Long> pushed = new ArrayList<>();
   private final List<ConfigurationChunk> chunks = new ArrayList<>();
 
@@ -79,14 +79,14 @@
     doors.configuration(1, 1, ByteBuffer.wrap(document));
     push();
     commit(2);
-    ByteBuffer whole = ByteBuffer.allocate(document.length);
-    while (whole.hasRemaining()) {
+    ByteBuffer complete = ByteBuffer.allocate(document.length);
+    while (complete.hasRemaining()) {
       ConfigurationChunk last = chunks.get(chunks.size() - 1);
-      assertEquals(whole.position(), last.getOffset());
-      whole.put(last.getContent().duplicate());
-      take(doors.fetched(DOOR, new ConfigurationFetch(DOOR, 1L, whole.position()), now));
+      assertEquals(complete.position(), last.getOffset());
+      complete.put(last.getContent().duplicate());
+      take(doors.fetched(DOOR, new ConfigurationFetch(DOOR, 1L, complete.position()), now));
     }
-    assertArrayEquals(document, whole.array());
+    assertArrayEquals(document, complete.array());
   }
 
   @Test
--- a/control/src/test/java/nettletrail/control/registry/CorePeersTest.java
+++ b/control/src/test/java/nettletrail/control/registry/CorePeersTest.java
@@ -13,14 +13,14 @@
 /** To which update an acknowledgement of another core process belongs. */
 class CorePeersTest {
   private static final String PEER = "10.0.0.2:7000";
-  private static final long FIRST_LIFE = 41;
-  private static final long NEXT_LIFE = 42;
+  private static final long FIRST_INCARNATION = 41;
+  private static final long NEXT_INCARNATION = 42;
 
   @Test
   void givenARestartWhenAnAcknowledgementOfTheFormerLifeComesThenItCoversNothing() {
-    CorePeers former = new CorePeers("self", FIRST_LIFE);
+    CorePeers former = new CorePeers("self", FIRST_INCARNATION);
     RegistryUpdate late = update(former, "b-former", 0);
-    CorePeers next = new CorePeers("self", NEXT_LIFE);
+    CorePeers next = new CorePeers("self", NEXT_INCARNATION);
     RegistryUpdate own = update(next, "b-next", 0);
     assertTrue(next.acknowledged(PEER, reply(late)).isEmpty());
     assertEquals("b-next", next.acknowledged(PEER, reply(own)).get(0).getId());
@@ -28,7 +28,7 @@
 
   @Test
   void givenAPeerThatLeftAndIsBackWhenAnAcknowledgementOfBeforeComesThenItCoversNothing() {
-    CorePeers peers = new CorePeers("self", FIRST_LIFE);
+    CorePeers peers = new CorePeers("self", FIRST_INCARNATION);
     RegistryUpdate late = update(peers, "b-before", 0);
     peers.down(PEER);
     peers.members(List.of());
--- a/control/src/test/java/nettletrail/control/registry/FeedPushTest.java
+++ b/control/src/test/java/nettletrail/control/registry/FeedPushTest.java
@@ -13,11 +13,11 @@
 /** When entries of the feed leave for a door. */
 class FeedPushTest {
   private static final long MILLIS = 1_000_000L;
-  private static final long BEAT_MS = 1_200;
+  private static final long HEARTBEAT_MS = 1_200;
   private static final String DOOR = "door";
 
   private long now = 1_000 * MILLIS;
-  private final BackendRegistry registry = new BackendRegistry(BEAT_MS, now);
+  private final BackendRegistry registry = new BackendRegistry(HEARTBEAT_MS, now);
   private final Feed feed = new Feed("core", 1);
   private final DoorSessions doors = new DoorSessions(feed, registry, now);
   private final List<Integer> entriesOfEachMessage = new ArrayList<>();
--- a/control/src/test/java/nettletrail/control/shard/AcceptorTest.java
+++ b/control/src/test/java/nettletrail/control/shard/AcceptorTest.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.AcceptReply;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.PreVote;
 import nettletrail.protocol.PreVoteReply;
 import nettletrail.protocol.Prepare;
 import nettletrail.protocol.PrepareReply;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.store.StoredShard;
 import org.apache.avro.specific.SpecificRecord;
@@ -39,23 +39,23 @@
     return new Acceptor(0, SELF, SETTINGS, nothing, outbox, promisesFrom);
   }
 
-  private static Ballot ballot(long round, Member member) {
-    return new Ballot(round, member.getId());
+  private static ProposalNumber proposal(long round, Member member) {
+    return new ProposalNumber(round, member.getId());
   }
 
-  private static Accept accept(Ballot ballot, long sequence) {
+  private static Accept accept(ProposalNumber proposal, long sequence) {
     List<Member> group = List.of(SELF, OWNER, CANDIDATE);
     ShardVersion version =
-        new ShardVersion(ballot, sequence, group, ByteBuffer.wrap(new byte[] {1}));
-    return new Accept(0, SELF.getId(), ballot, version);
+        new ShardVersion(proposal, sequence, group, ByteBuffer.wrap(new byte[] {1}));
+    return new Accept(0, SELF.getId(), proposal, version);
   }
 
-  private static Prepare prepare(Ballot ballot) {
-    return new Prepare(0, SELF.getId(), ballot);
+  private static Prepare prepare(ProposalNumber proposal) {
+    return new Prepare(0, SELF.getId(), proposal);
   }
 
-  private static ShardBeat beat(Ballot ballot) {
-    return new ShardBeat(0, SELF.getId(), ballot, 0L);
+  private static ShardHeartbeat heartbeat(ProposalNumber proposal) {
+    return new ShardHeartbeat(0, SELF.getId(), proposal, 0L);
   }
 
   private <T extends SpecificRecord> T onlySent(Class<T> type) {
@@ -77,7 +77,7 @@
   @Test
   void givenPrepare_whenNotYetDurable_thenNoAnswer() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onPrepare("c:1", prepare(ballot(1, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(1, CANDIDATE)), 0);
     long ticket = onlyStored();
     acceptor.onStored(ticket, StoreOutcome.STORED);
     assertTrue(onlySent(PrepareReply.class).getGranted());
@@ -86,7 +86,7 @@
   @Test
   void givenPrepare_whenStorageFails_thenRefused() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onPrepare("c:1", prepare(ballot(1, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(1, CANDIDATE)), 0);
     acceptor.onStored(onlyStored(), StoreOutcome.failed("full"));
     assertFalse(onlySent(PrepareReply.class).getGranted());
   }
@@ -94,31 +94,31 @@
   @Test
   void givenPromise_whenAcceptOfALowerBallotComes_thenRefused() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onPrepare("c:1", prepare(ballot(5, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
     outbox.drain();
-    acceptor.onAccept("b:1", accept(ballot(4, OWNER), 1));
+    acceptor.onAccept("b:1", accept(proposal(4, OWNER), 1));
     AcceptReply reply = onlySent(AcceptReply.class);
     assertFalse(reply.getAccepted());
-    assertEquals(ballot(5, CANDIDATE), reply.getPromised());
+    assertEquals(proposal(5, CANDIDATE), reply.getPromised());
   }
 
   @Test
   void givenPromise_whenPreparedWithTheSameBallot_thenRefused() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onPrepare("c:1", prepare(ballot(5, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
     outbox.drain();
-    acceptor.onPrepare("c:1", prepare(ballot(5, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
     assertFalse(onlySent(PrepareReply.class).getGranted());
   }
 
   @Test
   void givenJustStarted_whenPrepared_thenNoPromiseForAWholeLease() {
     Acceptor acceptor = acceptor(LEASE);
-    acceptor.onPrepare("c:1", prepare(ballot(1, CANDIDATE)), LEASE - 1);
+    acceptor.onPrepare("c:1", prepare(proposal(1, CANDIDATE)), LEASE - 1);
     assertFalse(onlySent(PrepareReply.class).getGranted());
-    acceptor.onPreVote("c:1", new PreVote(0, SELF.getId(), ballot(1, CANDIDATE)), LEASE - 1);
+    acceptor.onPreVote("c:1", new PreVote(0, SELF.getId(), proposal(1, CANDIDATE)), LEASE - 1);
     assertFalse(onlySent(PreVoteReply.class).getGranted());
-    acceptor.onPrepare("c:1", prepare(ballot(1, CANDIDATE)), LEASE);
+    acceptor.onPrepare("c:1", prepare(proposal(1, CANDIDATE)), LEASE);
     acceptor.onStored(onlyStored(), StoreOutcome.STORED);
     assertTrue(onlySent(PrepareReply.class).getGranted());
   }
@@ -126,54 +126,54 @@
   @Test
   void givenLease_whenAnotherPrepares_thenRefusedUntilItEnds() {
     Acceptor acceptor = acceptor(0);
-    assertTrue(acceptor.onBeat(beat(ballot(1, OWNER)), 100).getGranted());
-    acceptor.onPrepare("c:1", prepare(ballot(2, CANDIDATE)), 99 + LEASE);
+    assertTrue(acceptor.onHeartbeat(heartbeat(proposal(1, OWNER)), 100).getGranted());
+    acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 99 + LEASE);
     assertFalse(onlySent(PrepareReply.class).getGranted());
-    acceptor.onPrepare("c:1", prepare(ballot(2, CANDIDATE)), 100 + LEASE);
+    acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 100 + LEASE);
     onlyStored();
   }
 
   @Test
   void givenLease_whenItsHolderPreparesAnew_thenGranted() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onBeat(beat(ballot(1, OWNER)), 100);
-    acceptor.onPrepare("b:1", prepare(ballot(2, OWNER)), 200);
+    acceptor.onHeartbeat(heartbeat(proposal(1, OWNER)), 100);
+    acceptor.onPrepare("b:1", prepare(proposal(2, OWNER)), 200);
     onlyStored();
   }
 
   @Test
   void givenLease_whenItsHolderReleasesIt_thenAnotherMayPrepare() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onBeat(beat(ballot(1, OWNER)), 100);
-    assertTrue(acceptor.onRelease(ballot(1, OWNER), 200));
-    acceptor.onPrepare("c:1", prepare(ballot(2, CANDIDATE)), 200);
+    acceptor.onHeartbeat(heartbeat(proposal(1, OWNER)), 100);
+    assertTrue(acceptor.onRelease(proposal(1, OWNER), 200));
+    acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 200);
     onlyStored();
   }
 
   @Test
   void givenLaterLeaseOfTheSameNode_whenALateReleaseComes_thenTheLeaseStays() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onBeat(beat(ballot(3, OWNER)), 100);
-    assertFalse(acceptor.onRelease(ballot(1, OWNER), 200));
-    acceptor.onPrepare("c:1", prepare(ballot(4, CANDIDATE)), 200);
+    acceptor.onHeartbeat(heartbeat(proposal(3, OWNER)), 100);
+    assertFalse(acceptor.onRelease(proposal(1, OWNER), 200));
+    acceptor.onPrepare("c:1", prepare(proposal(4, CANDIDATE)), 200);
     assertFalse(onlySent(PrepareReply.class).getGranted());
   }
 
   @Test
   void givenJustStarted_whenALeaseIsReleased_thenStillNoPromiseForAWholeLease() {
     Acceptor acceptor = acceptor(LEASE);
-    acceptor.onBeat(beat(ballot(1, OWNER)), 100);
-    acceptor.onRelease(ballot(1, OWNER), 200);
-    acceptor.onPrepare("c:1", prepare(ballot(2, CANDIDATE)), 300);
+    acceptor.onHeartbeat(heartbeat(proposal(1, OWNER)), 100);
+    acceptor.onRelease(proposal(1, OWNER), 200);
+    acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 300);
     assertFalse(onlySent(PrepareReply.class).getGranted());
   }
 
   @Test
   void givenPromiseUnderWay_whenAnOlderOwnerBeats_thenNoLease() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onPrepare("c:1", prepare(ballot(5, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
     outbox.drain();
-    ShardBeatReply reply = acceptor.onBeat(beat(ballot(4, OWNER)), 1);
+    ShardHeartbeatReply reply = acceptor.onHeartbeat(heartbeat(proposal(4, OWNER)), 1);
     assertFalse(reply.getGranted());
     assertFalse(acceptor.boundToOther(CANDIDATE.getId(), 1));
   }
@@ -181,9 +181,9 @@
   @Test
   void givenVersionBeingStored_whenPrepared_thenThePromiseNamesIt() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onAccept("b:1", accept(ballot(1, OWNER), 3));
+    acceptor.onAccept("b:1", accept(proposal(1, OWNER), 3));
     long storingVersion = onlyStored();
-    acceptor.onPrepare("c:1", prepare(ballot(2, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 0);
     assertTrue(outbox.drain().isEmpty());
     acceptor.onStored(storingVersion, StoreOutcome.STORED);
     List<CoreAction> actions = outbox.drain();
@@ -198,10 +198,10 @@
   @Test
   void givenVersionThatFailedToStore_whenPrepared_thenItIsNotNamed() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onAccept("b:1", accept(ballot(1, OWNER), 3));
+    acceptor.onAccept("b:1", accept(proposal(1, OWNER), 3));
     acceptor.onStored(onlyStored(), StoreOutcome.failed("full"));
     assertEquals("full", onlySent(AcceptReply.class).getFailure());
-    acceptor.onPrepare("c:1", prepare(ballot(2, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 0);
     acceptor.onStored(onlyStored(), StoreOutcome.STORED);
     assertNull(onlySent(PrepareReply.class).getAccepted());
   }
@@ -209,9 +209,9 @@
   @Test
   void givenPromiseOvertakenWhileStored_whenDurable_thenRefused() {
     Acceptor acceptor = acceptor(0);
-    acceptor.onPrepare("c:1", prepare(ballot(2, CANDIDATE)), 0);
+    acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 0);
     long ticket = onlyStored();
-    acceptor.onAccept("b:1", accept(ballot(3, OWNER), 1));
+    acceptor.onAccept("b:1", accept(proposal(3, OWNER), 1));
     assertTrue(outbox.drain().isEmpty());
     acceptor.onStored(ticket, StoreOutcome.STORED);
     CoreAction.Send send = assertInstanceOf(CoreAction.Send.class, outbox.drain().get(0));
@@ -222,7 +222,7 @@
   void givenStalledStorage_whenManyVersionsCome_thenOnlyTheNewestWaits() {
     Acceptor acceptor = acceptor(0);
     for (long sequence = 1; sequence <= 100; sequence++) {
-      acceptor.onAccept("b:1", accept(ballot(1, OWNER), sequence));
+      acceptor.onAccept("b:1", accept(proposal(1, OWNER), sequence));
     }
     acceptor.onStored(onlyStored(), StoreOutcome.STORED);
     List<CoreAction> actions = outbox.drain();
@@ -232,11 +232,11 @@
 
   @Test
   void givenStoredState_whenRestarted_thenPromiseIsTheHigherOfFileAndVersion() {
-    ShardVersion version = accept(ballot(7, OWNER), 3).getVersion();
-    StoredShard stored = new StoredShard(ballot(4, CANDIDATE), version, List.of());
+    ShardVersion version = accept(proposal(7, OWNER), 3).getVersion();
+    StoredShard stored = new StoredShard(proposal(4, CANDIDATE), version, List.of());
     Acceptor acceptor = new Acceptor(0, SELF, SETTINGS, stored, outbox, 0);
-    assertEquals(ballot(7, OWNER), acceptor.promised());
-    acceptor.onPrepare("c:1", prepare(ballot(6, CANDIDATE)), 0);
+    assertEquals(proposal(7, OWNER), acceptor.promised());
+    acceptor.onPrepare("c:1", prepare(proposal(6, CANDIDATE)), 0);
     assertFalse(onlySent(PrepareReply.class).getGranted());
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
@@ -168,7 +168,8 @@
     stale.start(cluster.seeds(), false);
     String staleId = stale.disk.identity.getId();
     cluster.lose(
-        message -> message instanceof PreVote vote && !vote.getBallot().getNode().equals(staleId));
+        message ->
+            message instanceof PreVote vote && !vote.getProposal().getNode().equals(staleId));
     assertEquals(stale, operator.awaitOwner());
     assertEquals(100, stale.announced.edition());
     assertEquals("100 small", operator.read(stale));
--- a/control/src/test/java/nettletrail/control/shard/CoreShardsTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CoreShardsTest.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.AcceptReply;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.OwnerHeartbeat;
 import nettletrail.protocol.PreVote;
 import nettletrail.protocol.Prepare;
-import nettletrail.protocol.ShardBeat;
+import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.ShardHeartbeat;
 import nettletrail.protocol.ShardVersion;
 import org.apache.avro.specific.SpecificRecord;
 import org.junit.jupiter.api.Test;
@@ -28,9 +28,9 @@
 /** The basic flows of a core of three machines. */
 class CoreShardsTest {
 
-  private static CoreAction.AnswerOrder callAndWait(
+  private static CoreAction.AnswerOperator callAndWait(
       SimulatedCluster cluster, SimulatedCore core, String method, String ifMatch, String body) {
-    AtomicReference<CoreAction.AnswerOrder> answer = new AtomicReference<>();
+    AtomicReference<CoreAction.AnswerOperator> answer = new AtomicReference<>();
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     cluster.call(core, method, ifMatch, bytes, answer::set);
     cluster.runUntil(() -> answer.get() != null, millis(1500));
@@ -42,13 +42,13 @@
   }
 
   private static String read(SimulatedCluster cluster, int core) {
-    CoreAction.AnswerOrder answer = callAndWait(cluster, cluster.core(core), "GET", "", "");
+    CoreAction.AnswerOperator answer = callAndWait(cluster, cluster.core(core), "GET", "", "");
     return answer.status() == 200 ? ClusterInvariants.text(answer.body()) : "" + answer.status();
   }
 
   private static SimulatedCluster settled(long seed) {
     SimulatedCluster cluster = SimulatedCluster.started(seed, 3);
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, millis(5000)));
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(5000)));
     cluster.runFor(millis(300));
     return cluster;
   }
@@ -151,8 +151,8 @@
   void givenTwoOrdersOnTheSameEdition_whenSentAtOnce_thenOneWins() {
     for (long seed = 1; seed <= 30; seed++) {
       SimulatedCluster cluster = settled(seed);
-      AtomicReference<CoreAction.AnswerOrder> one = new AtomicReference<>();
-      AtomicReference<CoreAction.AnswerOrder> other = new AtomicReference<>();
+      AtomicReference<CoreAction.AnswerOperator> one = new AtomicReference<>();
+      AtomicReference<CoreAction.AnswerOperator> other = new AtomicReference<>();
       cluster.call(cluster.core(0), "PUT", "0", "1 one".getBytes(StandardCharsets.UTF_8), one::set);
       cluster.call(
           cluster.core(1), "PUT", "0", "1 other".getBytes(StandardCharsets.UTF_8), other::set);
@@ -228,7 +228,7 @@
     lost.loseDisk();
     cluster.runFor(millis(500));
     lost.start(cluster.seeds(), false);
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, millis(4000)));
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(4000)));
     assertNotEquals(formerId, lost.disk.identity.getId());
     cluster.runFor(millis(1000));
     assertEquals(3, lost.announced.edition());
@@ -243,7 +243,7 @@
     owner.loseDisk();
     cluster.runFor(millis(500));
     cluster.cores().forEach(core -> core.start(cluster.seeds(), false));
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, millis(6000)));
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(6000)));
     assertEquals("3 first", read(cluster, indexOf(cluster, owner)));
   }
 
@@ -255,7 +255,7 @@
     removed.crash();
     SimulatedCore added = cluster.addCore();
     added.start(cluster.seeds(), false);
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, millis(4000)));
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(4000)));
     cluster.runFor(millis(1000));
     assertEquals(3, added.announced.edition());
     assertEquals(3, added.shards.members().size());
@@ -266,10 +266,10 @@
     SimulatedCluster cluster = settled(14);
     SimulatedCore added = cluster.addCore();
     added.start(cluster.seeds(), false);
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, millis(4000)));
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(4000)));
     assertEquals(4, added.shards.members().size());
     cluster.core(1).crash();
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, millis(6000)));
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(6000)));
     assertEquals(3, added.shards.members().size());
   }
 
@@ -327,17 +327,18 @@
   void givenFreshIdentity_whenMessagesForTheFormerOneCome_thenNoAnswer() {
     SimulatedCluster cluster = settled(18);
     SimulatedCore core = cluster.core(0);
-    Ballot ballot = new Ballot(1000L, cluster.core(1).disk.identity.getId());
+    ProposalNumber proposal = new ProposalNumber(1000L, cluster.core(1).disk.identity.getId());
     String former = core.address + "#former";
     ShardVersion version =
-        new ShardVersion(ballot, 1L, core.shards.members(), ByteBuffer.allocate(0));
+        new ShardVersion(proposal, 1L, core.shards.members(), ByteBuffer.allocate(0));
     OwnerHeartbeat heartbeat =
-        new OwnerHeartbeat(ballot.getNode(), 0L, List.of(new ShardBeat(0, former, ballot, 0L)));
+        new OwnerHeartbeat(
+            proposal.getNode(), 0L, List.of(new ShardHeartbeat(0, former, proposal, 0L)));
     List<SpecificRecord> messages =
         List.of(
-            new PreVote(0, former, ballot),
-            new Prepare(0, former, ballot),
-            new Accept(0, former, ballot, version),
+            new PreVote(0, former, proposal),
+            new Prepare(0, former, proposal),
+            new Accept(0, former, proposal, version),
             heartbeat);
     for (SpecificRecord message : messages) {
       assertEquals(
--- a/control/src/test/java/nettletrail/control/shard/ExploredShard.java
+++ b/control/src/test/java/nettletrail/control/shard/ExploredShard.java
@@ -16,8 +16,8 @@
 import nettletrail.protocol.PreVoteReply;
 import nettletrail.protocol.Prepare;
 import nettletrail.protocol.PrepareReply;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.store.StoredShard;
 import org.apache.avro.specific.SpecificRecord;
@@ -36,7 +36,8 @@
   private static final ShardSettings SETTINGS = ShardSettings.defaults();
 
   /** Something that will happen: a message that arrives, or a storage operation that ends. */
-  private record Pending(int from, int to, int life, SpecificRecord message, CoreAction storage) {}
+  private record Pending(
+      int from, int to, int incarnation, SpecificRecord message, CoreAction storage) {}
 
   /** In place of the number of a replica that is cut off. */
   static final int NOBODY = -1;
@@ -48,7 +49,7 @@
   private final ShardReplica[] replicas = new ShardReplica[REPLICAS];
   private final Outbox[] outboxes = new Outbox[REPLICAS];
   private final SimulatedDisk[] disks = new SimulatedDisk[REPLICAS];
-  private final int[] lives = new int[REPLICAS];
+  private final int[] incarnations = new int[REPLICAS];
   private final boolean[] wrote = new boolean[REPLICAS];
   private final List<Pending> pending = new ArrayList<>();
   private final Map<Long, String> committed = new TreeMap<>();
@@ -61,7 +62,8 @@
     for (int index = 0; index < REPLICAS; index++) {
       members.add(new Member("n" + index + "#0", "n" + index));
     }
-    ShardVersion initial = new ShardVersion(Ballots.ZERO, 0L, members, ByteBuffer.allocate(0));
+    ShardVersion initial =
+        new ShardVersion(ProposalNumbers.ZERO, 0L, members, ByteBuffer.allocate(0));
     for (int index = 0; index < REPLICAS; index++) {
       disks[index] = new SimulatedDisk();
       disks[index].apply(new CoreAction.StoreVersion(0, SHARD, initial));
@@ -94,7 +96,7 @@
             outboxes[index],
             new SplittableRandom(index),
             promisesFrom);
-    lives[index]++;
+    incarnations[index]++;
   }
 
   private void passTime() {
@@ -102,7 +104,7 @@
     for (int index = 0; index < REPLICAS; index++) {
       wrote[index] = false;
       replicas[index].tick(now);
-      beat(index);
+      heartbeat(index);
       collect(index);
     }
   }
@@ -126,7 +128,7 @@
 
   /** A message is lost; a storage operation fails without effect. */
   private void lose(Pending lost) {
-    if (lost.storage() != null && lives[lost.to()] == lost.life()) {
+    if (lost.storage() != null && incarnations[lost.to()] == lost.incarnation()) {
       replicas[lost.to()].onStored(ticket(lost.storage()), StoreOutcome.failed("lost"));
       afterEvent(lost.to());
     }
@@ -140,7 +142,7 @@
   private void perform(Pending next) {
     int index = next.to();
     if (next.storage() != null) {
-      if (lives[index] == next.life()) {
+      if (incarnations[index] == next.incarnation()) {
         disks[index].apply(next.storage());
         replicas[index].onStored(ticket(next.storage()), StoreOutcome.STORED);
       }
@@ -171,13 +173,13 @@
     } else if (message instanceof OwnerHeartbeat heartbeat) {
       answerHeartbeat(from, replica, heartbeat);
     } else if (message instanceof OwnerHeartbeatReply reply) {
-      replica.onBeatReply(reply.getSender(), reply.getSentAt(), reply.getShards().get(0), now);
+      replica.onHeartbeatReply(reply.getSender(), reply.getSentAt(), reply.getShards().get(0), now);
     }
   }
 
   private void answerHeartbeat(Member owner, ShardReplica replica, OwnerHeartbeat heartbeat) {
     int index = List.of(replicas).indexOf(replica);
-    ShardBeatReply reply = replica.onBeat(heartbeat.getShards().get(0), now);
+    ShardHeartbeatReply reply = replica.onHeartbeat(heartbeat.getShards().get(0), now);
     if (reply != null) {
       String sender = members.get(index).getId();
       outboxes[index].send(
@@ -189,7 +191,7 @@
   private void afterEvent(int index) {
     write(index);
     if (replicas[index].takeHeartbeatRequest()) {
-      beat(index);
+      heartbeat(index);
     }
     collect(index);
   }
@@ -202,26 +204,26 @@
     }
   }
 
-  private void beat(int index) {
+  private void heartbeat(int index) {
     for (Member member : replicas[index].heartbeatTargets()) {
-      List<ShardBeat> beats = List.of(replicas[index].beat(member));
+      List<ShardHeartbeat> heartbeats = List.of(replicas[index].heartbeat(member));
       String sender = members.get(index).getId();
-      outboxes[index].send(member.getAddress(), new OwnerHeartbeat(sender, now, beats));
+      outboxes[index].send(member.getAddress(), new OwnerHeartbeat(sender, now, heartbeats));
     }
   }
 
   private void collect(int index) {
     Outbox.Loopback own = outboxes[index].pollLoopback();
     while (own != null) {
-      pending.add(new Pending(index, index, lives[index], own.message(), null));
+      pending.add(new Pending(index, index, incarnations[index], own.message(), null));
       own = outboxes[index].pollLoopback();
     }
     for (CoreAction action : outboxes[index].drain()) {
       if (action instanceof CoreAction.Send send) {
         int to = Integer.parseInt(send.address().substring(1));
-        pending.add(new Pending(index, to, lives[to], send.message(), null));
+        pending.add(new Pending(index, to, incarnations[to], send.message(), null));
       } else {
-        pending.add(new Pending(index, index, lives[index], null, action));
+        pending.add(new Pending(index, index, incarnations[index], null, action));
       }
     }
   }
--- a/control/src/test/java/nettletrail/control/shard/FailoverTimeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/FailoverTimeTest.java
@@ -33,7 +33,7 @@
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = SimulatedCluster.started(seed, 3);
       cluster.maximumDelay = millis(30);
-      assertTrue(cluster.runUntil(cluster::groupIsWhole, GIVE_UP));
+      assertTrue(cluster.runUntil(cluster::groupIsComplete, GIVE_UP));
       cluster.runFor(millis(1000) + cluster.random().nextInt((int) millis(500)));
       SimulatedCore lost = loss.strike(cluster);
       long before = cluster.now();
@@ -107,7 +107,7 @@
     for (long seed = 1; seed <= 20; seed++) {
       SimulatedCluster cluster = SimulatedCluster.started(seed, 3);
       cluster.maximumDelay = millis(100);
-      assertTrue(cluster.runUntil(cluster::groupIsWhole, GIVE_UP));
+      assertTrue(cluster.runUntil(cluster::groupIsComplete, GIVE_UP));
       cluster.runFor(millis(1000));
       String before = cluster.describe();
       cluster.runFor(millis(60_000));
--- a/control/src/test/java/nettletrail/control/shard/OperatorCalls.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorCalls.java
@@ -22,15 +22,15 @@
   /** A core of that many machines that runs in order. */
   static SimulatedCluster settledCluster(long seed, int size) {
     SimulatedCluster cluster = SimulatedCluster.started(seed, size);
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, millis(5_000)), "no start");
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(5_000)), "no start");
     cluster.runFor(millis(300));
     return cluster;
   }
 
   /** Sends a call and does not wait; the reference takes the answer. */
-  AtomicReference<CoreAction.AnswerOrder> send(
+  AtomicReference<CoreAction.AnswerOperator> send(
       SimulatedCore core, String method, String ifMatch, String body) {
-    AtomicReference<CoreAction.AnswerOrder> answer = new AtomicReference<>();
+    AtomicReference<CoreAction.AnswerOperator> answer = new AtomicReference<>();
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     cluster.call(core, method, ifMatch, bytes, answer::set);
     return answer;
@@ -51,12 +51,12 @@
 
   /** The document that a machine gives out, or the status of its refusal. */
   String read(SimulatedCore core) {
-    CoreAction.AnswerOrder answer = await(send(core, "GET", "", ""));
+    CoreAction.AnswerOperator answer = await(send(core, "GET", "", ""));
     boolean found = answer.status() == OrderReplies.OK;
     return found ? ClusterInvariants.text(answer.body()) : String.valueOf(answer.status());
   }
 
-  CoreAction.AnswerOrder await(AtomicReference<CoreAction.AnswerOrder> answer) {
+  CoreAction.AnswerOperator await(AtomicReference<CoreAction.AnswerOperator> answer) {
     assertTrue(cluster.runUntil(() -> answer.get() != null, LONGEST_CALL), "no answer");
     return answer.get();
   }
--- a/control/src/test/java/nettletrail/control/shard/OrderHistoryTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OrderHistoryTest.java
@@ -59,8 +59,8 @@
 
   @Test
   void givenMoreOrdersThanAreRemembered_whenOneOfTheFirstComesAgain_thenItIsNotSaidToBeNotTaken() {
-    OrderHistory history = historyOf(OrderHistory.MOST_ORDERS + 5);
-    assertEquals(OrderHistory.MOST_ORDERS, history.orders().size());
+    OrderHistory history = historyOf(OrderHistory.MAX_ORDERS + 5);
+    assertEquals(OrderHistory.MAX_ORDERS, history.orders().size());
     assertEquals(Outcome.FORGOTTEN, outcome(history, 0, "order 1"));
     assertEquals(Outcome.FORGOTTEN, outcome(history, 12, "order 5"));
     assertEquals(Outcome.TAKEN, outcome(history, 15, "order 6"));
@@ -70,9 +70,9 @@
   @Test
   void givenWholeDigestOfAnEarlierVersion_whenTheOrderComesAgain_thenItIsTaken()
       throws NoSuchAlgorithmException {
-    MessageDigest whole = MessageDigest.getInstance("SHA-256");
-    whole.update("PUT\n0\nbody".getBytes(StandardCharsets.UTF_8));
-    ByteBuffer stored = ByteBuffer.wrap(whole.digest());
+    MessageDigest complete = MessageDigest.getInstance("SHA-256");
+    complete.update("PUT\n0\nbody".getBytes(StandardCharsets.UTF_8));
+    ByteBuffer stored = ByteBuffer.wrap(complete.digest());
     OrderHistory history = new OrderHistory(List.of(new ConfigurationChange(3L, stored)));
     assertEquals(Outcome.TAKEN, outcome(history, 0, "body"));
     assertEquals(Outcome.NOT_TAKEN, outcome(history, 0, "other"));
@@ -81,9 +81,9 @@
   @Test
   void givenLongDay_whenEncoded_thenTheHistoryStaysSmall() {
     assertTrue(encodedBytes(1_100) <= 22_500, encodedBytes(1_100) + " bytes");
-    assertTrue(encodedBytes(OrderHistory.MOST_ORDERS) <= 84_000);
+    assertTrue(encodedBytes(OrderHistory.MAX_ORDERS) <= 84_000);
     assertEquals(
-        encodedBytes(OrderHistory.MOST_ORDERS), encodedBytes(OrderHistory.MOST_ORDERS + 100), 200);
+        encodedBytes(OrderHistory.MAX_ORDERS), encodedBytes(OrderHistory.MAX_ORDERS + 100), 200);
   }
 
   private static int encodedBytes(int orders) {
--- a/control/src/test/java/nettletrail/control/shard/OrderOutcomeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OrderOutcomeTest.java
@@ -38,10 +38,10 @@
       cluster.isolate(former);
       cluster.runFor(millis(860));
       assertTrue(former.owns(0), "seed " + seed);
-      AtomicReference<CoreAction.AnswerOrder> lost = operator.send(former, "PUT", "3", "5 lost");
+      AtomicReference<CoreAction.AnswerOperator> lost = operator.send(former, "PUT", "3", "5 lost");
       cluster.runUntil(() -> cluster.owner(0) == null, millis(1_000));
       operator.awaitOwner();
-      AtomicReference<CoreAction.AnswerOrder> won = operator.send(follower, "PUT", "3", "4 won");
+      AtomicReference<CoreAction.AnswerOperator> won = operator.send(follower, "PUT", "3", "4 won");
       cluster.runUntil(() -> won.get() != null, millis(300));
       boolean openAtTheFormerOwner = won.get() != null && lost.get() == null;
       cluster.heal();
@@ -84,9 +84,11 @@
   void givenBothOperatorsSendTheSameBytes_whenAtOnce_thenBothHearOfTheOneChange() {
     SimulatedCluster cluster = OperatorCalls.settledCluster(22, 3);
     OperatorCalls operator = new OperatorCalls(cluster);
-    AtomicReference<CoreAction.AnswerOrder> one = operator.send(cluster.core(0), "PUT", "0", "3 a");
-    AtomicReference<CoreAction.AnswerOrder> two = operator.send(cluster.core(1), "PUT", "0", "3 a");
-    for (AtomicReference<CoreAction.AnswerOrder> answer : List.of(one, two)) {
+    AtomicReference<CoreAction.AnswerOperator> one =
+        operator.send(cluster.core(0), "PUT", "0", "3 a");
+    AtomicReference<CoreAction.AnswerOperator> two =
+        operator.send(cluster.core(1), "PUT", "0", "3 a");
+    for (AtomicReference<CoreAction.AnswerOperator> answer : List.of(one, two)) {
       assertEquals(200, operator.await(answer).status());
       assertEquals("3", answer.get().edition());
     }
@@ -113,7 +115,7 @@
     SimulatedCore slow = operator.followers().get(0);
     SimulatedCore fast = operator.followers().get(1);
     slow.frozenUntil = cluster.now() + millis(800);
-    AtomicReference<CoreAction.AnswerOrder> first = operator.send(slow, "PUT", "0", "3 once");
+    AtomicReference<CoreAction.AnswerOperator> first = operator.send(slow, "PUT", "0", "3 once");
     assertEquals(200, operator.put(fast, 0, "3 once"));
     assertEquals(200, operator.put(fast, 3, "5 after it"));
     assertEquals("3", operator.await(first).edition());
@@ -128,7 +130,7 @@
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore other = operator.followers().get(0);
     cluster.lose(message -> message instanceof OrderForwardReply);
-    AtomicReference<CoreAction.AnswerOrder> lost = operator.send(other, "PUT", "0", "3 lost");
+    AtomicReference<CoreAction.AnswerOperator> lost = operator.send(other, "PUT", "0", "3 lost");
     assertTrue(cluster.runUntil(() -> owner.shards.committedSequence() > 0, millis(500)));
     owner.crash();
     cluster.heal();
@@ -160,7 +162,7 @@
     SimulatedCluster cluster = OperatorCalls.settledCluster(27, 3);
     OperatorCalls operator = new OperatorCalls(cluster);
     SimulatedCore owner = operator.awaitOwner();
-    List<AtomicReference<CoreAction.AnswerOrder>> answers = new ArrayList<>();
+    List<AtomicReference<CoreAction.AnswerOperator>> answers = new ArrayList<>();
     answers.add(operator.send(owner, "PUT", "0", "3 first"));
     answers.add(operator.send(owner, "PUT", "0", "3 other"));
     answers.add(operator.send(owner, "PUT", "0", "3 first"));
@@ -181,7 +183,7 @@
     OperatorCalls operator = new OperatorCalls(cluster);
     String text = "x".repeat(100_000);
     for (long edition = 1; edition <= 100; edition++) {
-      List<AtomicReference<CoreAction.AnswerOrder>> answers = new ArrayList<>();
+      List<AtomicReference<CoreAction.AnswerOperator>> answers = new ArrayList<>();
       for (int number = 0; number < 8; number++) {
         String document = edition + " " + number + text;
         String ifMatch = Long.toString(edition - 1);
--- a/control/src/test/java/nettletrail/control/shard/OrderRouterTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OrderRouterTest.java
@@ -26,9 +26,10 @@
     long second = forward(2, OWNER);
     router.onReply(OWNER, OrderReplies.taken(second, EDITION), CoreAction.ALWAYS);
     router.onReply(OWNER, OrderReplies.unavailable(first, ""), CoreAction.ALWAYS);
-    List<CoreAction.AnswerOrder> answers = answers();
-    assertEquals(List.of(2L, 1L), answers.stream().map(CoreAction.AnswerOrder::call).toList());
-    assertEquals(List.of(200, 503), answers.stream().map(CoreAction.AnswerOrder::status).toList());
+    List<CoreAction.AnswerOperator> answers = answers();
+    assertEquals(List.of(2L, 1L), answers.stream().map(CoreAction.AnswerOperator::call).toList());
+    assertEquals(
+        List.of(200, 503), answers.stream().map(CoreAction.AnswerOperator::status).toList());
   }
 
   @Test
@@ -58,7 +59,7 @@
   @Test
   void givenACallThatWasGivenUp_whenItsAnswerComes_thenNobodyGetsIt() {
     long number = forward(1, OWNER);
-    router.tick(OWNER, settings.orderTimeout());
+    router.tick(OWNER, settings.requestTimeout());
     assertEquals(503, answers().get(0).status());
     long next = forward(2, OWNER);
     router.onReply(OWNER, OrderReplies.taken(number, EDITION), CoreAction.ALWAYS);
@@ -91,9 +92,9 @@
     return (OrderForward) send.message();
   }
 
-  private List<CoreAction.AnswerOrder> answers() {
-    List<CoreAction.AnswerOrder> answers = new ArrayList<>();
-    outbox.drain().forEach(action -> answers.add((CoreAction.AnswerOrder) action));
+  private List<CoreAction.AnswerOperator> answers() {
+    List<CoreAction.AnswerOperator> answers = new ArrayList<>();
+    outbox.drain().forEach(action -> answers.add((CoreAction.AnswerOperator) action));
     return answers;
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/OwnerFencingTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OwnerFencingTest.java
@@ -8,9 +8,9 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.OrderForward;
 import nettletrail.protocol.OrderForwardReply;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.protocol.VersionReply;
 import nettletrail.store.NodeIdentity;
@@ -85,7 +85,7 @@
     long stale = owner.put(2, "5 on another edition");
     long invalid = owner.put(3, "1 not above");
     long valid = owner.put(3, "5 next");
-    owner.pass(ShardSettings.defaults().orderTimeout());
+    owner.pass(ShardSettings.defaults().requestTimeout());
     for (long call : List.of(read, stale, invalid, valid)) {
       assertEquals(UNAVAILABLE, owner.status(call));
     }
@@ -98,7 +98,7 @@
     long call = process.get();
     CoreAction.Send forwarded = process.sent.get(process.sent.size() - 1);
     OrderForward order = assertInstanceOf(OrderForward.class, forwarded.message());
-    process.now += ShardSettings.defaults().orderTimeout();
+    process.now += ShardSettings.defaults().requestTimeout();
     process.receive(
         ScriptedOwner.PEER,
         OrderReplies.refused(order.getCall(), PRECONDITION_FAILED, 3, "another edition"));
@@ -120,9 +120,9 @@
   /** The version after the owner's newest committed one, as committed by another owner. */
   private static VersionReply versionOfNewOwner(ScriptedOwner owner, String document) {
     ShardVersion before = owner.stored.get(ScriptedOwner.PEER);
-    Ballot ballot =
-        new Ballot(
-            before.getBallot().getRound() + 1, NodeIdentity.founding(ScriptedOwner.PEER).getId());
+    ProposalNumber proposal =
+        new ProposalNumber(
+            before.getProposal().getTerm() + 1, NodeIdentity.founding(ScriptedOwner.PEER).getId());
     byte[] json = document.getBytes(StandardCharsets.UTF_8);
     OrderForward order = new OrderForward(1L, "PUT", "3", ByteBuffer.wrap(json));
     ConfigurationState state =
@@ -131,7 +131,7 @@
     return new VersionReply(
         CoreShards.CONFIGURATION_SHARD,
         new ShardVersion(
-            ballot,
+            proposal,
             before.getSequence() + 1,
             List.copyOf(before.getMembers()),
             ByteBuffer.wrap(state.encode())));
--- a/control/src/test/java/nettletrail/control/shard/RandomFaults.java
+++ b/control/src/test/java/nettletrail/control/shard/RandomFaults.java
@@ -101,7 +101,7 @@
   }
 
   private void lose(int kind) {
-    if (stopped || !cluster.allRun() || !cluster.groupIsWhole()) {
+    if (stopped || !cluster.allRun() || !cluster.groupIsComplete()) {
       return;
     }
     losses++;
--- a/control/src/test/java/nettletrail/control/shard/RandomFaultsTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RandomFaultsTest.java
@@ -64,7 +64,7 @@
 
   private boolean run(long seed, int size, Contract contract) {
     SimulatedCluster cluster = SimulatedCluster.started(seed, size);
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, RECOVERY_LIMIT), "no start");
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, RECOVERY_LIMIT), "no start");
     SimulatedOperator one = new SimulatedOperator(cluster, "one");
     SimulatedOperator other = new SimulatedOperator(cluster, "other");
     RandomFaults faults = new RandomFaults(cluster, contract == Contract.KEPT);
@@ -91,11 +91,11 @@
 
   private static boolean calm(SimulatedCluster cluster) {
     boolean thawed = cluster.cores().stream().noneMatch(SimulatedCore::frozen);
-    return thawed && cluster.groupIsWhole();
+    return thawed && cluster.groupIsComplete();
   }
 
   private static void readBack(SimulatedCluster cluster, SimulatedCore core) {
-    AtomicReference<CoreAction.AnswerOrder> answer = new AtomicReference<>();
+    AtomicReference<CoreAction.AnswerOperator> answer = new AtomicReference<>();
     cluster.call(core, "GET", "", new byte[0], answer::set);
     assertTrue(cluster.runUntil(() -> answer.get() != null, millis(1500)), "GET silent");
     String document = new String(answer.get().body(), StandardCharsets.UTF_8);
--- a/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
@@ -34,17 +34,17 @@
     SimulatedCluster cluster = SimulatedCluster.started(seed, size);
     cluster.maximumDelay = millis(30);
     assertTrue(cluster.runUntil(cluster::allRun, GIVE_UP));
-    assertTrue(cluster.runUntil(cluster::groupIsWhole, GIVE_UP));
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, GIVE_UP));
     cluster.runFor(millis(1_000) + cluster.random().nextInt((int) millis(500)));
     return cluster;
   }
 
-  private static void assertWholeWithin(String name, int size, long limit, Loss loss) {
+  private static void assertCompleteWithin(String name, int size, long limit, Loss loss) {
     LongSummaryStatistics waits = new LongSummaryStatistics();
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = settled(seed, size);
       long from = loss.strike(cluster);
-      assertTrue(cluster.runUntil(cluster::groupIsWhole, GIVE_UP), cluster::describe);
+      assertTrue(cluster.runUntil(cluster::groupIsComplete, GIVE_UP), cluster::describe);
       waits.accept((cluster.now() - from) / millis(1));
     }
     System.out.printf(
@@ -82,17 +82,18 @@
 
   @Test
   void givenFollowerLosesItsDisk_thenItIsAMemberAgainInTime() {
-    assertWholeWithin("follower wiped", 3, CATCH_UP, cluster -> wipe(cluster, follower(cluster)));
+    assertCompleteWithin(
+        "follower wiped", 3, CATCH_UP, cluster -> wipe(cluster, follower(cluster)));
   }
 
   @Test
   void givenOwnerLosesItsDisk_thenItIsAMemberAgainInTime() {
-    assertWholeWithin("owner wiped", 3, CATCH_UP, cluster -> wipe(cluster, cluster.owner(0)));
+    assertCompleteWithin("owner wiped", 3, CATCH_UP, cluster -> wipe(cluster, cluster.owner(0)));
   }
 
   @Test
   void givenOwnerLosesItsDiskAndTheOthersPower_thenItIsAMemberAgainInTime() {
-    assertWholeWithin(
+    assertCompleteWithin(
         "owner wiped, others without power",
         3,
         CATCH_UP,
@@ -104,18 +105,19 @@
 
   @Test
   void givenReplacedFollower_thenItsSuccessorIsAMemberInTime() {
-    assertWholeWithin(
+    assertCompleteWithin(
         "follower replaced", 3, CATCH_UP, cluster -> replace(cluster, follower(cluster)));
   }
 
   @Test
   void givenReplacedOwner_thenItsSuccessorIsAMemberInTime() {
-    assertWholeWithin("owner replaced", 3, CATCH_UP, cluster -> replace(cluster, cluster.owner(0)));
+    assertCompleteWithin(
+        "owner replaced", 3, CATCH_UP, cluster -> replace(cluster, cluster.owner(0)));
   }
 
   @Test
   void givenPlannedReplacementOfTheOwner_thenItsSuccessorIsAMemberInTime() {
-    assertWholeWithin(
+    assertCompleteWithin(
         "owner replaced as planned",
         3,
         CATCH_UP,
@@ -132,7 +134,7 @@
 
   @Test
   void givenReplacementAndThenAllAreKilled_thenTheSuccessorIsAMemberInTime() {
-    assertWholeWithin(
+    assertCompleteWithin(
         "follower replaced, then all killed",
         3,
         CATCH_UP,
@@ -145,7 +147,7 @@
 
   @Test
   void givenTwoOfFiveAreReplaced_whenTheSecondIsTheOwner_thenBothSuccessorsAreMembersInTime() {
-    assertWholeWithin(
+    assertCompleteWithin(
         "follower and owner of five replaced within 1 s",
         5,
         LARGE_CATCH_UP,
@@ -159,7 +161,7 @@
 
   @Test
   void givenTwoOfFiveLoseTheirDisks_thenBothAreMembersAgainInTime() {
-    assertWholeWithin(
+    assertCompleteWithin(
         "two of five wiped, others without power",
         5,
         LARGE_CATCH_UP,
@@ -172,7 +174,7 @@
 
   @Test
   void givenOneOrderAfterTheOther_whenADiskIsLost_thenItIsAMemberAgainInTime() {
-    assertWholeWithin(
+    assertCompleteWithin(
         "follower wiped under orders",
         3,
         CATCH_UP,
@@ -225,9 +227,9 @@
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = SimulatedCluster.started(seed, 5);
       cluster.maximumDelay = millis(30);
-      boolean whole =
-          cluster.runUntil(() -> cluster.allRun() && cluster.groupIsWhole(), millis(20_000));
-      assertTrue(whole, cluster::describe);
+      boolean complete =
+          cluster.runUntil(() -> cluster.allRun() && cluster.groupIsComplete(), millis(20_000));
+      assertTrue(complete, cluster::describe);
       waits.accept(cluster.now() / millis(1));
     }
     System.out.printf("five started: whole after %d ms at most%n", waits.getMax());
@@ -263,7 +265,7 @@
   }
 
   private static void sendUntilAcknowledged(SimulatedCluster cluster) {
-    List<CoreAction.AnswerOrder> acknowledged = new ArrayList<>();
+    List<CoreAction.AnswerOperator> acknowledged = new ArrayList<>();
     byte[] body = "1 first".getBytes(StandardCharsets.UTF_8);
     for (int attempt = 0; attempt < 10 && acknowledged.isEmpty(); attempt++) {
       cluster.call(
--- a/control/src/test/java/nettletrail/control/shard/ScriptedOwner.java
+++ b/control/src/test/java/nettletrail/control/shard/ScriptedOwner.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.AcceptReply;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.OwnerHeartbeat;
 import nettletrail.protocol.OwnerHeartbeatReply;
@@ -15,8 +14,9 @@
 import nettletrail.protocol.PreVoteReply;
 import nettletrail.protocol.Prepare;
 import nettletrail.protocol.PrepareReply;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.store.NodeIdentity;
 import org.apache.avro.specific.SpecificRecord;
@@ -37,7 +37,7 @@
   private static final long SEED = 1;
 
   final CoreShards shards;
-  final List<CoreAction.AnswerOrder> answers = new ArrayList<>();
+  final List<CoreAction.AnswerOperator> answers = new ArrayList<>();
   final List<CoreAction.Send> sent = new ArrayList<>();
   final Map<String, ShardVersion> stored = new HashMap<>();
   boolean connected = true;
@@ -96,20 +96,21 @@
 
   /** The process grants a peer the lease. */
   void followPeer() {
-    Ballot ballot = new Ballot(1L, NodeIdentity.founding(PEER).getId());
+    ProposalNumber proposal = new ProposalNumber(1L, NodeIdentity.founding(PEER).getId());
     String recipient = NodeIdentity.founding(SELF).getId();
-    ShardBeat beat = new ShardBeat(CoreShards.CONFIGURATION_SHARD, recipient, ballot, 0L);
-    receive(PEER, new OwnerHeartbeat(ballot.getNode(), now, List.of(beat)));
+    ShardHeartbeat heartbeat =
+        new ShardHeartbeat(CoreShards.CONFIGURATION_SHARD, recipient, proposal, 0L);
+    receive(PEER, new OwnerHeartbeat(proposal.getNode(), now, List.of(heartbeat)));
   }
 
   /** The answer to a call, or null while there is none. */
-  CoreAction.AnswerOrder answer(long call) {
+  CoreAction.AnswerOperator answer(long call) {
     return answers.stream().filter(answer -> answer.call() == call).findFirst().orElse(null);
   }
 
   /** The status of the answer to a call; 0 while there is none. */
   int status(long call) {
-    CoreAction.AnswerOrder answer = answer(call);
+    CoreAction.AnswerOperator answer = answer(call);
     return answer == null ? 0 : answer.status();
   }
 
@@ -118,7 +119,7 @@
       if (action instanceof CoreAction.Send send) {
         sent.add(send);
         answerAsPeer(send);
-      } else if (action instanceof CoreAction.AnswerOrder answer) {
+      } else if (action instanceof CoreAction.AnswerOperator answer) {
         answers.add(answer);
       } else if (action instanceof CoreAction.StorePromise promise) {
         perform(shards.stored(promise.ticket(), StoreOutcome.STORED, now));
@@ -142,14 +143,14 @@
     Member peer = NodeIdentity.founding(address);
     if (message instanceof PreVote request) {
       return new PreVoteReply(
-          request.getShard(), peer.getId(), request.getBallot(), true, request.getBallot());
+          request.getShard(), peer.getId(), request.getProposal(), true, request.getProposal());
     } else if (message instanceof Prepare request) {
       return new PrepareReply(
           request.getShard(),
           peer.getId(),
-          request.getBallot(),
+          request.getProposal(),
           true,
-          request.getBallot(),
+          request.getProposal(),
           stored.get(address));
     } else if (message instanceof Accept request) {
       ShardVersion version = request.getVersion();
@@ -157,26 +158,26 @@
       return new AcceptReply(
           request.getShard(),
           peer.getId(),
-          version.getBallot(),
+          version.getProposal(),
           version.getSequence(),
           true,
-          version.getBallot(),
+          version.getProposal(),
           "");
     } else if (message instanceof OwnerHeartbeat heartbeat) {
-      List<ShardBeatReply> replies =
-          heartbeat.getShards().stream().map(beat -> granted(address, beat)).toList();
+      List<ShardHeartbeatReply> replies =
+          heartbeat.getShards().stream().map(shard -> granted(address, shard)).toList();
       return new OwnerHeartbeatReply(peer.getId(), heartbeat.getSentAt(), replies);
     }
     return null;
   }
 
-  private ShardBeatReply granted(String address, ShardBeat beat) {
+  private ShardHeartbeatReply granted(String address, ShardHeartbeat heartbeat) {
     ShardVersion held = stored.get(address);
-    return new ShardBeatReply(
-        beat.getShard(),
+    return new ShardHeartbeatReply(
+        heartbeat.getShard(),
         true,
-        beat.getBallot(),
-        held == null ? null : held.getBallot(),
+        heartbeat.getProposal(),
+        held == null ? null : held.getProposal(),
         held == null ? 0L : held.getSequence());
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/SimulatedCluster.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedCluster.java
@@ -38,7 +38,7 @@
   private final SimulatedBandwidth bandwidth = new SimulatedBandwidth();
   private final Set<String> cutLinks = new HashSet<>();
   private Predicate<SpecificRecord> lost = message -> false;
-  private final Map<Long, Consumer<CoreAction.AnswerOrder>> callers = new HashMap<>();
+  private final Map<Long, Consumer<CoreAction.AnswerOperator>> callers = new HashMap<>();
   private final ClusterInvariants invariants = new ClusterInvariants(this);
   private int machines;
   private long now;
@@ -190,7 +190,7 @@
    * True when every running machine holds a group of exactly the running machines for every shard,
    * and each is owned.
    */
-  boolean groupIsWhole() {
+  boolean groupIsComplete() {
     Set<String> running = new HashSet<>();
     runningCores().forEach(core -> running.add(core.disk.identity.getId()));
     for (SimulatedCore core : runningCores()) {
@@ -283,14 +283,14 @@
       String method,
       String ifMatch,
       byte[] body,
-      Consumer<CoreAction.AnswerOrder> callback) {
+      Consumer<CoreAction.AnswerOperator> callback) {
     lastCall++;
     callers.put(lastCall, callback);
     core.submit(lastCall, method, ifMatch, body);
   }
 
-  void answer(SimulatedCore core, CoreAction.AnswerOrder answer) {
-    Consumer<CoreAction.AnswerOrder> caller = callers.remove(answer.call());
+  void answer(SimulatedCore core, CoreAction.AnswerOperator answer) {
+    Consumer<CoreAction.AnswerOperator> caller = callers.remove(answer.call());
     if (caller == null) {
       throw new AssertionError("call answered twice: " + answer);
     }
--- a/control/src/test/java/nettletrail/control/shard/SimulatedCore.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedCore.java
@@ -31,7 +31,7 @@
 
   private final SimulatedCluster cluster;
   private final Deque<CoreAction> storageQueue = new ArrayDeque<>();
-  private int life;
+  private int incarnation;
   private boolean storing;
 
   SimulatedCore(SimulatedCluster cluster, String address, SimulatedClock clock) {
@@ -62,7 +62,7 @@
       disk.identity =
           firstRun ? NodeIdentity.founding(address) : new Member(address + suffix, address);
     }
-    life++;
+    incarnation++;
     storing = false;
     storageQueue.clear();
     announced = null;
@@ -83,7 +83,7 @@
       disk.apply(storageQueue.peek());
     }
     shards = null;
-    life++;
+    incarnation++;
   }
 
   /** Ends the process in good order. */
@@ -109,11 +109,11 @@
   }
 
   private void scheduleTick() {
-    int scheduledIn = life;
+    int scheduledIn = incarnation;
     cluster.after(
         TICK,
         () -> {
-          if (life == scheduledIn) {
+          if (incarnation == scheduledIn) {
             whenAwake(now -> shards.tick(now));
             scheduleTick();
           }
@@ -122,7 +122,7 @@
 
   /** Runs an event now, or when the process thaws; not at all in another life. */
   private void whenAwake(Function<Long, List<CoreAction>> event) {
-    int scheduledIn = life;
+    int scheduledIn = incarnation;
     if (!running()) {
       return;
     }
@@ -130,7 +130,7 @@
       cluster.at(
           frozenUntil,
           () -> {
-            if (life == scheduledIn) {
+            if (incarnation == scheduledIn) {
               whenAwake(event);
             }
           });
@@ -144,7 +144,7 @@
     for (CoreAction action : actions) {
       if (action instanceof CoreAction.Send send) {
         cluster.send(this, send.address(), send.message());
-      } else if (action instanceof CoreAction.AnswerOrder answer) {
+      } else if (action instanceof CoreAction.AnswerOperator answer) {
         cluster.answer(this, answer);
       } else if (action instanceof CoreAction.CommittedConfiguration configuration) {
         announced = configuration;
@@ -161,12 +161,12 @@
       return;
     }
     storing = true;
-    int scheduledIn = life;
+    int scheduledIn = incarnation;
     long duration = SimulatedCluster.millis(1) + cluster.random().nextInt(8_000_000);
     cluster.after(
         duration,
         () -> {
-          if (life == scheduledIn) {
+          if (incarnation == scheduledIn) {
             finishStoring();
           }
         });
@@ -174,11 +174,11 @@
 
   private void finishStoring() {
     if (cluster.now() < stalledUntil) {
-      int scheduledIn = life;
+      int scheduledIn = incarnation;
       cluster.at(
           stalledUntil,
           () -> {
-            if (life == scheduledIn) {
+            if (incarnation == scheduledIn) {
               finishStoring();
             }
           });
--- a/control/src/test/java/nettletrail/control/shard/SimulatedDisk.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedDisk.java
@@ -20,7 +20,7 @@
   void apply(CoreAction action) {
     if (action instanceof CoreAction.StorePromise promise) {
       StoredShard before = before(promise.shard());
-      shards.put(promise.shard(), new StoredShard(promise.ballot(), before.version(), List.of()));
+      shards.put(promise.shard(), new StoredShard(promise.proposal(), before.version(), List.of()));
     } else if (action instanceof CoreAction.StoreVersion version) {
       StoredShard before = before(version.shard());
       shards.put(version.shard(), new StoredShard(before.promised(), version.version(), List.of()));
--- a/control/src/test/java/nettletrail/control/shard/SimulatedOperator.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedOperator.java
@@ -66,7 +66,7 @@
   }
 
   private void onChangeAnswer(
-      long sentRound, long ifMatch, String document, CoreAction.AnswerOrder answer) {
+      long sentRound, long ifMatch, String document, CoreAction.AnswerOperator answer) {
     if (answer.status() == OrderReplies.OK) {
       invariants.onAcknowledged(ifMatch, Long.parseLong(answer.edition()), document);
     } else if (answer.status() < 500) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/BackendActor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/BackendActor.java
@@ -31,10 +31,10 @@
   private static final long LATEST = 3 * VirtualTime.SECOND;
   private static final double LATE_PART = 0.2;
   private static final int SLOTS = 32;
-  private static final int MOST_DELETE_ATTEMPTS = 5;
+  private static final int MAX_DELETE_ATTEMPTS = 5;
 
   private final VirtualTime time;
-  private final Machine.Life life;
+  private final Machine.Incarnation incarnation;
   private final Identity identity;
   private final Schedule schedule;
   private final Supplier<List<String>> addresses;
@@ -59,11 +59,11 @@
   /**
    * When a backend does what.
    *
-   * @param beat how often it calls, in nanoseconds
+   * @param heartbeat how often it calls, in nanoseconds
    * @param serveAfterClosing how long it serves on after its closing was acknowledged, in
    *     nanoseconds
    */
-  public record Schedule(long beat, long serveAfterClosing) {}
+  public record Schedule(long heartbeat, long serveAfterClosing) {}
 
   /**
    * Starts to register.
@@ -80,14 +80,14 @@
       Predicate<String> coreInTouch,
       Observations observations) {
     this.time = world.time();
-    this.life = machine.isUp() ? machine.life() : machine.start();
+    this.incarnation = machine.isUp() ? machine.incarnation() : machine.start();
     this.identity = identity;
     this.schedule = schedule;
     this.addresses = addresses;
     this.coreInTouch = coreInTouch;
     this.observations = observations;
     this.random = world.newRandom();
-    this.caller = new ControlCaller(world.network(), life, ANSWER_TIMEOUT);
+    this.caller = new ControlCaller(world.network(), incarnation, ANSWER_TIMEOUT);
     register();
   }
 
@@ -136,7 +136,7 @@
       if (random.nextDouble() < LATE_PART) {
         repeatLate(record(BackendState.READY));
       }
-      life.after(schedule.beat(), this::register);
+      incarnation.after(schedule.heartbeat(), this::register);
     }
   }
 
@@ -144,7 +144,7 @@
   private void repeatLate(Backend former) {
     String core = anyCore();
     ControlRequest request = new ControlRequest.Registration("PUT", former);
-    life.after(random.nextLong(LATEST), () -> caller.call(core, request, response -> {}));
+    incarnation.after(random.nextLong(LATEST), () -> caller.call(core, request, response -> {}));
   }
 
   private void sayClosing() {
@@ -156,11 +156,11 @@
 
   private void closingAnswered(String core, boolean taken) {
     if (!taken) {
-      life.after(RETRY_PAUSE, this::sayClosing);
+      incarnation.after(RETRY_PAUSE, this::sayClosing);
       return;
     }
     acknowledged(core);
-    life.after(schedule.serveAfterClosing(), () -> delete(MOST_DELETE_ATTEMPTS));
+    incarnation.after(schedule.serveAfterClosing(), () -> delete(MAX_DELETE_ATTEMPTS));
   }
 
   private void delete(int attempts) {
@@ -176,7 +176,7 @@
             acknowledged(core);
             end();
           } else {
-            life.after(RETRY_PAUSE, () -> delete(attempts - 1));
+            incarnation.after(RETRY_PAUSE, () -> delete(attempts - 1));
           }
         });
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/ControlCaller.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/ControlCaller.java
@@ -14,22 +14,22 @@
   private static final long CONNECT_TIMEOUT = VirtualTime.SECOND;
 
   private final Network network;
-  private final Machine.Life life;
+  private final Machine.Incarnation incarnation;
   private final long timeout;
 
   /**
    * @param timeout how long an answer is waited for, in nanoseconds
    */
-  ControlCaller(Network network, Machine.Life life, long timeout) {
+  ControlCaller(Network network, Machine.Incarnation incarnation, long timeout) {
     this.network = network;
-    this.life = life;
+    this.incarnation = incarnation;
     this.timeout = timeout;
   }
 
   /** Calls once; gives the answer, or null if none came. */
   void call(String address, ControlRequest request, Consumer<ControlResponse> done) {
     network.connect(
-        life,
+        incarnation,
         address,
         CONNECT_TIMEOUT,
         connection -> {
@@ -54,7 +54,7 @@
 
     void send(ControlRequest request) {
       connection.send(request);
-      life.after(timeout, () -> complete(null));
+      incarnation.after(timeout, () -> complete(null));
     }
 
     @Override
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/DoorTraffic.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/DoorTraffic.java
@@ -46,7 +46,7 @@
     this.random = random;
     this.tokensPerRequest = tokensPerRequest;
     setLoad(tokensPerSecond);
-    door.life().after(PERIOD, this::period);
+    door.incarnation().after(PERIOD, this::period);
   }
 
   /** Changes how many tokens all requests of a second want. */
@@ -66,7 +66,7 @@
       useQuota();
       useBackend();
     }
-    door.life().after(PERIOD, this::period);
+    door.incarnation().after(PERIOD, this::period);
   }
 
   private void useConfiguration() {
@@ -77,7 +77,7 @@
   private void useKeys() {
     keysSeen.addAll(OrderDocument.keysOf(door.table()));
     for (String key : keysSeen) {
-      if (door.keysHeld() && door.table().tenantOfKey(key) != null) {
+      if (door.keysValid() && door.table().tenantOfKey(key) != null) {
         observations.keyTaken(door.name(), key);
       }
     }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/Operator.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/Operator.java
@@ -21,7 +21,7 @@
   private static final int LARGEST_STEP = 3;
 
   private final VirtualTime time;
-  private final Machine.Life life;
+  private final Machine.Incarnation incarnation;
   private final Supplier<List<String>> addresses;
   private final OrderBook orders;
   private final Observations observations;
@@ -40,12 +40,12 @@
       OrderBook orders,
       Observations observations) {
     this.time = world.time();
-    this.life = machine.start();
+    this.incarnation = machine.start();
     this.addresses = addresses;
     this.orders = orders;
     this.observations = observations;
     this.random = world.newRandom();
-    this.caller = new ControlCaller(world.network(), life, ANSWER_TIMEOUT);
+    this.caller = new ControlCaller(world.network(), incarnation, ANSWER_TIMEOUT);
   }
 
   /** The newest version that this operator knows; null before the first. */
@@ -156,7 +156,7 @@
         finish(null);
         return;
       }
-      life.after(pause, this::attempt);
+      incarnation.after(pause, this::attempt);
       pause = longer(pause);
     }
   }
@@ -182,7 +182,7 @@
         finish(document);
         return;
       }
-      life.after(pause, this::attempt);
+      incarnation.after(pause, this::attempt);
       pause = longer(pause);
     }
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ConfigurationCost.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ConfigurationCost.java
@@ -41,8 +41,8 @@
    * @throws ConfigurationException never, as the documents are valid
    */
   private static Cost at(int tenants, int warming, long kept) throws ConfigurationException {
-    byte[] whole = SampleDocument.whole(1, tenants);
-    ConfigurationDocument current = ConfigurationDocument.parse(whole);
+    byte[] complete = SampleDocument.complete(1, tenants);
+    ConfigurationDocument current = ConfigurationDocument.parse(complete);
     double[] patching = new double[REPEATS];
     double[] compiling = new double[REPEATS];
     for (int i = -warming; i < REPEATS; i++) {
@@ -58,7 +58,7 @@
         compiling[i] = (compiled - patched) / MICROSECOND;
       }
     }
-    return new Cost(tenants, whole.length, median(patching), median(compiling), kept);
+    return new Cost(tenants, complete.length, median(patching), median(compiling), kept);
   }
 
   /** What a door keeps of a configuration. */
@@ -87,7 +87,7 @@
   public static Map<String, Object> figures() throws ConfigurationException {
     long[] kept = new long[TENANTS.length];
     for (int i = 0; i < TENANTS.length; i++) {
-      kept[i] = keptBytes(SampleDocument.whole(1, TENANTS[i]));
+      kept[i] = keptBytes(SampleDocument.complete(1, TENANTS[i]));
     }
     at(TENANTS[0], FIRST_WARMING, 0);
     List<Cost> costs = new ArrayList<>();
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ControlBudget.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ControlBudget.java
@@ -8,10 +8,10 @@
  * What the plan lets control spend.
  *
  * @param figure as in a run's figures
- * @param most inclusive
+ * @param max inclusive
  * @param stated whether the plan states it; else it is the deployments' core machine
  */
-record ControlBudget(String figure, double most, boolean stated) {
+record ControlBudget(String figure, double max, boolean stated) {
   /** All of them. */
   static final List<ControlBudget> ALL =
       List.of(
@@ -31,8 +31,8 @@
     for (ControlBudget budget : ALL) {
       if (!(figures.get(budget.figure()) instanceof Number value)) {
         broken.add(budget.figure() + " was not measured");
-      } else if (!(value.doubleValue() <= budget.most())) {
-        broken.add(budget.figure() + " is " + value + ", over " + budget.most());
+      } else if (!(value.doubleValue() <= budget.max())) {
+        broken.add(budget.figure() + " is " + value + ", over " + budget.max());
       }
     }
     return broken;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CoreNode.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CoreNode.java
@@ -27,7 +27,7 @@
 import nettletrail.control.shard.StoreOutcome;
 import nettletrail.emulator.world.VirtualTime;
 import nettletrail.protocol.Backend;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.store.StoredShard;
@@ -39,7 +39,7 @@
  */
 final class CoreNode implements MeasuredNetwork.Endpoint, ShardOwnership {
   /** How often backends call, in milliseconds. */
-  static final long BEAT_MS = 1_200;
+  static final long HEARTBEAT_MS = 1_200;
 
   /** A disk as the deployments' core machines have it. */
   private static final long SYNC_NS = 2 * VirtualTime.MILLISECOND;
@@ -82,7 +82,7 @@
   /** Starts a life of the process with what its disk holds. */
   void start() {
     process.start();
-    long life = process.life() * (long) ShardMap.SHARD_COUNT + address.hashCode();
+    long incarnation = process.incarnation() * (long) ShardMap.SHARD_COUNT + address.hashCode();
     shards =
         new CoreShards(
             ShardSettings.defaults(),
@@ -91,13 +91,13 @@
             firstRun,
             ShardMap.SHARD_COUNT,
             Map.copyOf(disk),
-            life,
+            incarnation,
             time.now());
     firstRun = false;
-    long feed = Math.abs(life) + 1;
+    long feed = Math.abs(incarnation) + 1;
     registry =
         new CoreRegistry(
-            new CoreRegistrySettings(address, FleetNames.zone(0), feed, BEAT_MS, TERMS),
+            new CoreRegistrySettings(address, FleetNames.zone(0), feed, HEARTBEAT_MS, TERMS),
             this,
             time.now());
     process.submit(this::tick);
@@ -156,7 +156,7 @@
         storeVersion(store);
       } else if (action instanceof CoreAction.CommittedConfiguration committed) {
         committed(committed);
-      } else if (action instanceof CoreAction.AnswerOrder answer && answer.status() == 200) {
+      } else if (action instanceof CoreAction.AnswerOperator answer && answer.status() == 200) {
         acknowledged.accept(answer.call());
       }
     }
@@ -167,7 +167,7 @@
         0,
         () -> {
           StoredShard held = held(store.shard());
-          disk.put(store.shard(), new StoredShard(store.ballot(), held.version(), List.of()));
+          disk.put(store.shard(), new StoredShard(store.proposal(), held.version(), List.of()));
           perform(shards.stored(store.ticket(), StoreOutcome.STORED, time.now()));
         });
   }
@@ -177,7 +177,7 @@
     write(
         version.getValue().remaining(),
         () -> {
-          Ballot promised = held(store.shard()).promised();
+          ProposalNumber promised = held(store.shard()).promised();
           disk.put(store.shard(), new StoredShard(promised, version, List.of()));
           perform(shards.stored(store.ticket(), StoreOutcome.STORED, time.now()));
         });
@@ -273,7 +273,7 @@
   }
 
   @Override
-  public Ballot token(int shard) {
+  public ProposalNumber token(int shard) {
     return shards.token(shard);
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Demand.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Demand.java
@@ -9,8 +9,8 @@
   /** Tokens of a request, prompt and answer, on the mean. */
   static final double MEAN_TOKENS = 2_000;
 
-  private static final double MOST_TIMES_MEAN = 20;
-  private static final double LEAST_LIMIT_REQUESTS = 10;
+  private static final double MAX_TIMES_MEAN = 20;
+  private static final double MIN_LIMIT_REQUESTS = 10;
 
   private final double[] cumulative;
   private final double requestsPerSecond;
@@ -47,12 +47,12 @@
    * requests at least.
    */
   public double limit(int tenant) {
-    return Math.max(LEAST_LIMIT_REQUESTS * MEAN_TOKENS, 2 * tokensPerSecond(tenant));
+    return Math.max(MIN_LIMIT_REQUESTS * MEAN_TOKENS, 2 * tokensPerSecond(tenant));
   }
 
   static long tokens(SplittableRandom random) {
     double times = -Math.log(1 - random.nextDouble());
-    return Math.max(1, Math.round(MEAN_TOKENS * Math.min(MOST_TIMES_MEAN, times)));
+    return Math.max(1, Math.round(MEAN_TOKENS * Math.min(MAX_TIMES_MEAN, times)));
   }
 
   /** Nanoseconds until the next request of a stream of this rate. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
@@ -68,10 +68,10 @@
 
   private Map<String, Object> play(Event event) {
     int seconds = event.seconds() + SETTLING_SECONDS;
-    fleet.cores().forEach(core -> core.process().takeMostQueuedBytes());
+    fleet.cores().forEach(core -> core.process().takeMaxQueuedBytes());
     HealthWatch health = new HealthWatch(fleet);
     long firstEdition = fleet.operator().edition() + 1;
-    FleetMeter whole = new FleetMeter(fleet);
+    FleetMeter complete = new FleetMeter(fleet);
     event.begin().run();
     List<Sample> samples = new ArrayList<>();
     for (int i = 0; i < seconds; i++) {
@@ -86,7 +86,7 @@
               reading.coreBytesPerSecond()));
     }
     Map<String, Object> told = describe(samples);
-    told.put("refused_pct", Rounded.of(whole.read().requests().refusedPct()));
+    told.put("refused_pct", Rounded.of(complete.read().requests().refusedPct()));
     told.put("lease_failovers", health.failovers());
     told.put("false_expiries", health.falseExpiries());
     inForce(told, firstEdition);
@@ -96,10 +96,10 @@
   private Map<String, Object> describe(List<Sample> samples) {
     Map<String, Object> told = new LinkedHashMap<>();
     told.put("seconds", samples.size());
-    told.put("door_cpu_pct_peak", most(samples.stream().map(Sample::doorCpuPct).toList()));
-    told.put("door_bytes_per_s_peak", most(samples.stream().map(Sample::doorBytes).toList()));
-    told.put("core_cpu_pct_peak", most(samples.stream().map(Sample::coreCpuPct).toList()));
-    told.put("core_bytes_per_s_peak", most(samples.stream().map(Sample::coreBytes).toList()));
+    told.put("door_cpu_pct_peak", max(samples.stream().map(Sample::doorCpuPct).toList()));
+    told.put("door_bytes_per_s_peak", max(samples.stream().map(Sample::doorBytes).toList()));
+    told.put("core_cpu_pct_peak", max(samples.stream().map(Sample::coreCpuPct).toList()));
+    told.put("core_bytes_per_s_peak", max(samples.stream().map(Sample::coreBytes).toList()));
     long raised =
         samples.stream()
             .filter(sample -> sample.coreBytes() > RAISED * calm.coreBytesPerSecond())
@@ -107,7 +107,7 @@
     told.put("core_raised_s", raised);
     long queued =
         fleet.cores().stream()
-            .mapToLong(core -> core.process().takeMostQueuedBytes())
+            .mapToLong(core -> core.process().takeMaxQueuedBytes())
             .max()
             .orElse(0);
     told.put("core_queued_mb_max", Rounded.of(queued / 1e6));
@@ -126,7 +126,7 @@
     }
   }
 
-  private static Number most(List<Double> values) {
+  private static Number max(List<Double> values) {
     return Rounded.of(values.stream().mapToDouble(Double::doubleValue).max().orElse(0));
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetMeter.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetMeter.java
@@ -60,8 +60,8 @@
       RequestCounts.Snapshot requests) {
     /** Percent of a core, the most of these doors. */
     double doorCpuPct(List<Integer> numbers) {
-      double most = numbers.stream().mapToDouble(i -> doors.get(i).cpuNs()).max().orElse(0);
-      return most / seconds / SECOND * PERCENT;
+      double max = numbers.stream().mapToDouble(i -> doors.get(i).cpuNs()).max().orElse(0);
+      return max / seconds / SECOND * PERCENT;
     }
 
     /** Percent of a core, the 99th percentile over doors. */
@@ -98,22 +98,22 @@
 
     /** Percent of a core, the busiest core process. */
     double coreCpuPct() {
-      return coreMost(MeasuredProcess.Usage::cpuNs) / SECOND * PERCENT;
+      return coreMax(MeasuredProcess.Usage::cpuNs) / SECOND * PERCENT;
     }
 
     double coreBytesPerSecond() {
-      return coreMost(MeasuredProcess.Usage::bytes);
+      return coreMax(MeasuredProcess.Usage::bytes);
     }
 
     double coreMessagesPerSecond() {
-      return coreMost(usage -> usage.messagesSent() + (double) usage.messagesReceived());
+      return coreMax(usage -> usage.messagesSent() + (double) usage.messagesReceived());
     }
 
     private double doorQuantile(ToDoubleFunction<MeasuredProcess.Usage> figure, double part) {
       return Gauge.quantile(doors.stream().mapToDouble(figure).toArray(), part) / seconds;
     }
 
-    private double coreMost(ToDoubleFunction<MeasuredProcess.Usage> figure) {
+    private double coreMax(ToDoubleFunction<MeasuredProcess.Usage> figure) {
       return cores.stream().mapToDouble(figure).max().orElse(0) / seconds;
     }
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Gauge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Gauge.java
@@ -39,12 +39,12 @@
   /** Bytes in use after collections. */
   public static long usedBytes() {
     Runtime runtime = Runtime.getRuntime();
-    long least = Long.MAX_VALUE;
+    long min = Long.MAX_VALUE;
     for (int i = 0; i < COLLECTIONS; i++) {
       System.gc();
-      least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+      min = Math.min(min, runtime.totalMemory() - runtime.freeMemory());
     }
-    return least;
+    return min;
   }
 
   /** Bytes that what is made keeps in use. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowBackend.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowBackend.java
@@ -12,7 +12,7 @@
 final class HollowBackend {
   private static final int ANSWER_BYTES =
       "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}".length();
-  private static final long BEAT = CoreNode.BEAT_MS * VirtualTime.MILLISECOND;
+  private static final long HEARTBEAT = CoreNode.HEARTBEAT_MS * VirtualTime.MILLISECOND;
   private static final long TRANSFER = 1_400_000;
 
   private final VirtualTime time;
@@ -20,7 +20,7 @@
   private final int number;
   private final SplittableRandom random;
   private boolean running;
-  private long life;
+  private long incarnation;
   private long startedAt;
   private long callSequence;
 
@@ -35,9 +35,9 @@
   void start() {
     running = true;
     startedAt = time.now();
-    life++;
-    long ofLife = life;
-    time.after(random.nextLong(BEAT), () -> beat(ofLife));
+    incarnation++;
+    long ofIncarnation = incarnation;
+    time.after(random.nextLong(HEARTBEAT), () -> heartbeat(ofIncarnation));
   }
 
   /** Falls silent. */
@@ -58,8 +58,8 @@
     return number % FleetPlan.ZONES;
   }
 
-  private void beat(long ofLife) {
-    if (!running || life != ofLife) {
+  private void heartbeat(long ofIncarnation) {
+    if (!running || incarnation != ofIncarnation) {
       return;
     }
     callSequence++;
@@ -71,7 +71,7 @@
       time.after(
           TRANSFER, () -> core.process().submit(() -> core.backendCalls(callSequence, report)));
     }
-    time.after(BEAT, () -> beat(ofLife));
+    time.after(HEARTBEAT, () -> heartbeat(ofIncarnation));
   }
 
   private CoreNode runningCore() {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowDoor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowDoor.java
@@ -52,9 +52,9 @@
     process.start();
     requests.clear();
     dialled.clear();
-    long life = 1 + random.nextLong(Long.MAX_VALUE - 1);
+    long incarnation = 1 + random.nextLong(Long.MAX_VALUE - 1);
     DoorControlSettings settings =
-        new DoorControlSettings(name, zone, life, REVOKE_MS, IN_FORCE_MS, seeds);
+        new DoorControlSettings(name, zone, incarnation, REVOKE_MS, IN_FORCE_MS, seeds);
     control = new DoorControl(settings, time.now());
     process.submit(this::tick);
     nextRequest();
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
@@ -22,7 +22,7 @@
   /** After so long a process is expected to be known everywhere. */
   private static final long SETTLED = 3 * VirtualTime.SECOND;
 
-  private static final int MOST_AGED_DOORS = 6;
+  private static final int MAX_AGED_DOORS = 6;
   private static final int ZONES_PER_REGION = FleetPlan.ZONES / 2;
 
   private final FleetPlan plan;
@@ -142,7 +142,7 @@
    */
   List<Integer> ageSomeDoors() {
     List<Integer> aged = new ArrayList<>();
-    int count = Math.min(MOST_AGED_DOORS, doors.size());
+    int count = Math.min(MAX_AGED_DOORS, doors.size());
     for (int i = 0; i < count; i++) {
       int door = i * doors.size() / count;
       doors.get(door).age(plan.tenants());
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredNetwork.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredNetwork.java
@@ -158,8 +158,8 @@
     long arrival = Math.max(left + delay, lastArrival.getOrDefault(link, 0L) + 1);
     lastArrival.put(link, arrival);
     Endpoint target = endpoints.get(to);
-    long life = target.process().life();
-    time.at(arrival, () -> arrive(link, target, life, frame));
+    long incarnation = target.process().incarnation();
+    time.at(arrival, () -> arrive(link, target, incarnation, frame));
   }
 
   /** The message's name as figures spell theirs, in small letters joined by underscores. */
@@ -168,9 +168,9 @@
     return name.replaceAll("(?<=[a-z])(?=[A-Z])", "_").toLowerCase(Locale.ROOT);
   }
 
-  private void arrive(Link link, Endpoint target, long life, byte[] frame) {
+  private void arrive(Link link, Endpoint target, long incarnation, byte[] frame) {
     MeasuredProcess process = target.process();
-    if (!links.contains(link) || !process.running() || process.life() != life) {
+    if (!links.contains(link) || !process.running() || process.incarnation() != incarnation) {
       return;
     }
     process.received(MessageSizes.FRAME_HEADER_BYTES + frame.length);
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredProcess.java
@@ -23,7 +23,7 @@
   private final Deque<Runnable> inbox = new ArrayDeque<>();
   private boolean scheduled;
   private boolean running;
-  private long life;
+  private long incarnation;
   private long startedAt;
   private long busyUntil;
   private long linkFreeAt;
@@ -33,7 +33,7 @@
   private long messagesSent;
   private long messagesReceived;
   private long queuedBytes;
-  private long mostQueuedBytes;
+  private long maxQueuedBytes;
 
   MeasuredProcess(VirtualTime time, String name, int region) {
     this.time = time;
@@ -59,12 +59,12 @@
   }
 
   /** Counts the starts of this process. */
-  long life() {
-    return life;
+  long incarnation() {
+    return incarnation;
   }
 
   void start() {
-    life++;
+    incarnation++;
     startedAt = time.now();
     running = true;
   }
@@ -86,11 +86,11 @@
 
   /** Submits a step after a delay, unless the process has ended or started anew by then. */
   void after(long delay, Runnable step) {
-    long ofLife = life;
+    long ofIncarnation = incarnation;
     time.after(
         delay,
         () -> {
-          if (running && life == ofLife) {
+          if (running && incarnation == ofIncarnation) {
             submit(step);
           }
         });
@@ -128,7 +128,7 @@
     linkFreeAt =
         Math.max(linkFreeAt, time.now()) + bytes * BITS_PER_BYTE * SECOND / LINK_BITS_PER_S;
     queuedBytes += bytes;
-    mostQueuedBytes = Math.max(mostQueuedBytes, queuedBytes);
+    maxQueuedBytes = Math.max(maxQueuedBytes, queuedBytes);
     time.at(linkFreeAt, () -> queuedBytes -= bytes);
     return linkFreeAt;
   }
@@ -154,24 +154,24 @@
   }
 
   /** The most bytes that waited for the link at once since this was asked last. */
-  long takeMostQueuedBytes() {
-    long most = mostQueuedBytes;
-    mostQueuedBytes = queuedBytes;
-    return most;
+  long takeMaxQueuedBytes() {
+    long max = maxQueuedBytes;
+    maxQueuedBytes = queuedBytes;
+    return max;
   }
 
   /** What reading the thread's clock twice costs by itself. */
   private static long meterCost() {
     int rounds = 20_000;
-    long least = Long.MAX_VALUE;
+    long min = Long.MAX_VALUE;
     for (int repeat = 0; repeat < 5; repeat++) {
       long began = Gauge.cpuNs();
       for (int i = 1; i < rounds; i++) {
         Gauge.cpuNs();
       }
-      least = Math.min(least, (Gauge.cpuNs() - began) / rounds);
+      min = Math.min(min, (Gauge.cpuNs() - began) / rounds);
     }
-    return least;
+    return min;
   }
 
   /** What a process has used since the run began. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MessageSizes.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MessageSizes.java
@@ -60,7 +60,7 @@
         linear(
             "ConfigurationChunk",
             "tenant",
-            tenants -> SampleMessages.configurationChunk(SampleDocument.whole(1_000, tenants))));
+            tenants -> SampleMessages.configurationChunk(SampleDocument.complete(1_000, tenants))));
     sizes.add(linear("FeedSnapshot", "backend", SampleMessages::feedSnapshot));
     sizes.add(linear("FeedEvents", "backend", SampleMessages::feedEvents));
     sizes.add(fixed("FeedAck", SampleMessages.feedAck(MANY)));
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Operator.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Operator.java
@@ -47,8 +47,8 @@
   /** Sends the first configuration: all tenants, each with twice what it asks for on the mean. */
   void sendFirst() {
     edition = 1;
-    byte[] whole = SampleDocument.whole(edition, tenants, demand::limit);
-    send("PUT", 0, whole);
+    byte[] complete = SampleDocument.complete(edition, tenants, demand::limit);
+    send("PUT", 0, complete);
   }
 
   /** Changes one tenant. */
