--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SampleDocument.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SampleDocument.java
@@ -22,12 +22,12 @@
   private SampleDocument() {}
 
   /** The whole document of an edition, as the operator sends it; all tenants have one limit. */
-  public static byte[] whole(long edition, int tenants) {
-    return whole(edition, tenants, tenant -> USUAL_TOKENS_PER_S);
+  public static byte[] complete(long edition, int tenants) {
+    return complete(edition, tenants, tenant -> USUAL_TOKENS_PER_S);
   }
 
   /** The same with a limit for each tenant, in tokens a second; a second of it is the burst. */
-  public static byte[] whole(long edition, int tenants, IntToDoubleFunction limits) {
+  public static byte[] complete(long edition, int tenants, IntToDoubleFunction limits) {
     StringBuilder json = new StringBuilder(256 * tenants);
     json.append("{\"edition\":").append(edition).append(",\"routes\":[");
     for (int i = 0; i < SERVICES * ROUTES_PER_SERVICE; i++) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SampleMessages.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SampleMessages.java
@@ -10,7 +10,7 @@
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendFreshness;
 import nettletrail.protocol.BackendState;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ConfigurationChunk;
 import nettletrail.protocol.ConfirmQuery;
 import nettletrail.protocol.ConfirmReply;
@@ -28,8 +28,8 @@
 import nettletrail.protocol.RegistryDigest;
 import nettletrail.protocol.RegistryUpdate;
 import nettletrail.protocol.RegistryUpdateReply;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.protocol.TenantGrant;
 import nettletrail.protocol.TenantUse;
@@ -43,8 +43,8 @@
 
   private SampleMessages() {}
 
-  static Ballot ballot() {
-    return new Ballot(40L, FleetNames.member(0));
+  static ProposalNumber proposal() {
+    return new ProposalNumber(40L, FleetNames.member(0));
   }
 
   static List<Member> members() {
@@ -54,29 +54,29 @@
   }
 
   static ShardVersion version(int valueBytes) {
-    return new ShardVersion(ballot(), COUNT, members(), ByteBuffer.wrap(new byte[valueBytes]));
+    return new ShardVersion(proposal(), COUNT, members(), ByteBuffer.wrap(new byte[valueBytes]));
   }
 
   static Accept accept(int valueBytes) {
-    return new Accept(0, FleetNames.member(1), ballot(), version(valueBytes));
+    return new Accept(0, FleetNames.member(1), proposal(), version(valueBytes));
   }
 
   static AcceptReply acceptReply() {
-    return new AcceptReply(0, FleetNames.member(1), ballot(), COUNT, true, ballot(), "");
+    return new AcceptReply(0, FleetNames.member(1), proposal(), COUNT, true, proposal(), "");
   }
 
   static OwnerHeartbeat ownerHeartbeat(int shards) {
-    List<ShardBeat> beats =
+    List<ShardHeartbeat> heartbeats =
         IntStream.range(0, shards)
-            .mapToObj(shard -> new ShardBeat(shard, FleetNames.member(1), ballot(), COUNT))
+            .mapToObj(shard -> new ShardHeartbeat(shard, FleetNames.member(1), proposal(), COUNT))
             .toList();
-    return new OwnerHeartbeat(FleetNames.member(0), STEADY_CLOCK_NS, beats);
+    return new OwnerHeartbeat(FleetNames.member(0), STEADY_CLOCK_NS, heartbeats);
   }
 
   static OwnerHeartbeatReply ownerHeartbeatReply(int shards) {
-    List<ShardBeatReply> replies =
+    List<ShardHeartbeatReply> replies =
         IntStream.range(0, shards)
-            .mapToObj(shard -> new ShardBeatReply(shard, true, ballot(), ballot(), COUNT))
+            .mapToObj(shard -> new ShardHeartbeatReply(shard, true, proposal(), proposal(), COUNT))
             .toList();
     return new OwnerHeartbeatReply(FleetNames.member(1), STEADY_CLOCK_NS, replies);
   }
@@ -91,7 +91,7 @@
         0,
         STEADY_CLOCK_NS,
         true,
-        ballot(),
+        proposal(),
         COUNT,
         COUNT,
         FleetNames.coreAddress(0),
@@ -219,6 +219,6 @@
         IntStream.range(0, tenants)
             .mapToObj(i -> new TenantGrant(FleetNames.tenant(i), TOKENS_WANTED, 40.0, 3, true))
             .toList();
-    return new GrantReply(FleetNames.member(0), COUNT, 1, true, ballot(), 1_000L, grants);
+    return new GrantReply(FleetNames.member(0), COUNT, 1, true, proposal(), 1_000L, grants);
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SizeRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SizeRun.java
@@ -106,7 +106,7 @@
   }
 
   private void changes(MeasuredFleet fleet, FleetMeter.Reading steady) {
-    fleet.cores().forEach(core -> core.process().takeMostQueuedBytes());
+    fleet.cores().forEach(core -> core.process().takeMaxQueuedBytes());
     long first = fleet.operator().edition() + 1;
     FleetMeter meter = new FleetMeter(fleet);
     int settled = 0;
@@ -134,7 +134,7 @@
     inForce(fleet, first);
     long queued =
         fleet.cores().stream()
-            .mapToLong(core -> core.process().takeMostQueuedBytes())
+            .mapToLong(core -> core.process().takeMaxQueuedBytes())
             .max()
             .orElse(0);
     put("core_queued_mb_max", queued / MEGABYTE);
@@ -150,11 +150,11 @@
   }
 
   private void memory(MeasuredFleet fleet) {
-    byte[] document = SampleDocument.whole(1, plan.tenants());
+    byte[] document = SampleDocument.complete(1, plan.tenants());
     long configuration = ConfigurationCost.keptBytes(document);
     aged.forEach(
         door -> fleet.doors().get(door).age(plan.tenants())); // Some may have been restarted.
-    long whole = Gauge.usedBytes();
+    long complete = Gauge.usedBytes();
     aged.forEach(door -> fleet.doors().get(door).release());
     long withoutAged = Gauge.usedBytes();
     fleet.releaseDoors();
@@ -162,7 +162,7 @@
     fleet.releaseCores();
     long withoutBoth = Gauge.usedBytes();
     java.lang.ref.Reference.reachabilityFence(fleet);
-    double door = (whole - withoutAged) / MEGABYTE / aged.size();
+    double door = (complete - withoutAged) / MEGABYTE / aged.size();
     double core = (withoutDoors - withoutBoth) / MEGABYTE / FleetPlan.CORE_PROCESSES;
     put("configuration_mb", configuration / MEGABYTE);
     put("control_heap_mb", door);
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/CoreProcesses.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/CoreProcesses.java
@@ -131,11 +131,11 @@
 
   /** The most that any of them ever had resident, MB. */
   double peakMb() {
-    double most = 0;
+    double max = 0;
     for (Process process : processes) {
-      most = Math.max(most, ProcessUse.peakMb(process.pid()));
+      max = Math.max(max, ProcessUse.peakMb(process.pid()));
     }
-    return most;
+    return max;
   }
 
   /** How many times any of them was out of memory for buffers so far, as their logs tell. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketBackends.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketBackends.java
@@ -9,7 +9,7 @@
  * answer. A thread for each process.
  */
 final class SocketBackends implements AutoCloseable {
-  private static final long BEAT_MS = 1_200;
+  private static final long HEARTBEAT_MS = 1_200;
   private static final int OK = 200;
 
   private final CoreProcesses cores;
@@ -23,7 +23,7 @@
     this.count = count;
     for (int i = 0; i < threads.length; i++) {
       int home = i;
-      threads[i] = new Thread(() -> beat(home), "backends-" + i);
+      threads[i] = new Thread(() -> heartbeat(home), "backends-" + i);
       threads[i].setDaemon(true);
       threads[i].start();
     }
@@ -34,7 +34,7 @@
     return failed.get();
   }
 
-  private void beat(int home) {
+  private void heartbeat(int home) {
     long sequence = 0;
     try {
       while (true) {
@@ -44,7 +44,7 @@
           call(home, number, sequence);
         }
         long spentMs = (System.nanoTime() - began) / 1_000_000;
-        Thread.sleep(Math.max(1, BEAT_MS - spentMs));
+        Thread.sleep(Math.max(1, HEARTBEAT_MS - spentMs));
       }
     } catch (InterruptedException closed) {
       Thread.currentThread().interrupt();
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketDoor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketDoor.java
@@ -39,7 +39,7 @@
   SocketDoor(
       EventLoop loop,
       String name,
-      long life,
+      long incarnation,
       List<String> seeds,
       HollowRequests requests,
       ConfigurationListener configurations) {
@@ -48,9 +48,9 @@
     this.configurations = configurations;
     this.control =
         new DoorControl(
-            new DoorControlSettings(name, "zone", life, REVOKE_MS, IN_FORCE_MS, seeds),
+            new DoorControlSettings(name, "zone", incarnation, REVOKE_MS, IN_FORCE_MS, seeds),
             System.nanoTime());
-    Hello hello = new Hello(name, "", Links.DOOR_ROLE, life, PROTOCOL_VERSION);
+    Hello hello = new Hello(name, "", Links.DOOR_ROLE, incarnation, PROTOCOL_VERSION);
     this.links = new Links(loop, LinkSettings.defaults(), hello, this);
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketRun.java
@@ -156,8 +156,8 @@
   }
 
   private double first(CoreProcesses cores, Demand demand) throws InterruptedException {
-    byte[] whole = SampleDocument.whole(1, plan.tenants(), demand::limit);
-    return order(cores, "PUT", whole);
+    byte[] complete = SampleDocument.complete(1, plan.tenants(), demand::limit);
+    return order(cores, "PUT", complete);
   }
 
   /**
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/LossCheck.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/LossCheck.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import nettletrail.control.shard.Ballots;
+import nettletrail.control.shard.ProposalNumbers;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.ShardVersion;
 
@@ -17,8 +17,8 @@
 final class LossCheck {
   private static final Comparator<ShardVersion> BY_AGE =
       (left, right) -> {
-        int byBallot = Ballots.compare(left.getBallot(), right.getBallot());
-        return byBallot != 0 ? byBallot : Long.compare(left.getSequence(), right.getSequence());
+        int byProposal = ProposalNumbers.compare(left.getProposal(), right.getProposal());
+        return byProposal != 0 ? byProposal : Long.compare(left.getSequence(), right.getSequence());
       };
 
   private ShardVersion newestCommitted;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/RegisterChecks.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/RegisterChecks.java
@@ -52,14 +52,14 @@
 
   @Override
   public void accept(CoreAction action) {
-    if (action instanceof CoreAction.AnswerOrder answer) {
+    if (action instanceof CoreAction.AnswerOperator answer) {
       answered(answer);
     } else if (action instanceof CoreAction.CommittedConfiguration committed) {
       announced(committed);
     }
   }
 
-  private void answered(CoreAction.AnswerOrder answer) {
+  private void answered(CoreAction.AnswerOperator answer) {
     if (answer.status() != OK) {
       return;
     }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaNetwork.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaNetwork.java
@@ -98,7 +98,7 @@
     for (CoreAction action : actions) {
       if (action instanceof CoreAction.Send send) {
         inFlight.add(new Message(replica.address(), send.address(), send.message()));
-      } else if (action instanceof CoreAction.AnswerOrder
+      } else if (action instanceof CoreAction.AnswerOperator
           || action instanceof CoreAction.CommittedConfiguration) {
         observer.accept(action);
       } else {
@@ -247,9 +247,9 @@
         usual.replaceUnheardAfter(),
         usual.removeAfter(),
         usual.fullGroup(),
-        usual.foundingHold(),
-        usual.orderHold(),
-        usual.orderTimeout(),
-        usual.orderQueue());
+        usual.bootstrapWait(),
+        usual.ownerWait(),
+        usual.requestTimeout(),
+        usual.requestQueueCapacity());
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaSystem.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaSystem.java
@@ -5,7 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import nettletrail.control.shard.Ballots;
+import nettletrail.control.shard.ProposalNumbers;
 import nettletrail.control.shard.ShardSettings;
 import nettletrail.emulator.explore.ReplicaNetwork.Disturbance;
 import nettletrail.protocol.Member;
@@ -21,7 +21,7 @@
   static final int REPLICAS = 3;
 
   private static final int TICKS_A_ROUND = 16;
-  private static final int BEATS_AFTER_LEASE = 3;
+  private static final int HEARTBEATS_AFTER_LEASE = 3;
 
   private final ExplorationBounds bounds;
   private final boolean keepsIdentity;
@@ -44,7 +44,7 @@
       addresses.add("replica-" + number + ":1");
     }
     List<Member> members = addresses.stream().map(NodeIdentity::founding).toList();
-    ShardVersion initial = new ShardVersion(Ballots.ZERO, 0L, members, ByteBuffer.allocate(0));
+    ShardVersion initial = new ShardVersion(ProposalNumbers.ZERO, 0L, members, ByteBuffer.allocate(0));
     for (Member member : members) {
       network.add(new SimulatedReplica(member, addresses, settings, initial));
     }
@@ -147,7 +147,7 @@
     network.advance(
         step == Transition.TimeStep.HEARTBEAT
             ? settings.heartbeat()
-            : settings.lease() + BEATS_AFTER_LEASE * settings.heartbeat());
+            : settings.lease() + HEARTBEATS_AFTER_LEASE * settings.heartbeat());
   }
 
   private void checkOwners() {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/SimulatedReplica.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/SimulatedReplica.java
@@ -8,7 +8,7 @@
 import nettletrail.control.shard.CoreShards;
 import nettletrail.control.shard.ShardSettings;
 import nettletrail.control.shard.StoreOutcome;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.store.StoredShard;
@@ -23,9 +23,9 @@
   private final String address;
   private final Deque<CoreAction> writes = new ArrayDeque<>();
   private Member self;
-  private Ballot promised;
+  private ProposalNumber promised;
   private ShardVersion version;
-  private int lives;
+  private int incarnations;
   private CoreShards shards;
 
   SimulatedReplica(Member self, List<String> seeds, ShardSettings settings, ShardVersion initial) {
@@ -46,7 +46,7 @@
 
   /** Starts a life with what the disk holds; writes under way are lost. */
   void start(long now) {
-    lives++;
+    incarnations++;
     writes.clear();
     StoredShard stored = new StoredShard(promised, version, List.of());
     shards =
@@ -57,7 +57,7 @@
             false,
             1,
             Map.of(CoreShards.CONFIGURATION_SHARD, stored),
-            lives,
+            incarnations,
             now);
   }
 
@@ -73,7 +73,7 @@
     promised = null;
     version = null;
     if (!keepsIdentity) {
-      self = new Member(address + "#r" + lives, address);
+      self = new Member(address + "#r" + incarnations, address);
     }
   }
 
@@ -99,7 +99,7 @@
   List<CoreAction> finishWrite(long now) {
     CoreAction action = writes.poll();
     if (action instanceof CoreAction.StorePromise promise) {
-      promised = promise.ballot();
+      promised = promise.proposal();
       return shards.stored(promise.ticket(), StoreOutcome.STORED, now);
     }
     CoreAction.StoreVersion stored = (CoreAction.StoreVersion) action;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Bounds.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Bounds.java
@@ -16,7 +16,7 @@
  *     nanoseconds
  * @param recover from the end of all troubles until orders are taken again, in nanoseconds
  * @param catchUp for how long a core machine still counts as lost after its return, in nanoseconds
- * @param beat how often backends call, in nanoseconds
+ * @param heartbeat how often backends call, in nanoseconds
  * @param quotaWindow length of the windows in which use is counted, in nanoseconds
  * @param quotaOver by which part the use may exceed its limit
  * @param quotaSlack by how many tokens it may exceed the limit besides
@@ -28,7 +28,7 @@
     long drain,
     long recover,
     long catchUp,
-    long beat,
+    long heartbeat,
     long quotaWindow,
     double quotaOver,
     double quotaSlack) {
@@ -45,7 +45,7 @@
   private static final long LARGE_DRAIN = 2_500 * VirtualTime.MILLISECOND;
   private static final long LARGE_RECOVER = 15 * VirtualTime.SECOND;
   private static final long LARGE_CATCH_UP = 6 * VirtualTime.SECOND;
-  private static final long BEAT = 1_200 * VirtualTime.MILLISECOND;
+  private static final long HEARTBEAT = 1_200 * VirtualTime.MILLISECOND;
   private static final long QUOTA_WINDOW = 8 * VirtualTime.SECOND;
   private static final double QUOTA_OVER = 0.1;
   private static final double QUOTA_SLACK = 190_000;
@@ -59,7 +59,7 @@
         DRAIN,
         RECOVER,
         CATCH_UP,
-        BEAT,
+        HEARTBEAT,
         QUOTA_WINDOW,
         QUOTA_OVER,
         QUOTA_SLACK);
@@ -74,7 +74,7 @@
         LARGE_DRAIN,
         LARGE_RECOVER,
         LARGE_CATCH_UP,
-        BEAT,
+        HEARTBEAT,
         QUOTA_WINDOW,
         QUOTA_OVER,
         QUOTA_SLACK);
@@ -83,13 +83,13 @@
   /** The same with another time until a configuration is in force. */
   public Bounds withInForce(long value) {
     return new Bounds(
-        contact, value, revoke, drain, recover, catchUp, beat, quotaWindow, quotaOver, quotaSlack);
+        contact, value, revoke, drain, recover, catchUp, heartbeat, quotaWindow, quotaOver, quotaSlack);
   }
 
   /** The same with another time until a key is revoked. */
   public Bounds withRevoke(long value) {
     return new Bounds(
-        contact, inForce, value, drain, recover, catchUp, beat, quotaWindow, quotaOver, quotaSlack);
+        contact, inForce, value, drain, recover, catchUp, heartbeat, quotaWindow, quotaOver, quotaSlack);
   }
 
   /** The same with another time until a backend is drained. */
@@ -101,7 +101,7 @@
         value,
         recover,
         catchUp,
-        beat,
+        heartbeat,
         quotaWindow,
         quotaOver,
         quotaSlack);
@@ -110,7 +110,7 @@
   /** The same with another window of use. */
   public Bounds withQuotaWindow(long value) {
     return new Bounds(
-        contact, inForce, revoke, drain, recover, catchUp, beat, value, quotaOver, quotaSlack);
+        contact, inForce, revoke, drain, recover, catchUp, heartbeat, value, quotaOver, quotaSlack);
   }
 
   /** What the owners of quota are told. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/CoreNode.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/CoreNode.java
@@ -55,15 +55,15 @@
   }
 
   void start(boolean firstRun) {
-    Machine.Life life = machine.start();
+    Machine.Incarnation incarnation = machine.start();
     try {
       process =
           new CoreProcess(
               world,
-              life,
+              incarnation,
               seeds,
               firstRun,
-              bounds.beat() / VirtualTime.MILLISECOND,
+              bounds.heartbeat() / VirtualTime.MILLISECOND,
               bounds.grantTerms(),
               observer);
     } catch (StorageException unusable) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/DoorNode.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/DoorNode.java
@@ -57,7 +57,7 @@
   void setSeeds(List<String> addresses) {
     seeds = List.copyOf(addresses);
     if (machine.isUp()) {
-      machine.life().run(() -> process.settingsChanged(seeds));
+      machine.incarnation().run(() -> process.settingsChanged(seeds));
     }
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Fleet.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Fleet.java
@@ -164,7 +164,7 @@
             world,
             machine,
             new BackendActor.Identity(id, service, machine.host() + BACKEND_PORT),
-            new BackendActor.Schedule(options.bounds().beat(), drain + random.nextLong(drain)),
+            new BackendActor.Schedule(options.bounds().heartbeat(), drain + random.nextLong(drain)),
             this::controlAddresses,
             this::isCoreInTouch,
             judge);
@@ -240,7 +240,7 @@
   private List<CoreProcess> processes() {
     return cores.stream()
         .map(CoreNode::process)
-        .filter(process -> process != null && process.life().isAlive())
+        .filter(process -> process != null && process.incarnation().isAlive())
         .toList();
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FleetJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FleetJudge.java
@@ -25,12 +25,12 @@
 import nettletrail.emulator.world.VirtualTime;
 import nettletrail.emulator.world.World;
 import nettletrail.protocol.Accept;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.GrantReply;
 
 /** All judges of one fleet, and what they found. */
 public final class FleetJudge implements CoreObserver, Observations {
-  private static final int MOST_VIOLATIONS = 20;
+  private static final int MAX_VIOLATIONS = 20;
 
   private final VirtualTime time;
   private final RunLog log;
@@ -61,7 +61,7 @@
   /** Notes a promise that was seen broken. */
   public void report(Violation violation) {
     log.add("BROKEN %s", violation);
-    if (violations.size() < MOST_VIOLATIONS) {
+    if (violations.size() < MAX_VIOLATIONS) {
       violations.add(violation);
     }
   }
@@ -96,8 +96,8 @@
   }
 
   /** The most tokens that the tenant used in any window. */
-  public long mostTokensInWindow() {
-    return quota.mostUsed();
+  public long maxTokensInWindow() {
+    return quota.maxUsed();
   }
 
   // What operators saw
@@ -193,7 +193,7 @@
 
   @Override
   public void accepting(CoreProcess process, Accept message) {
-    String token = text(message.getBallot());
+    String token = text(message.getProposal());
     String content =
         digest(message.getVersion().getValue()) + " " + message.getVersion().getMembers();
     ownership.tokenUsed(time.now(), message.getShard(), token, process.name());
@@ -209,8 +209,8 @@
     }
   }
 
-  private static String text(Ballot ballot) {
-    return ballot.getRound() + "/" + ballot.getNode();
+  private static String text(ProposalNumber proposal) {
+    return proposal.getTerm() + "/" + proposal.getNode();
   }
 
   private static int digest(ByteBuffer value) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomRun.java
@@ -23,7 +23,7 @@
   private static final long CALM = 6 * VirtualTime.SECOND;
   private static final long STEP = 100 * VirtualTime.MILLISECOND;
   private static final long LONGEST_OPERATOR_PAUSE = 1_500 * VirtualTime.MILLISECOND;
-  private static final int MOST_ATTEMPTS = 6;
+  private static final int MAX_ATTEMPTS = 6;
   private static final int PERSISTENT = 1_000;
   private static final double LARGE_CORE_PART = 0.3;
   private static final double ROUGH_NETWORK_PART = 0.4;
@@ -86,7 +86,7 @@
 
   private void work(Operator operator) {
     if (operator.isIdle() && !randomTroubles.isStopped()) {
-      operator.order(1 + random.nextInt(MOST_ATTEMPTS));
+      operator.order(1 + random.nextInt(MAX_ATTEMPTS));
     }
     fleet.time().after(random.nextLong(LONGEST_OPERATOR_PAUSE), () -> work(operator));
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomTroubles.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomTroubles.java
@@ -25,7 +25,7 @@
   private static final long LARGEST_CLOCK_STEP = 5 * VirtualTime.SECOND;
   private static final long LARGEST_LINK_DELAY = 800 * VirtualTime.MILLISECOND;
   private static final long LARGEST_DISK_LATENCY = 200 * VirtualTime.MILLISECOND;
-  private static final int MOST_FREE_BYTES = 3_000;
+  private static final int MAX_FREE_BYTES = 3_000;
   private static final int CLOSES_PER_CRASH = 2;
 
   /** Loads at one door, as multiples of its share of the limit. */
@@ -179,7 +179,7 @@
 
   private void fillDisk() {
     CoreNode core = anyCore();
-    troubles.fillDisk(core, random.nextInt(MOST_FREE_BYTES));
+    troubles.fillDisk(core, random.nextInt(MAX_FREE_BYTES));
     later(LONGEST_TROUBLE, () -> troubles.freeDisk(core));
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Troubles.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Troubles.java
@@ -68,9 +68,9 @@
     log("terminate %s", core);
     contact.trouble(core.machine());
     if (core.machine().isUp()) {
-      core.machine().life().run(core.process()::release);
-      Machine.Life life = core.machine().life();
-      life.after(GRACE, () -> kill(core.machine()));
+      core.machine().incarnation().run(core.process()::release);
+      Machine.Incarnation incarnation = core.machine().incarnation();
+      incarnation.after(GRACE, () -> kill(core.machine()));
     }
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
@@ -26,7 +26,7 @@
 import nettletrail.emulator.world.VirtualTime;
 import nettletrail.emulator.world.World;
 import nettletrail.protocol.Accept;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.Member;
@@ -53,7 +53,7 @@
   private static final long TICK = 50 * VirtualTime.MILLISECOND;
 
   private final World world;
-  private final Machine.Life life;
+  private final Machine.Incarnation incarnation;
   private final SplittableRandom random;
   private final CoreObserver observer;
   private final List<String> seeds;
@@ -70,27 +70,27 @@
    *
    * @param seeds addresses of links to begin with
    * @param firstRun true only at the first start of the whole fleet
-   * @param beatMillis how often backends call
+   * @param heartbeatMillis how often backends call
    * @throws StorageException if the disk can't be read or the identity can't be written
    */
   public CoreProcess(
       World world,
-      Machine.Life life,
+      Machine.Incarnation incarnation,
       List<String> seeds,
       boolean firstRun,
-      long beatMillis,
+      long heartbeatMillis,
       GrantTerms grantTerms,
       CoreObserver observer)
       throws StorageException {
     this.world = world;
-    this.life = life;
+    this.incarnation = incarnation;
     this.random = world.newRandom();
     this.observer = observer;
     this.seeds = List.copyOf(seeds);
-    this.storage = new StorageQueue(world.time(), life);
+    this.storage = new StorageQueue(world.time(), incarnation);
     this.store =
         CoreStore.open(
-            new SimulatedDirectory(life.machine().disk()),
+            new SimulatedDirectory(incarnation.machine().disk()),
             linkAddress(),
             firstRun,
             ShardMap.SHARD_COUNT,
@@ -98,12 +98,12 @@
     CoreRegistrySettings registrySettings =
         new CoreRegistrySettings(
             linkAddress(),
-            "zone-" + life.machine().name(),
+            "zone-" + incarnation.machine().name(),
             1 + random.nextLong(Long.MAX_VALUE - 1),
-            beatMillis,
+            heartbeatMillis,
             grantTerms);
-    long opened = life.machine().disk().busyUntil();
-    world.time().at(opened, () -> life.run(() -> begin(firstRun, registrySettings)));
+    long opened = incarnation.machine().disk().busyUntil();
+    world.time().at(opened, () -> incarnation.run(() -> begin(firstRun, registrySettings)));
   }
 
   private void begin(boolean firstRun, CoreRegistrySettings registrySettings) {
@@ -121,33 +121,33 @@
     registry = new CoreRegistry(registrySettings, this, now());
     Hello hello =
         new Hello(
-            life.machine().name(), self.getAddress(), ROLE, random.nextLong(), PROTOCOL_VERSION);
-    links = new SimulatedLinks(world, life, LinkSettings.defaults(), hello, this, random.split());
+            incarnation.machine().name(), self.getAddress(), ROLE, random.nextLong(), PROTOCOL_VERSION);
+    links = new SimulatedLinks(world, incarnation, LinkSettings.defaults(), hello, this, random.split());
     seeds.forEach(links::dial);
-    world.network().listen(life, controlAddress(), this::acceptCaller);
+    world.network().listen(incarnation, controlAddress(), this::acceptCaller);
     tick();
   }
 
   // What others see
 
   /** The machine's life in which this process runs. */
-  public Machine.Life life() {
-    return life;
+  public Machine.Incarnation incarnation() {
+    return incarnation;
   }
 
   /** Name of the machine and count of its lives. */
   public String name() {
-    return life.machine().name() + "/" + life.number();
+    return incarnation.machine().name() + "/" + incarnation.number();
   }
 
   /** Where other processes dial this one. */
   public String linkAddress() {
-    return life.machine().host() + LINK_PORT;
+    return incarnation.machine().host() + LINK_PORT;
   }
 
   /** Where operators and backends call. */
   public String controlAddress() {
-    return life.machine().host() + CONTROL_PORT;
+    return incarnation.machine().host() + CONTROL_PORT;
   }
 
   /** True once the disk was read. */
@@ -157,7 +157,7 @@
 
   /** True while the process would act as a shard's owner, if it ran now. */
   public boolean ownsNow(int shard) {
-    return hasBegun() && life.isAlive() && shards.owns(shard, now());
+    return hasBegun() && incarnation.isAlive() && shards.owns(shard, now());
   }
 
   /** The members of the configuration shard as this process knows them. */
@@ -259,7 +259,7 @@
     perform(registry.tick(now()));
     shards.members().forEach(member -> links.dial(member.getAddress()));
     observer.stepped(this);
-    life.after(TICK, this::tick);
+    incarnation.after(TICK, this::tick);
   }
 
   private void run(List<CoreAction> actions) {
@@ -268,13 +268,13 @@
         send(send);
       } else if (action instanceof CoreAction.StorePromise promise) {
         storage.submit(
-            () -> store.storePromise(promise.shard(), promise.ballot()),
+            () -> store.storePromise(promise.shard(), promise.proposal()),
             outcome -> stored(promise.ticket(), outcome));
       } else if (action instanceof CoreAction.StoreVersion version) {
         storage.submit(
             () -> store.storeVersion(version.shard(), version.version()),
             outcome -> stored(version.ticket(), outcome));
-      } else if (action instanceof CoreAction.AnswerOrder answer) {
+      } else if (action instanceof CoreAction.AnswerOperator answer) {
         answer(answer.call(), answer.status(), new String(answer.body(), StandardCharsets.UTF_8));
       } else if (action instanceof CoreAction.CommittedConfiguration committed) {
         committed(committed);
@@ -321,7 +321,7 @@
   }
 
   private long now() {
-    return life.machine().clock().steady();
+    return incarnation.machine().clock().steady();
   }
 
   // What the registry asks of the shards
@@ -332,7 +332,7 @@
   }
 
   @Override
-  public Ballot token(int shard) {
+  public ProposalNumber token(int shard) {
     return shards.token(shard);
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
@@ -22,7 +22,7 @@
   private static final int PROTOCOL_VERSION = 2;
   private static final long TICK = 50 * VirtualTime.MILLISECOND;
 
-  private final Machine.Life life;
+  private final Machine.Incarnation incarnation;
   private final DoorControl control;
   private final SimulatedLinks links;
   private RoutingTable table;
@@ -41,10 +41,10 @@
    * @param seeds addresses of links to begin with
    * @param promises the bounds that the door keeps
    */
-  public DoorProcess(World world, Machine.Life life, List<String> seeds, Promises promises) {
-    this.life = life;
+  public DoorProcess(World world, Machine.Incarnation incarnation, List<String> seeds, Promises promises) {
+    this.incarnation = incarnation;
     SplittableRandom random = world.newRandom();
-    String name = life.machine().name();
+    String name = incarnation.machine().name();
     String zone = "zone-" + name;
     DoorControlSettings settings =
         new DoorControlSettings(
@@ -55,22 +55,22 @@
             promises.inForceMillis(),
             seeds);
     this.control = new DoorControl(settings, now());
-    Hello hello = new Hello(name, "", SimulatedLinks.DOOR_ROLE, settings.life(), PROTOCOL_VERSION);
+    Hello hello = new Hello(name, "", SimulatedLinks.DOOR_ROLE, settings.incarnation(), PROTOCOL_VERSION);
     this.links =
-        new SimulatedLinks(world, life, LinkSettings.defaults(), hello, this, random.split());
+        new SimulatedLinks(world, incarnation, LinkSettings.defaults(), hello, this, random.split());
     tick();
   }
 
   // What the data plane sees
 
   /** The machine's life in which this process runs. */
-  public Machine.Life life() {
-    return life;
+  public Machine.Incarnation incarnation() {
+    return incarnation;
   }
 
   /** Name of the machine and count of its lives. */
   public String name() {
-    return life.machine().name() + "/" + life.number();
+    return incarnation.machine().name() + "/" + incarnation.number();
   }
 
   /** The configuration in force; null before the first. */
@@ -79,8 +79,8 @@
   }
 
   /** True while keys may be taken and refused. */
-  public boolean keysHeld() {
-    return control.keysHeld(now());
+  public boolean keysValid() {
+    return control.keysValid(now());
   }
 
   /** Takes quota for a request. */
@@ -123,7 +123,7 @@
 
   private void tick() {
     perform(control.tick(now()));
-    life.after(TICK, this::tick);
+    incarnation.after(TICK, this::tick);
   }
 
   private void perform(List<DoorAction> actions) {
@@ -146,6 +146,6 @@
   }
 
   private long now() {
-    return life.machine().clock().steady();
+    return incarnation.machine().clock().steady();
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/StorageQueue.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/StorageQueue.java
@@ -19,23 +19,23 @@
     void run() throws StorageException;
   }
 
-  private static final int MOST_WAITING = 64;
+  private static final int MAX_WAITING = 64;
 
   private final VirtualTime time;
-  private final Machine.Life life;
+  private final Machine.Incarnation incarnation;
   private final SimulatedDisk disk;
   private final Deque<Job> waiting = new ArrayDeque<>();
   private boolean busy;
 
-  StorageQueue(VirtualTime time, Machine.Life life) {
+  StorageQueue(VirtualTime time, Machine.Incarnation incarnation) {
     this.time = time;
-    this.life = life;
-    this.disk = life.machine().disk();
+    this.incarnation = incarnation;
+    this.disk = incarnation.machine().disk();
   }
 
   /** Runs a write after those before it; the outcome comes as a step of the process. */
   void submit(Write write, Consumer<StoreOutcome> done) {
-    if (waiting.size() >= MOST_WAITING) {
+    if (waiting.size() >= MAX_WAITING) {
       done.accept(StoreOutcome.failed("the storage queue is full"));
       return;
     }
@@ -50,7 +50,7 @@
     busy = true;
     Job job = waiting.poll();
     StoreOutcome outcome = run(job.write);
-    time.at(disk.busyUntil(), () -> life.run(() -> finish(job, outcome)));
+    time.at(disk.busyUntil(), () -> incarnation.run(() -> finish(job, outcome)));
   }
 
   private void finish(Job job, StoreOutcome outcome) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/LinearizabilityChecker.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/judge/LinearizabilityChecker.java
@@ -17,7 +17,7 @@
   private final SequentialModel<S, O> model;
   private final List<TimedOperation<O>> operations;
   private final Set<Configuration<S>> seen = new HashSet<>();
-  private int mostPlaced = -1;
+  private int maxPlaced = -1;
   private String obstacle = "";
 
   /** Checks one history; the operations may come in any order. */
@@ -85,10 +85,10 @@
   }
 
   private void noteObstacle(S state, BitSet placed) {
-    if (placed.cardinality() <= mostPlaced) {
+    if (placed.cardinality() <= maxPlaced) {
       return;
     }
-    mostPlaced = placed.cardinality();
+    maxPlaced = placed.cardinality();
     long firstReturn = firstReturnOutside(placed);
     StringBuilder text = new StringBuilder("after ").append(state).append(" none fits of:");
     for (int index = placed.nextClearBit(0);
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/QuotaJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/judge/QuotaJudge.java
@@ -19,7 +19,7 @@
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     /** The most tokens that may be used in one window. */
-    public double mostPerWindow() {
+    public double maxPerWindow() {
       double regular = ratePerSecond * window / NANOSECONDS_PER_SECOND + burst;
       return regular * (1 + over) + slack;
     }
@@ -30,7 +30,7 @@
   private final Consumer<Violation> violations;
   private final Deque<Use> window = new ArrayDeque<>();
   private long used;
-  private long mostUsed;
+  private long maxUsed;
 
   /**
    * @param violations told what is broken
@@ -48,16 +48,16 @@
     while (window.peek().instant <= instant - limit.window()) {
       used -= window.poll().tokens;
     }
-    mostUsed = Math.max(mostUsed, used);
-    if (used > limit.mostPerWindow()) {
-      String what = tenant + " used " + used + " of at most " + limit.mostPerWindow();
+    maxUsed = Math.max(maxUsed, used);
+    if (used > limit.maxPerWindow()) {
+      String what = tenant + " used " + used + " of at most " + limit.maxPerWindow();
       violations.accept(new Violation(Promise.QUOTA_WINDOW, instant, what));
     }
   }
 
   /** The most tokens that were used in any window. */
-  public long mostUsed() {
-    return mostUsed;
+  public long maxUsed() {
+    return maxUsed;
   }
 
   private record Use(long instant, long tokens) {}
--- a/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLink.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLink.java
@@ -60,7 +60,7 @@
     }
   }
 
-  void restartSilence(long now) {
+  void restartIdleTimeout(long now) {
     lastReceived = now;
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLinks.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLinks.java
@@ -30,7 +30,7 @@
   private static final int CHECKS_PER_PING = 4;
 
   private final World world;
-  private final Machine.Life life;
+  private final Machine.Incarnation incarnation;
   private final LinkSettings settings;
   private final Hello me;
   private final LinkListener listener;
@@ -51,20 +51,20 @@
    */
   public SimulatedLinks(
       World world,
-      Machine.Life life,
+      Machine.Incarnation incarnation,
       LinkSettings settings,
       Hello me,
       LinkListener listener,
       SplittableRandom random) {
     this.world = world;
-    this.life = life;
+    this.incarnation = incarnation;
     this.settings = settings;
     this.me = me;
     this.listener = listener;
     this.random = random;
     this.lastCheck = now();
     if (!me.getRole().equals(DOOR_ROLE)) {
-      world.network().listen(life, me.getAddress(), connection -> add(connection, null));
+      world.network().listen(incarnation, me.getAddress(), connection -> add(connection, null));
     }
     checkLater();
   }
@@ -111,7 +111,7 @@
   }
 
   long now() {
-    return life.machine().clock().steady();
+    return incarnation.machine().clock().steady();
   }
 
   void up(SimulatedLink link) {
@@ -155,7 +155,7 @@
 
   private void connect(String address) {
     long timeout = settings.connectTimeoutMillis() * VirtualTime.MILLISECOND;
-    world.network().connect(life, address, timeout, connection -> connected(address, connection));
+    world.network().connect(incarnation, address, timeout, connection -> connected(address, connection));
   }
 
   private void connected(String address, Connection connection) {
@@ -179,7 +179,7 @@
     long bound = backoff.getOrDefault(address, (long) settings.minBackoffMillis());
     long pause = random.nextLong(settings.minBackoffMillis(), bound + 1);
     backoff.put(address, Math.min(settings.maxBackoffMillis(), 2 * bound));
-    life.after(
+    incarnation.after(
         pause * VirtualTime.MILLISECOND,
         () -> {
           if (dialled.contains(address)) {
@@ -190,17 +190,17 @@
 
   private void checkLater() {
     long period = settings.pingMillis() * VirtualTime.MILLISECOND / CHECKS_PER_PING;
-    life.after(period, this::checkLiveness);
+    incarnation.after(period, this::checkLiveness);
   }
 
   private void checkLiveness() {
     long now = now();
-    long silence = settings.silenceMillis() * VirtualTime.MILLISECOND;
+    long silence = settings.idleTimeoutMillis() * VirtualTime.MILLISECOND;
     boolean wasPaused = now - lastCheck > silence / 2;
     lastCheck = now;
     for (SimulatedLink link : List.copyOf(openLinks)) {
       if (wasPaused) {
-        link.restartSilence(now);
+        link.restartIdleTimeout(now);
       }
       link.checkLiveness(now, silence, settings.pingMillis() * VirtualTime.MILLISECOND);
     }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/Connection.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/world/Connection.java
@@ -20,7 +20,7 @@
     void closed();
   }
 
-  private final Machine.Life life;
+  private final Machine.Incarnation incarnation;
   private Pipe outgoing;
   private Connection peer;
   private Listener listener;
@@ -31,8 +31,8 @@
 
   private boolean endUnheard;
 
-  Connection(Machine.Life life) {
-    this.life = life;
+  Connection(Machine.Incarnation incarnation) {
+    this.incarnation = incarnation;
   }
 
   static void join(Connection one, Connection other, Pipe oneToOther, Pipe otherToOne) {
@@ -59,8 +59,8 @@
   }
 
   /** The process at this end. */
-  public Machine.Life life() {
-    return life;
+  public Machine.Incarnation incarnation() {
+    return incarnation;
   }
 
   /** Sends a message; without effect on a connection that has ended. */
@@ -97,8 +97,8 @@
 
   void deliver(Payload payload) {
     if (open) {
-      life.run(() -> receive(payload));
-    } else if (life.machine().isPowered()) {
+      incarnation.run(() -> receive(payload));
+    } else if (incarnation.machine().isPowered()) {
       peer.refusedByPeer();
     }
   }
@@ -123,7 +123,7 @@
   }
 
   void endFromOutside() {
-    life.run(this::endNow);
+    incarnation.run(this::endNow);
   }
 
   private void endNow() {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/Machine.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/world/Machine.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * One machine with at most one process. Every step of the process goes through {@link Life#run}, so
+ * One machine with at most one process. Every step of the process goes through {@link Incarnation#run}, so
  * that it can be killed or frozen between any two steps: a frozen process runs its steps after it
  * was thawed, a dead one never does.
  */
@@ -24,8 +24,8 @@
   private final MachineClock clock;
   private final SimulatedDisk disk;
   private final String host;
-  private Life life;
-  private int lives;
+  private Incarnation incarnation;
+  private int incarnations;
   private boolean powered = true;
 
   /**
@@ -62,18 +62,18 @@
   }
 
   /** The life of the present process; null while there is none. */
-  public Life life() {
-    return life;
+  public Incarnation incarnation() {
+    return incarnation;
   }
 
   /** True while a process is there, frozen or not. */
   public boolean isUp() {
-    return life != null;
+    return incarnation != null;
   }
 
   /** True while a process is there and not frozen. */
   public boolean isRunning() {
-    return life != null && !life.frozen;
+    return incarnation != null && !incarnation.frozen;
   }
 
   /** True unless the machine is without power. */
@@ -82,14 +82,14 @@
   }
 
   /** Starts a process. The machine must have none. */
-  public Life start() {
-    if (life != null) {
+  public Incarnation start() {
+    if (incarnation != null) {
       throw new IllegalStateException(name + " runs already");
     }
     powered = true;
-    lives++;
-    life = new Life(lives);
-    return life;
+    incarnations++;
+    incarnation = new Incarnation(incarnations);
+    return incarnation;
   }
 
   /** Ends the process, if there is one. */
@@ -97,8 +97,8 @@
     if (disk != null) {
       disk.stopWriting();
     }
-    Life ended = life;
-    life = null;
+    Incarnation ended = incarnation;
+    incarnation = null;
     if (end == End.POWER_LOSS) {
       powered = false;
       if (disk != null) {
@@ -112,15 +112,15 @@
 
   /** Stops the process from running steps until {@link #thaw}. */
   public void freeze() {
-    if (life != null) {
-      life.frozen = true;
+    if (incarnation != null) {
+      incarnation.frozen = true;
     }
   }
 
   /** Lets a frozen process run the steps that came due meanwhile, in their order. */
   public void thaw() {
-    if (life != null) {
-      life.thaw();
+    if (incarnation != null) {
+      incarnation.thaw();
     }
   }
 
@@ -130,14 +130,14 @@
   }
 
   /** One life of a process, from its start to its end. */
-  public final class Life {
+  public final class Incarnation {
     private final int number;
     private final List<EndListener> endListeners = new ArrayList<>();
     private final Deque<Runnable> deferred = new ArrayDeque<>();
     private boolean frozen;
     private boolean ended;
 
-    private Life(int number) {
+    private Incarnation(int number) {
       this.number = number;
     }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/Network.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/world/Network.java
@@ -48,16 +48,16 @@
    *
    * @param address {@code host:port}, the host being the machine's
    */
-  public void listen(Machine.Life life, String address, Consumer<Connection> acceptor) {
-    listening.put(address, new Listening(life, acceptor));
-    life.onEnd(end -> listening.computeIfPresent(address, (key, l) -> l.life == life ? null : l));
+  public void listen(Machine.Incarnation incarnation, String address, Consumer<Connection> acceptor) {
+    listening.put(address, new Listening(incarnation, acceptor));
+    incarnation.onEnd(end -> listening.computeIfPresent(address, (key, l) -> l.incarnation == incarnation ? null : l));
   }
 
   /**
    * Opens a connection. The result comes as a step of the process: a connection, or null if it was
    * refused or did not come up in time.
    */
-  public void connect(Machine.Life from, String address, long timeout, Consumer<Connection> done) {
+  public void connect(Machine.Incarnation from, String address, long timeout, Consumer<Connection> done) {
     Attempt attempt = new Attempt(from, done);
     from.after(timeout, () -> attempt.complete(null));
     Machine target = machines.get(hostOf(address));
@@ -78,9 +78,9 @@
       return;
     }
     Connection near = new Connection(attempt.from);
-    Connection far = new Connection(acceptor.life);
+    Connection far = new Connection(acceptor.incarnation);
     join(near, far, there);
-    acceptor.life.run(() -> acceptor.acceptor.accept(far));
+    acceptor.incarnation.run(() -> acceptor.acceptor.accept(far));
     answer(attempt, there, near);
   }
 
@@ -108,7 +108,7 @@
 
   private void register(Connection connection) {
     connections.add(connection);
-    connection.life().onEnd(connection::abandon);
+    connection.incarnation().onEnd(connection::abandon);
   }
 
   /** Forgets connections that have ended, so that a long run stays small. */
@@ -168,7 +168,7 @@
   /** Resets all connections of a machine. */
   public void resetConnections(Machine machine) {
     for (Connection connection : List.copyOf(connections)) {
-      if (connection.isOpen() && connection.life().machine() == machine) {
+      if (connection.isOpen() && connection.incarnation().machine() == machine) {
         connection.reset();
       }
     }
@@ -183,15 +183,15 @@
     return address.substring(0, address.lastIndexOf(':'));
   }
 
-  private record Listening(Machine.Life life, Consumer<Connection> acceptor) {}
+  private record Listening(Machine.Incarnation incarnation, Consumer<Connection> acceptor) {}
 
   /** A connection that is being opened; completed once. */
   private static final class Attempt {
-    private final Machine.Life from;
+    private final Machine.Incarnation from;
     private final Consumer<Connection> done;
     private boolean completed;
 
-    Attempt(Machine.Life from, Consumer<Connection> done) {
+    Attempt(Machine.Incarnation from, Consumer<Connection> done) {
       this.from = from;
       this.done = done;
     }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/capacity/ControlBudgetTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/capacity/ControlBudgetTest.java
@@ -42,7 +42,7 @@
 
   private static Map<String, Object> within() {
     Map<String, Object> figures = new LinkedHashMap<>();
-    ControlBudget.ALL.forEach(budget -> figures.put(budget.figure(), budget.most()));
+    ControlBudget.ALL.forEach(budget -> figures.put(budget.figure(), budget.max()));
     return figures;
   }
 }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/capacity/MeasuredProcessTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/capacity/MeasuredProcessTest.java
@@ -36,7 +36,7 @@
 
     assertEquals(VirtualTime.SECOND / 10, first);
     assertEquals(VirtualTime.SECOND / 5, second);
-    assertEquals(2L * bytes, process.takeMostQueuedBytes());
+    assertEquals(2L * bytes, process.takeMaxQueuedBytes());
   }
 
   @Test
--- a/fleet-emulator/src/test/java/nettletrail/emulator/capacity/MessageSizesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/capacity/MessageSizesTest.java
@@ -31,7 +31,7 @@
     double predicted = sizes.get("ConfigurationChunk").with(tenants);
     int encoded =
         MessageSizes.framedBytes(
-            SampleMessages.configurationChunk(SampleDocument.whole(1_000, tenants)));
+            SampleMessages.configurationChunk(SampleDocument.complete(1_000, tenants)));
 
     assertEquals(encoded, predicted, encoded * 0.02);
   }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/fleet/PlantedDefectsTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/fleet/PlantedDefectsTest.java
@@ -20,7 +20,7 @@
 /** Each promise is broken in a whole fleet by a planted defect, and the judge sees it. */
 class PlantedDefectsTest {
   private static final long SECOND = VirtualTime.SECOND;
-  private static final int MOST_SEEDS = 60;
+  private static final int MAX_SEEDS = 60;
 
   @Test
   void disksThatDoNotSyncLoseConfigurations() {
@@ -176,7 +176,7 @@
 
   private static void assertFound(Promise promise, FleetRun run) {
     Set<Promise> found = new HashSet<>();
-    for (long seed = 1; seed <= MOST_SEEDS; seed++) {
+    for (long seed = 1; seed <= MAX_SEEDS; seed++) {
       for (Violation violation : run.play(seed).judge().violations()) {
         found.add(violation.promise());
       }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/fleet/RandomRunsTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/fleet/RandomRunsTest.java
@@ -17,7 +17,7 @@
   private static final int KNOWN_SEEDS = 100;
   private static final long DEFAULT_SECONDS = 30;
   private static final long NANOSECONDS_PER_SECOND = 1_000_000_000L;
-  private static final int MOST_FAILURES = 3;
+  private static final int MAX_FAILURES = 3;
 
   private final List<String> failures = new ArrayList<>();
   private int runs;
@@ -70,7 +70,7 @@
   }
 
   private void play(RandomRun run, long seed) {
-    if (failures.size() >= MOST_FAILURES) {
+    if (failures.size() >= MAX_FAILURES) {
       return;
     }
     List<Violation> violations = run.run();
--- a/fleet-emulator/src/test/java/nettletrail/emulator/judge/JudgesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/judge/JudgesTest.java
@@ -53,7 +53,7 @@
     assertBroken();
     judge.used(3 * SECOND, 1);
     assertBroken(Promise.QUOTA_WINDOW);
-    assertEquals(51, judge.mostUsed());
+    assertEquals(51, judge.maxUsed());
   }
 
   @Test
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/CutOffCoreStoriesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/CutOffCoreStoriesTest.java
@@ -126,7 +126,7 @@
       Victim victim, Cut cut, long seconds) {
     Story story = Story.givenFleet(100 + seconds, CORES, DOORS);
     cutOnce(story, victim.of(story), cut, seconds * SECOND);
-    assertWhole(story);
+    assertComplete(story);
   }
 
   @ParameterizedTest
@@ -137,7 +137,7 @@
     CoreNode first = victim.of(story);
     cutOnce(story, first, cut, seconds * SECOND);
     cutOnce(story, others(story, first).get(0), cut, seconds * SECOND);
-    assertWhole(story);
+    assertComplete(story);
   }
 
   /**
@@ -184,7 +184,7 @@
     operator.sendTo(victim.controlAddress(), document);
   }
 
-  private static void assertWhole(Story story) {
+  private static void assertComplete(Story story) {
     story.waitFor(() -> story.fleet().operators().stream().allMatch(Operator::isIdle));
     story.operator().read();
     story.waitFor(story.operator()::isIdle);
@@ -256,7 +256,7 @@
     OrderDocument newest = story.operator().newest();
     assertSame(newest, story.readBack());
     assertTrue(story.waitFor(() -> story.uses(door, newest)));
-    assertWhole(story);
+    assertComplete(story);
   }
 
   /** Messages between the door and the other core machines take longer. */
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/DoorStoriesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/DoorStoriesTest.java
@@ -23,14 +23,14 @@
     story.troubles().cut(List.of(door.machine()), story.coreMachines());
     story.when("a door is cut off");
     story.pass(SECOND);
-    story.then("it takes keys after 1 s", door.process().keysHeld());
+    story.then("it takes keys after 1 s", door.process().keysValid());
     story.pass(4 * SECOND);
-    story.then("it takes keys after 5 s", door.process().keysHeld());
+    story.then("it takes keys after 5 s", door.process().keysValid());
     story.then("an order is acknowledged meanwhile", story.orderIsAcknowledged());
     story.troubles().healCuts();
     story.pass(3 * SECOND);
     story.when("the cut has healed");
-    story.then("it takes keys", door.process().keysHeld());
+    story.then("it takes keys", door.process().keysValid());
     story.then("it uses the last order", story.uses(door, story.operator().newest()));
     story.approve();
   }
@@ -173,9 +173,9 @@
     }
     story.when(
         "the owner is killed four times and each door is cut off once, under twice the load");
-    long most = story.fleet().judge().mostTokensInWindow();
+    long max = story.fleet().judge().maxTokensInWindow();
     story.then(
-        "some window holds over half of the limit", most > 4 * OrderDocument.RATE_PER_SECOND);
+        "some window holds over half of the limit", max > 4 * OrderDocument.RATE_PER_SECOND);
     story.approve();
   }
 
--- a/fleet-emulator/src/test/java/nettletrail/emulator/world/NetworkTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/world/NetworkTest.java
@@ -118,7 +118,7 @@
   @Test
   void runsNoStepOfAProcessThatHasEnded() {
     List<String> steps = new ArrayList<>();
-    server.life().after(VirtualTime.SECOND, () -> steps.add("old life"));
+    server.incarnation().after(VirtualTime.SECOND, () -> steps.add("old life"));
     server.end(Machine.End.KILL);
     server.start().after(VirtualTime.SECOND, () -> steps.add("new life"));
     time.runFor(2 * VirtualTime.SECOND);
@@ -159,7 +159,7 @@
     Connection[] result = new Connection[1];
     boolean[] done = new boolean[1];
     network.connect(
-        client.life(),
+        client.incarnation(),
         address,
         TIMEOUT,
         connection -> {
--- a/fleet/src/main/java/nettletrail/fleet/CoreProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/CoreProcess.java
@@ -35,9 +35,9 @@
 import nettletrail.fleet.settings.Bounds;
 import nettletrail.fleet.settings.FleetSettings;
 import nettletrail.protocol.Backend;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.event.LogEvent;
 import nettletrail.protocol.link.LinkListener;
 import nettletrail.protocol.link.LinkSettings;
@@ -97,7 +97,7 @@
     SplittableRandom random = ProcessSeed.random(settings.node());
     CoreStore store = openStore(settings, random.nextLong());
     long now = System.nanoTime();
-    long life = random.nextLong() & Long.MAX_VALUE;
+    long incarnation = random.nextLong() & Long.MAX_VALUE;
     Member self = store.self();
     this.storage = new StorageThread(store);
     this.shards =
@@ -110,8 +110,9 @@
             store.stored(),
             random.nextLong(),
             now);
-    this.registry = new CoreRegistry(registrySettings(settings, life), this, now);
-    Hello hello = new Hello(settings.node(), self.getAddress(), ROLE, life, PROTOCOL_VERSION);
+    this.registry = new CoreRegistry(registrySettings(settings, incarnation), this, now);
+    Hello hello =
+        new Hello(settings.node(), self.getAddress(), ROLE, incarnation, PROTOCOL_VERSION);
     this.links = new Links(loop, LinkSettings.defaults(), hello, this, metrics);
     this.sender = new ValidMessageSender(links::send, System::nanoTime);
     this.server = new ControlServer(loop, ControlSettings.defaults(), this);
@@ -261,7 +262,7 @@
         storage.store(promise, outcome -> stored(promise.ticket(), outcome));
       } else if (action instanceof CoreAction.StoreVersion version) {
         storage.store(version, outcome -> stored(version.ticket(), outcome));
-      } else if (action instanceof CoreAction.AnswerOrder answer) {
+      } else if (action instanceof CoreAction.AnswerOperator answer) {
         server.answer(answer.call(), answer.status(), answer.body(), answer.validUntil());
       } else if (action instanceof CoreAction.CommittedConfiguration committed) {
         committed(committed);
@@ -320,7 +321,7 @@
   }
 
   @Override
-  public Ballot token(int shard) {
+  public ProposalNumber token(int shard) {
     return shards.token(shard);
   }
 
@@ -368,7 +369,7 @@
     }
   }
 
-  private static CoreRegistrySettings registrySettings(FleetSettings settings, long life) {
+  private static CoreRegistrySettings registrySettings(FleetSettings settings, long incarnation) {
     Bounds bounds = settings.bounds();
     GrantTerms terms =
         new GrantTerms(
@@ -379,7 +380,7 @@
     return new CoreRegistrySettings(
         settings.internalAddress(),
         settings.zone(),
-        Math.max(1, life),
+        Math.max(1, incarnation),
         settings.heartbeatInterval().toMillis(),
         terms);
   }
--- a/fleet/src/main/java/nettletrail/fleet/CoreStatusJson.java
+++ b/fleet/src/main/java/nettletrail/fleet/CoreStatusJson.java
@@ -14,9 +14,9 @@
 import nettletrail.control.shard.ShardStatus;
 import nettletrail.control.shard.StoredConfiguration;
 import nettletrail.protocol.Backend;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.ConfigurationChange;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 
 /** The status views as objects for JSON; the names of their fields are part of the interface. */
 final class CoreStatusJson {
@@ -51,7 +51,7 @@
       json.put("state", backend.getState().name().toLowerCase(Locale.ROOT));
       json.put("slots", backend.getSlots());
       json.put("call_seq", backend.getCallSequence());
-      json.put("heard_ago_ms", status.heardAgoMs());
+      json.put("heard_ago_ms", status.lastSeenAgoMs());
       json.put("expired", status.expired());
       list.add(json);
     }
@@ -67,7 +67,7 @@
     json.put("token", shard.token() == null ? "" : token(shard.token()));
     json.put("accepted_sequence", shard.acceptedSequence());
     json.put("committed_sequence", shard.committedSequence());
-    json.put("owner_heard_ago_ms", shard.ownerHeardAgoMs());
+    json.put("owner_heard_ago_ms", shard.ownerLastSeenAgoMs());
     json.put("replicas", shard.replicas().stream().map(Member::getId).toList());
     return json;
   }
@@ -134,8 +134,8 @@
     return list;
   }
 
-  private static String token(Ballot ballot) {
-    return ballot.getRound() + "/" + ballot.getNode();
+  private static String token(ProposalNumber proposal) {
+    return proposal.getTerm() + "/" + proposal.getNode();
   }
 
   private static String hex(ByteBuffer bytes) {
--- a/fleet/src/main/java/nettletrail/fleet/DoorControlView.java
+++ b/fleet/src/main/java/nettletrail/fleet/DoorControlView.java
@@ -94,12 +94,12 @@
 
   @Override
   public boolean keysConfirmed(long nowNanos) {
-    return keysNeedConfirmation ? control.keysHeld(nowNanos) : routing != null;
+    return keysNeedConfirmation ? control.keysValid(nowNanos) : routing != null;
   }
 
   @Override
   public boolean routingConfirmed(long nowNanos) {
-    return control.keysHeld(nowNanos);
+    return control.keysValid(nowNanos);
   }
 
   @Override
@@ -127,8 +127,8 @@
   }
 
   @Override
-  public void giveBack(String tenant, long tokens, long now) {
-    control.grants().giveBack(tenant, tokens);
+  public void refund(String tenant, long tokens, long now) {
+    control.grants().refund(tenant, tokens);
   }
 
   @Override
@@ -152,7 +152,7 @@
                 address,
                 backend.getZone(),
                 Math.max(1, backend.getSlots()),
-                backend.getColdLeftMs()));
+                backend.getWarmUpLeftMs()));
       }
     }
     return List.copyOf(ready);
--- a/fleet/src/main/java/nettletrail/fleet/DoorProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/DoorProcess.java
@@ -39,7 +39,7 @@
   private static final int RESERVED_DESCRIPTORS = 400;
 
   /** A door takes so many connections however few descriptors it has. */
-  private static final int LEAST_CONNECTIONS = 64;
+  private static final int MIN_CONNECTIONS = 64;
 
   /** Part of the machine's memory that bodies of requests may take. */
   private static final int BODY_MEMORY_DIVISOR = 16;
@@ -63,14 +63,14 @@
     this.settings = settings;
     SplittableRandom random = ProcessSeed.random(settings.node());
     Bounds bounds = settings.bounds();
-    long life = Math.max(1, random.nextLong() & Long.MAX_VALUE);
+    long incarnation = Math.max(1, random.nextLong() & Long.MAX_VALUE);
     long now = System.nanoTime();
     this.control =
         new DoorControl(
             new DoorControlSettings(
                 settings.node(),
                 settings.zone(),
-                life,
+                incarnation,
                 bounds.revoke().toMillis(),
                 bounds.inForce().toMillis(),
                 settings.seedInternalAddresses()),
@@ -79,7 +79,11 @@
     this.router = new Router(loop, routerSettings(settings, random.nextLong()), view);
     Hello hello =
         new Hello(
-            settings.node(), settings.internalAddress(), Links.DOOR_ROLE, life, PROTOCOL_VERSION);
+            settings.node(),
+            settings.internalAddress(),
+            Links.DOOR_ROLE,
+            incarnation,
+            PROTOCOL_VERSION);
     this.links = new Links(loop, LinkSettings.defaults(), hello, this, metrics);
   }
 
@@ -251,7 +255,7 @@
         bounds.retryRatio(),
         bounds.retrySlack(),
         bounds.retryWindow().toMillis(),
-        Math.max(LEAST_CONNECTIONS, settings.limits().fileLimit() - RESERVED_DESCRIPTORS),
+        Math.max(MIN_CONNECTIONS, settings.limits().fileLimit() - RESERVED_DESCRIPTORS),
         settings.limits().memoryMegabytes() * BYTES_A_MEGABYTE / BODY_MEMORY_DIVISOR,
         RouterSettings.DEFAULT_CONNECT_TIMEOUT_MS,
         seed);
--- a/fleet/src/main/java/nettletrail/fleet/MetricsPort.java
+++ b/fleet/src/main/java/nettletrail/fleet/MetricsPort.java
@@ -6,7 +6,7 @@
 final class MetricsPort {
   private static final String OPTION = "--metrics-port";
   private static final int ARGUMENTS_WITH_OPTION = 3;
-  private static final int MOST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private MetricsPort() {}
 
@@ -30,13 +30,13 @@
   private static int port(String text) throws StartException {
     try {
       int port = Integer.parseInt(text);
-      if (port > 0 && port <= MOST_PORT) {
+      if (port > 0 && port <= MAX_PORT) {
         return port;
       }
     } catch (NumberFormatException notANumber) {
       // Told below, as a number that is out of range is.
     }
     throw new StartException(
-        "read the arguments", OPTION + " " + text + ": a port from 1 to " + MOST_PORT, null);
+        "read the arguments", OPTION + " " + text + ": a port from 1 to " + MAX_PORT, null);
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/MetricsServer.java
+++ b/fleet/src/main/java/nettletrail/fleet/MetricsServer.java
@@ -29,7 +29,7 @@
 final class MetricsServer extends SimpleChannelInboundHandler<FullHttpRequest> {
   private static final Logger LOG = LoggerFactory.getLogger(MetricsServer.class);
   private static final String PATH = "/metrics";
-  private static final int MOST_BODY = 4_096;
+  private static final int MAX_BODY = 4_096;
 
   private final ProcessMetrics metrics;
 
@@ -52,7 +52,7 @@
                         .pipeline()
                         .addLast(
                             new HttpServerCodec(),
-                            new HttpObjectAggregator(MOST_BODY),
+                            new HttpObjectAggregator(MAX_BODY),
                             new MetricsServer(metrics));
                   }
                 })
--- a/fleet/src/main/java/nettletrail/fleet/StorageThread.java
+++ b/fleet/src/main/java/nettletrail/fleet/StorageThread.java
@@ -19,12 +19,12 @@
 
 /**
  * Writes promises and versions to the disk on a thread of its own, one after the other, so that a
- * disk that is slow or silent never holds up the event loop. At most {@value #MOST_WAITING} writes
+ * disk that is slow or silent never holds up the event loop. At most {@value #MAX_WAITING} writes
  * wait; further ones fail at once.
  */
 final class StorageThread implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(StorageThread.class);
-  private static final int MOST_WAITING = 64;
+  private static final int MAX_WAITING = 64;
 
   private final CoreStore store;
   private final ThreadPoolExecutor executor =
@@ -33,7 +33,7 @@
           1,
           0,
           TimeUnit.SECONDS,
-          new ArrayBlockingQueue<>(MOST_WAITING),
+          new ArrayBlockingQueue<>(MAX_WAITING),
           new DefaultThreadFactory("storage", true));
 
   StorageThread(CoreStore store) {
@@ -44,7 +44,7 @@
    * Stores a promise; {@code done} is called with the outcome, on the storage thread or at once.
    */
   void store(StorePromise promise, Consumer<StoreOutcome> done) {
-    submit(() -> store.storePromise(promise.shard(), promise.ballot()), done);
+    submit(() -> store.storePromise(promise.shard(), promise.proposal()), done);
   }
 
   /**
--- a/fleet/src/main/java/nettletrail/fleet/WarmUp.java
+++ b/fleet/src/main/java/nettletrail/fleet/WarmUp.java
@@ -21,7 +21,7 @@
   private static final long PAUSE_MS = 50;
   private static final int REQUESTS = 20;
   private static final int READ_TIMEOUT_MS = 2_000;
-  private static final int MOST_PORT = 60_000;
+  private static final int MAX_PORT = 60_000;
   private static final int READY_PORT_OFFSET = 3;
   private static final int LINK_PORT_OFFSET = 5;
   private static final int METRICS_PORT_OFFSET = 8;
@@ -123,7 +123,7 @@
   private static int freePort() throws IOException {
     try (ServerSocket socket = new ServerSocket()) {
       socket.bind(new InetSocketAddress(CORE_HOST, 0));
-      return Math.min(socket.getLocalPort(), MOST_PORT);
+      return Math.min(socket.getLocalPort(), MAX_PORT);
     }
   }
 
--- a/fleet/src/main/java/nettletrail/fleet/cli/DiskCheckCommand.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/DiskCheckCommand.java
@@ -95,8 +95,8 @@
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("shard", shard.shard());
       row.put("sequence", shard.newest() == null ? -1 : shard.newest().getSequence());
-      row.put("whole_versions", shard.wholeVersions());
-      row.put("promised_round", shard.promised() == null ? -1 : shard.promised().getRound());
+      row.put("whole_versions", shard.completeVersions());
+      row.put("promised_round", shard.promised() == null ? -1 : shard.promised().getTerm());
       row.put("replicas", shard.newest() == null ? 0 : shard.newest().getMembers().size());
       rows.add(row);
     }
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/Clients.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/Clients.java
@@ -10,12 +10,12 @@
  * tries again as told.
  */
 final class Clients {
-  private static final int MOST_TRIES = 3;
+  private static final int MAX_TRIES = 3;
   private static final int PAUSE_MS = 40;
   private static final int PAUSE_SPREAD_MS = 80;
   private static final long NANOS_A_MILLISECOND = 1_000_000;
   private static final int MILLIS_A_SECOND = 1_000;
-  private static final double MOST_WAIT_SHARE = 1.0 / 3;
+  private static final double MAX_WAIT_SHARE = 1.0 / 3;
 
   private final DoorDirectory doors;
   private final List<Thread> threads = new ArrayList<>();
@@ -77,7 +77,7 @@
       long waitMs = retryAfterMs(response);
       long leftAfterMs = (deadline - System.nanoTime()) / NANOS_A_MILLISECOND;
       boolean again =
-          outcome.mayRetry() && tries < MOST_TRIES && waitMs < leftAfterMs * MOST_WAIT_SHARE;
+          outcome.mayRetry() && tries < MAX_TRIES && waitMs < leftAfterMs * MAX_WAIT_SHARE;
       note(new RequestOutcome(kind, attempt, sentAt, response, !again));
       if (!again) {
         return;
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationResult.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationResult.java
@@ -15,7 +15,7 @@
  */
 public record DemonstrationResult(
     List<RouteSummary> routes, List<String> failures, List<RuleResult> rules) {
-  private static final int MOST_FAILURES_PRINTED = 12;
+  private static final int MAX_FAILURES_PRINTED = 12;
 
   /** Whether every rule held. */
   public boolean isPassed() {
@@ -42,7 +42,7 @@
     out.println(
         "p50, p99: to the first event or byte of those that were answered, from their last try");
     failures.stream()
-        .limit(MOST_FAILURES_PRINTED)
+        .limit(MAX_FAILURES_PRINTED)
         .forEach(failure -> out.println("failed: " + failure));
     out.println();
     for (RuleResult rule : rules) {
--- a/fleet/src/main/java/nettletrail/fleet/settings/SettingsDefaults.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/SettingsDefaults.java
@@ -15,7 +15,7 @@
   static final double LINK_MBPS = 1_000;
 
   /** {@code beat_ms}. */
-  static final int BEAT_MS = 1_000;
+  static final int HEARTBEAT_MS = 1_000;
 
   /** {@code bounds.roster_lag_s}. */
   static final int ROSTER_LAG_S = 3;
--- a/fleet/src/main/java/nettletrail/fleet/settings/SettingsReader.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/SettingsReader.java
@@ -158,7 +158,7 @@
   }
 
   private Duration heartbeatInterval() {
-    Duration interval = values.millis("beat_ms", SettingsDefaults.BEAT_MS);
+    Duration interval = values.millis("beat_ms", SettingsDefaults.HEARTBEAT_MS);
     if (interval.isZero()) {
       values.fault("beat_ms", "write a time above 0 in milliseconds");
     }
--- a/fleet/src/test/java/nettletrail/fleet/http/CallOrderTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/http/CallOrderTest.java
@@ -24,7 +24,7 @@
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class CallOrderTest {
   private static final long PATIENCE_SECONDS = 20;
-  private static final int MOST_BODY_BYTES = 1_000;
+  private static final int MAX_BODY_BYTES = 1_000;
   private static final String GET = "GET /nettletrail/config HTTP/1.1\r\nHost: core\r\n";
   private static final String PUT = "PUT /nettletrail/config HTTP/1.1\r\nHost: core\r\n";
 
@@ -36,7 +36,7 @@
 
   @BeforeEach
   void listen() throws Exception {
-    ControlSettings settings = new ControlSettings(4, 2048, MOST_BODY_BYTES, 4, 30_000, 30_000);
+    ControlSettings settings = new ControlSettings(4, 2048, MAX_BODY_BYTES, 4, 30_000, 30_000);
     server = new ControlServer(loop, settings, new RecordingCalls());
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     address = (InetSocketAddress) server.listen(any).sync().channel().localAddress();
@@ -86,7 +86,7 @@
   @Test
   void bodyThatIsTooLargeIsRefusedInItsTurn() throws Exception {
     try (HttpCaller caller = new HttpCaller(address)) {
-      int length = MOST_BODY_BYTES + 1;
+      int length = MAX_BODY_BYTES + 1;
       caller.write(GET + "\r\n" + PUT + "Content-Length: " + length + "\r\n\r\n");
       answer(take(), "first");
       assertText("first", caller.read());
@@ -111,7 +111,7 @@
   @Test
   void refusedExpectationIsNotTheAnswerToAnEarlierCall() throws Exception {
     try (HttpCaller caller = new HttpCaller(address)) {
-      int length = MOST_BODY_BYTES + 1;
+      int length = MAX_BODY_BYTES + 1;
       String fields = "Expect: 100-continue\r\nContent-Length: " + length + "\r\n\r\n";
       caller.write(GET + "\r\n" + PUT + fields);
       answer(take(), "first");
--- a/protocol/src/main/java/nettletrail/protocol/link/Link.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/Link.java
@@ -153,15 +153,15 @@
     if (!isOpen()) {
       return;
     }
-    if (now - lastReceived > settings.silenceMillis() * 1_000_000L) {
-      close(LinkStep.LIVENESS, "nothing received for " + settings.silenceMillis() + " ms");
+    if (now - lastReceived > settings.idleTimeoutMillis() * 1_000_000L) {
+      close(LinkStep.LIVENESS, "nothing received for " + settings.idleTimeoutMillis() + " ms");
     } else if (now - lastSent >= settings.pingMillis() * 1_000_000L) {
       send(new Ping(now));
     }
   }
 
   /** Counts the peer's silence from now: this process itself did not run for a while. */
-  void restartSilence(long now) {
+  void restartIdleTimeout(long now) {
     lastReceived = now;
   }
 
--- a/protocol/src/main/java/nettletrail/protocol/link/LinkSettings.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/LinkSettings.java
@@ -8,7 +8,7 @@
  *     finds the buffer empty is always taken
  * @param maxAcceptedLinks connections from others at one time; more are closed at once
  * @param pingMillis a ping is sent when nothing was sent for this long
- * @param silenceMillis a link is closed when nothing was received for this long
+ * @param idleTimeoutMillis a link is closed when nothing was received for this long
  * @param connectTimeoutMillis how long opening a connection may take
  * @param minBackoffMillis the shortest pause before dialling again
  * @param maxBackoffMillis the longest pause before dialling again
@@ -18,7 +18,7 @@
     int maxOutboundBytes,
     int maxAcceptedLinks,
     int pingMillis,
-    int silenceMillis,
+    int idleTimeoutMillis,
     int connectTimeoutMillis,
     int minBackoffMillis,
     int maxBackoffMillis) {
@@ -32,7 +32,7 @@
     require(maxOutboundBytes > 0, "maxOutboundBytes must be above 0");
     require(maxAcceptedLinks > 0, "maxAcceptedLinks must be above 0");
     require(pingMillis >= SHORTEST_TIMER_MILLIS, "pingMillis must be 20 or more");
-    require(silenceMillis > pingMillis, "silenceMillis must be above pingMillis");
+    require(idleTimeoutMillis > pingMillis, "silenceMillis must be above pingMillis");
     require(connectTimeoutMillis > 0, "connectTimeoutMillis must be above 0");
     require(minBackoffMillis >= SHORTEST_TIMER_MILLIS, "minBackoffMillis must be 20 or more");
     require(
--- a/protocol/src/main/java/nettletrail/protocol/link/Links.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/Links.java
@@ -199,11 +199,11 @@
 
   private void checkLiveness() {
     long now = System.nanoTime();
-    boolean wasPaused = now - lastCheck > settings.silenceMillis() * 1_000_000L / 2;
+    boolean wasPaused = now - lastCheck > settings.idleTimeoutMillis() * 1_000_000L / 2;
     lastCheck = now;
     for (Link link : List.copyOf(openLinks)) {
       if (wasPaused) {
-        link.restartSilence(now);
+        link.restartIdleTimeout(now);
       }
       link.checkLiveness(now);
     }
--- a/protocol/src/test/java/nettletrail/protocol/link/EnvelopeCodecTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/EnvelopeCodecTest.java
@@ -17,12 +17,12 @@
 import java.util.Random;
 import java.util.Set;
 import nettletrail.protocol.Accept;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.ConfigurationChunk;
 import nettletrail.protocol.Envelope;
 import nettletrail.protocol.FeedAck;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.Ping;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.RegistryDigest;
 import nettletrail.protocol.ShardVersion;
 import org.apache.avro.Schema;
@@ -39,11 +39,11 @@
   private final EnvelopeCodec codec = new EnvelopeCodec();
 
   private static Accept accept(int valueBytes) {
-    Ballot ballot = new Ballot(7L, "core-a");
+    ProposalNumber proposal = new ProposalNumber(7L, "core-a");
     List<Member> members = List.of(new Member("10.0.0.1:7680#0", PEER));
     ShardVersion version =
-        new ShardVersion(ballot, 12L, members, ByteBuffer.wrap(new byte[valueBytes]));
-    return new Accept(3, "10.0.0.2:7680#0", ballot, version);
+        new ShardVersion(proposal, 12L, members, ByteBuffer.wrap(new byte[valueBytes]));
+    return new Accept(3, "10.0.0.2:7680#0", proposal, version);
   }
 
   private SpecificRecord throughBuffer(SpecificRecord body, ByteBuf buffer) throws Exception {
@@ -88,15 +88,15 @@
 
   @Test
   void cutAndChangedFramesEndInACheckedExceptionOnly() throws Exception {
-    ByteBuf whole = Unpooled.buffer();
-    codec.encode(accept(40), whole, PEER);
-    for (int length = 0; length < whole.readableBytes(); length++) {
-      ByteBuf cut = whole.slice(0, length);
+    ByteBuf complete = Unpooled.buffer();
+    codec.encode(accept(40), complete, PEER);
+    for (int length = 0; length < complete.readableBytes(); length++) {
+      ByteBuf cut = complete.slice(0, length);
       assertThrows(ProtocolException.class, () -> codec.decode(cut, PEER));
     }
     Random random = new Random(11);
     for (int round = 0; round < 2_000; round++) {
-      ByteBuf changed = whole.copy();
+      ByteBuf changed = complete.copy();
       int position = random.nextInt(changed.readableBytes());
       changed.setByte(position, changed.getByte(position) ^ (1 << random.nextInt(8)));
       decodeOrRefuse(changed);
--- a/protocol/src/test/java/nettletrail/protocol/link/ExampleMessages.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/ExampleMessages.java
@@ -2,12 +2,12 @@
 
 import static nettletrail.protocol.link.ExampleParts.backend;
 import static nettletrail.protocol.link.ExampleParts.backendFreshness;
-import static nettletrail.protocol.link.ExampleParts.ballot;
 import static nettletrail.protocol.link.ExampleParts.bytes;
 import static nettletrail.protocol.link.ExampleParts.directory;
 import static nettletrail.protocol.link.ExampleParts.member;
-import static nettletrail.protocol.link.ExampleParts.shardBeat;
-import static nettletrail.protocol.link.ExampleParts.shardBeatReply;
+import static nettletrail.protocol.link.ExampleParts.proposal;
+import static nettletrail.protocol.link.ExampleParts.shardHeartbeat;
+import static nettletrail.protocol.link.ExampleParts.shardHeartbeatReply;
 import static nettletrail.protocol.link.ExampleParts.shardVersion;
 import static nettletrail.protocol.link.ExampleParts.tenantGrant;
 import static nettletrail.protocol.link.ExampleParts.tenantUse;
@@ -101,7 +101,7 @@
         .setNode("node-1")
         .setAddress("address-2")
         .setRole("role-3")
-        .setLife(-4L)
+        .setIncarnation(-4L)
         .setVersion(505)
         .build();
   }
@@ -118,7 +118,7 @@
     return PreVote.newBuilder()
         .setShard(101)
         .setRecipient("recipient-2")
-        .setBallot(ballot(3))
+        .setProposal(proposal(3))
         .build();
   }
 
@@ -126,9 +126,9 @@
     return PreVoteReply.newBuilder()
         .setShard(101)
         .setSender("sender-2")
-        .setBallot(ballot(3))
+        .setProposal(proposal(3))
         .setGranted(true)
-        .setPromised(ballot(5))
+        .setPromised(proposal(5))
         .build();
   }
 
@@ -140,7 +140,7 @@
     return Prepare.newBuilder()
         .setShard(101)
         .setRecipient("recipient-2")
-        .setBallot(ballot(3))
+        .setProposal(proposal(3))
         .build();
   }
 
@@ -148,9 +148,9 @@
     return PrepareReply.newBuilder()
         .setShard(101)
         .setSender("sender-2")
-        .setBallot(ballot(3))
+        .setProposal(proposal(3))
         .setGranted(true)
-        .setPromised(ballot(5))
+        .setPromised(proposal(5))
         .setAccepted(shardVersion(6))
         .build();
   }
@@ -163,7 +163,7 @@
     return Accept.newBuilder()
         .setShard(101)
         .setRecipient("recipient-2")
-        .setBallot(ballot(3))
+        .setProposal(proposal(3))
         .setVersion(shardVersion(4))
         .build();
   }
@@ -172,10 +172,10 @@
     return AcceptReply.newBuilder()
         .setShard(101)
         .setSender("sender-2")
-        .setBallot(ballot(3))
+        .setProposal(proposal(3))
         .setSequence(-4L)
         .setAccepted(true)
-        .setPromised(ballot(6))
+        .setPromised(proposal(6))
         .setFailure("failure-7")
         .build();
   }
@@ -188,7 +188,7 @@
     return OwnerHeartbeat.newBuilder()
         .setSender("sender-1")
         .setSentAt(-2L)
-        .setShards(List.of(shardBeat(3), shardBeat(4)))
+        .setShards(List.of(shardHeartbeat(3), shardHeartbeat(4)))
         .build();
   }
 
@@ -196,7 +196,7 @@
     return OwnerHeartbeatReply.newBuilder()
         .setSender("sender-1")
         .setSentAt(-2L)
-        .setShards(List.of(shardBeatReply(3), shardBeatReply(4)))
+        .setShards(List.of(shardHeartbeatReply(3), shardHeartbeatReply(4)))
         .build();
   }
 
@@ -204,7 +204,7 @@
     return LeaseRelease.newBuilder()
         .setShard(101)
         .setRecipient("recipient-2")
-        .setBallot(ballot(3))
+        .setProposal(proposal(3))
         .build();
   }
 
@@ -222,7 +222,7 @@
         .setShard(202)
         .setSentAt(3_000_000_003L)
         .setReplica(true)
-        .setAcceptedBallot(ballot(5))
+        .setAcceptedProposal(proposal(5))
         .setAcceptedSequence(-6L)
         .setCommittedSequence(7_000_000_007L)
         .setOwnerAddress("ownerAddress-8")
@@ -231,7 +231,7 @@
   }
 
   private static ConfirmReply confirmReplyWithoutOptionalParts() {
-    return ConfirmReply.newBuilder(confirmReply()).setAcceptedBallot(null).build();
+    return ConfirmReply.newBuilder(confirmReply()).setAcceptedProposal(null).build();
   }
 
   private static VersionQuery versionQuery() {
@@ -291,7 +291,7 @@
     return DoorHeartbeat.newBuilder()
         .setDoor("door-1")
         .setZone("zone-2")
-        .setLife(3_000_000_003L)
+        .setIncarnation(3_000_000_003L)
         .setSentAt(-4L)
         .setConfigurationSequence(5_000_000_005L)
         .setFeed(-6L)
@@ -366,7 +366,7 @@
   private static GrantRequest grantRequest() {
     return GrantRequest.newBuilder()
         .setDoor("door-1")
-        .setLife(-2L)
+        .setIncarnation(-2L)
         .setRequest(3_000_000_003L)
         .setShard(404)
         .setTenants(List.of(tenantUse(5), tenantUse(6)))
@@ -379,7 +379,7 @@
         .setRequest(-2L)
         .setShard(303)
         .setOwner(true)
-        .setToken(ballot(5))
+        .setToken(proposal(5))
         .setValidMs(-6L)
         .setGrants(List.of(tenantGrant(7), tenantGrant(8)))
         .build();
--- a/protocol/src/test/java/nettletrail/protocol/link/ExampleParts.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/ExampleParts.java
@@ -5,11 +5,11 @@
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendFreshness;
 import nettletrail.protocol.BackendState;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Directory;
 import nettletrail.protocol.Member;
-import nettletrail.protocol.ShardBeat;
-import nettletrail.protocol.ShardBeatReply;
+import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.ShardHeartbeat;
+import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.protocol.TenantGrant;
 import nettletrail.protocol.TenantUse;
@@ -29,8 +29,11 @@
     return ByteBuffer.wrap(new byte[] {(byte) first, 0, -1});
   }
 
-  static Ballot ballot(int number) {
-    return Ballot.newBuilder().setRound(1_000_000L + number).setNode("node-" + number).build();
+  static ProposalNumber proposal(int number) {
+    return ProposalNumber.newBuilder()
+        .setTerm(1_000_000L + number)
+        .setNode("node-" + number)
+        .build();
   }
 
   static Member member(int number) {
@@ -39,28 +42,28 @@
 
   static ShardVersion shardVersion(int number) {
     return ShardVersion.newBuilder()
-        .setBallot(ballot(number))
+        .setProposal(proposal(number))
         .setSequence(2_000_000L + number)
         .setMembers(List.of(member(20 + number)))
         .setValue(bytes(30 + number))
         .build();
   }
 
-  static ShardBeat shardBeat(int number) {
-    return ShardBeat.newBuilder()
+  static ShardHeartbeat shardHeartbeat(int number) {
+    return ShardHeartbeat.newBuilder()
         .setShard(1_000 + number)
         .setRecipient("recipient-" + number)
-        .setBallot(ballot(20 + number))
+        .setProposal(proposal(20 + number))
         .setCommittedSequence(4_000_000L + number)
         .build();
   }
 
-  static ShardBeatReply shardBeatReply(int number) {
-    return ShardBeatReply.newBuilder()
+  static ShardHeartbeatReply shardHeartbeatReply(int number) {
+    return ShardHeartbeatReply.newBuilder()
         .setShard(1_000 + number)
         .setGranted(number % 2 == 1)
-        .setPromised(number % 2 == 0 ? null : ballot(20 + number))
-        .setAcceptedBallot(number % 2 == 0 ? null : ballot(30 + number))
+        .setPromised(number % 2 == 0 ? null : proposal(20 + number))
+        .setAcceptedProposal(number % 2 == 0 ? null : proposal(30 + number))
         .setAcceptedSequence(5_000_000L + number)
         .build();
   }
@@ -74,7 +77,7 @@
         .setEdition("edition-" + number)
         .setSlots(6_000 + number)
         .setState(BACKEND_STATES.get(number % BACKEND_STATES.size()))
-        .setColdLeftMs(8_000_000L + number)
+        .setWarmUpLeftMs(8_000_000L + number)
         .setStage("stage-" + number)
         .setModels(List.of("models-" + number, "ä-" + number))
         .setCallSequence(11_000_000L + number)
@@ -94,8 +97,8 @@
         .setTenant("tenant-" + number)
         .setUsedTotal(2_000_000L + number)
         .setWantedTokens(3_000_000L + number)
-        .setHeldTokens(4_000_000L + number)
-        .setLeastTokens(5_000_000L + number)
+        .setUnusedTokens(4_000_000L + number)
+        .setMinTokens(5_000_000L + number)
         .build();
   }
 
--- a/protocol/src/test/java/nettletrail/protocol/link/LinkProcess.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/LinkProcess.java
@@ -33,8 +33,8 @@
   final Links links;
   private final EventLoopGroup group = new NioEventLoopGroup(1);
 
-  LinkProcess(String node, String address, String role, long life, LinkSettings settings) {
-    Hello hello = new Hello(node, address, role, life, 1);
+  LinkProcess(String node, String address, String role, long incarnation, LinkSettings settings) {
+    Hello hello = new Hello(node, address, role, incarnation, 1);
     links = new Links(group.next(), settings, hello, new RecordingListener());
   }
 
--- a/protocol/src/test/java/nettletrail/protocol/link/LinksTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/LinksTest.java
@@ -102,13 +102,13 @@
         LinkProcess after = new LinkProcess(DOOR, "", Links.DOOR_ROLE, 2, settings)) {
       String address = core.listen(ANY_PORT);
       before.dial(address);
-      assertEquals(1, core.next(Event.Up.class).peer().hello().getLife());
+      assertEquals(1, core.next(Event.Up.class).peer().hello().getIncarnation());
       before.next(Event.Up.class);
       before.onLoop(
           () -> {
             after.dial(address);
-            assertEquals(1, core.next(Event.Down.class).peer().hello().getLife());
-            assertEquals(2, core.next(Event.Up.class).peer().hello().getLife());
+            assertEquals(1, core.next(Event.Down.class).peer().hello().getIncarnation());
+            assertEquals(2, core.next(Event.Up.class).peer().hello().getIncarnation());
             before.links.undial(address);
             return null;
           });
--- a/router/src/main/java/nettletrail/router/AttemptSender.java
+++ b/router/src/main/java/nettletrail/router/AttemptSender.java
@@ -17,7 +17,7 @@
  * budget and the time left allow it. On the event loop.
  */
 final class AttemptSender {
-  private static final int MOST_CONNECT_FAILURES = 3;
+  private static final int MAX_CONNECT_FAILURES = 3;
   private static final long STALL_CHECK_MS = 100;
 
   private final EventLoop loop;
@@ -200,7 +200,7 @@
     exchange.sendOver(false);
     exchange.connectFailures++;
     exchange.tried.add(exchange.backend.endpoint().id());
-    if (exchange.connectFailures < MOST_CONNECT_FAILURES) {
+    if (exchange.connectFailures < MAX_CONNECT_FAILURES) {
       retry(exchange);
     } else {
       completion.unserved(exchange);
@@ -211,7 +211,7 @@
   private static void takeSendBack(Exchange exchange) {
     exchange.sends--;
     if (exchange.sends > 0) {
-      exchange.service.budget.giveBack(System.nanoTime());
+      exchange.service.budget.refund(System.nanoTime());
     }
   }
 
--- a/router/src/main/java/nettletrail/router/BackendEndpoint.java
+++ b/router/src/main/java/nettletrail/router/BackendEndpoint.java
@@ -9,7 +9,7 @@
  * @param address where it listens
  * @param zone where it stands
  * @param slots requests that it works on at once; at least 1
- * @param coldLeftMs for how much longer it stays slow from its start
+ * @param warmUpLeftMs for how much longer it stays slow from its start
  */
 public record BackendEndpoint(
-    String id, InetSocketAddress address, String zone, int slots, long coldLeftMs) {}
+    String id, InetSocketAddress address, String zone, int slots, long warmUpLeftMs) {}
--- a/router/src/main/java/nettletrail/router/BufferedAnswer.java
+++ b/router/src/main/java/nettletrail/router/BufferedAnswer.java
@@ -8,7 +8,7 @@
 /** An answer that is passed on when it is whole. */
 final class BufferedAnswer implements AnswerRelay {
   /** A larger one is taken for spoilt. */
-  static final int MOST_BYTES = 4 << 20;
+  static final int MAX_BYTES = 4 << 20;
 
   private final HttpResponse head;
   private final ByteBufAllocator allocator;
@@ -35,7 +35,7 @@
   @Override
   public void content(ByteBuf content) {
     int size = content.readableBytes();
-    if (tooLarge || body.readableBytes() + size > MOST_BYTES) {
+    if (tooLarge || body.readableBytes() + size > MAX_BYTES) {
       tooLarge = true;
       return;
     }
--- a/router/src/main/java/nettletrail/router/ClientConnection.java
+++ b/router/src/main/java/nettletrail/router/ClientConnection.java
@@ -35,8 +35,8 @@
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter
     implements ExpectationGate.Connection {
-  private static final int MOST_WAITING = 16;
-  private static final int MOST_WAITING_BYTES = 512 << 10;
+  private static final int MAX_WAITING = 16;
+  private static final int MAX_WAITING_BYTES = 512 << 10;
   private static final AsciiString[] ONCE =
       HeadRules.once(
           RequestHeaders.ATTEMPT_ID,
@@ -45,7 +45,7 @@
           RequestHeaders.TOKEN_COUNT,
           RequestHeaders.PROMPT_PREFIX,
           RequestHeaders.LAST_EVENT_ID);
-  private static final long MOST_DEAF_AT_END_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long MAX_DEAF_AT_END_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /** What a connection needs of the router. */
   interface Owner {
@@ -135,7 +135,7 @@
     Exchange left = open;
     open = null;
     if (left != null) {
-      left.clientGone();
+      left.clientDisconnected();
     }
   }
 
@@ -151,7 +151,7 @@
     waitingBytes += request.content().readableBytes();
     waiting.addLast(new Waiting(request, partial.since()));
     leaving = !HttpUtil.isKeepAlive(request) || ClientRequest.isHttp10(request);
-    if (waiting.size() >= MOST_WAITING || waitingBytes >= MOST_WAITING_BYTES && open != null) {
+    if (waiting.size() >= MAX_WAITING || waitingBytes >= MAX_WAITING_BYTES && open != null) {
       channel.config().setAutoRead(false);
     }
   }
@@ -367,8 +367,8 @@
   }
 
   /** Whether the part of a request has stood too long, or the whole would come too late. */
-  private boolean isPartOverdue(long now, long mostNanos) {
-    if (partSince != 0 && now - partSince > mostNanos) {
+  private boolean isPartOverdue(long now, long maxNanos) {
+    if (partSince != 0 && now - partSince > maxNanos) {
       return true;
     }
     HttpRequest head = partial.head();
@@ -383,7 +383,7 @@
   void sweep(long now, Limits limits) {
     long idleNanos = TimeUnit.MILLISECONDS.toNanos(limits.idleMs());
     long partNanos = Math.max(idleNanos, TimeUnit.MILLISECONDS.toNanos(limits.headerMs()));
-    if (writer.isStuck(now, ended ? MOST_DEAF_AT_END_NANOS : idleNanos)) {
+    if (writer.isStuck(now, ended ? MAX_DEAF_AT_END_NANOS : idleNanos)) {
       channel.close();
     } else if (isHalf() && isPartOverdue(now, partNanos)) {
       if (look() && isHalf()) {
--- a/router/src/main/java/nettletrail/router/Completion.java
+++ b/router/src/main/java/nettletrail/router/Completion.java
@@ -18,12 +18,12 @@
   private final QuotaGate quota;
   private final VirtualCounters counters;
   private final SplittableRandom random;
-  private final long mostBytes;
+  private final long maxBytes;
   private final Consumer<ServiceState> slotFreed;
   private long heldBytes;
 
   /**
-   * @param mostBytes of requests that are held at once
+   * @param maxBytes of requests that are held at once
    * @param slotFreed told, in a turn of its own, of a service whose queue is not empty and that has
    *     a free slot
    */
@@ -32,20 +32,20 @@
       QuotaGate quota,
       VirtualCounters counters,
       SplittableRandom random,
-      long mostBytes,
+      long maxBytes,
       Consumer<ServiceState> slotFreed) {
     this.loop = loop;
     this.quota = quota;
     this.counters = counters;
     this.random = random;
-    this.mostBytes = mostBytes;
+    this.maxBytes = maxBytes;
     this.slotFreed = slotFreed;
   }
 
   /** A request is held from now on; false if that is more than this door may hold. */
   boolean holds(Exchange exchange) {
     heldBytes += exchange.body().readableBytes();
-    return heldBytes <= mostBytes;
+    return heldBytes <= maxBytes;
   }
 
   /** No backend will answer it. */
@@ -136,7 +136,7 @@
     exchange.cancelTimer();
     long now = System.nanoTime();
     if (!exchange.mayHaveRun()) {
-      quota.giveBack(exchange, now);
+      quota.refund(exchange, now);
     }
     settle(exchange, now);
     heldBytes -= exchange.body().readableBytes();
--- a/router/src/main/java/nettletrail/router/Exchange.java
+++ b/router/src/main/java/nettletrail/router/Exchange.java
@@ -243,7 +243,7 @@
 
   // ---- What its client does ----
 
-  void clientGone() {
+  void clientDisconnected() {
     completion.abandon(this);
   }
 
--- a/router/src/main/java/nettletrail/router/PartialRequest.java
+++ b/router/src/main/java/nettletrail/router/PartialRequest.java
@@ -19,9 +19,9 @@
       head = request;
       since = System.nanoTime();
     }
-    boolean whole = message instanceof LastHttpContent;
+    boolean complete = message instanceof LastHttpContent;
     context.fireChannelRead(message);
-    if (whole) {
+    if (complete) {
       head = null;
     }
   }
--- a/router/src/main/java/nettletrail/router/QuotaGate.java
+++ b/router/src/main/java/nettletrail/router/QuotaGate.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import nettletrail.configuration.Tenant;
-import nettletrail.router.admission.Companion;
+import nettletrail.router.admission.AdmissionController;
 
 /**
  * What of its tenant's quota an exchange may use: tokens of the hard grants, and before these the
@@ -20,7 +20,7 @@
   /** When each tenant last got tokens that it asked for. */
   private final Map<String, Long> lastTaken = new HashMap<>();
 
-  private final Map<String, Companion> companions = new HashMap<>();
+  private final Map<String, AdmissionController> admissionControllers = new HashMap<>();
 
   QuotaGate(ControlView control, long seed) {
     this.control = control;
@@ -35,20 +35,21 @@
     }
     QuotaSource quota = control.quota();
     String name = tenant.name();
-    return companion(tenant, now)
+    return admissionController(tenant, now)
         .admits(quota.pressurePercent(name), quota.doorsServing(name), now);
   }
 
-  private Companion companion(Tenant tenant, long now) {
-    Companion companion = companions.get(tenant.name());
-    if (companion == null) {
+  private AdmissionController admissionController(Tenant tenant, long now) {
+    AdmissionController admissionController = admissionControllers.get(tenant.name());
+    if (admissionController == null) {
       int doors = control.quota().doorsServing(tenant.name());
       long seedOfTenant = seed ^ tenant.name().hashCode();
-      companion = new Companion(tenant.ratePerSecond(), tenant.burst(), doors, seedOfTenant, now);
-      companions.put(tenant.name(), companion);
+      admissionController =
+          new AdmissionController(tenant.ratePerSecond(), tenant.burst(), doors, seedOfTenant, now);
+      admissionControllers.put(tenant.name(), admissionController);
     }
-    companion.limit(tenant.ratePerSecond(), tenant.burst());
-    return companion;
+    admissionController.limit(tenant.ratePerSecond(), tenant.burst());
+    return admissionController;
   }
 
   /** Takes what the exchange costs, once; whether it has it. */
@@ -63,7 +64,7 @@
       return false;
     }
     lastTaken.put(tenant, now);
-    companion(exchange.resolution().tenant(), now).used(cost);
+    admissionController(exchange.resolution().tenant(), now).used(cost);
     exchange.quotaTaken = cost;
     exchange.quotaTenant = tenant;
     return true;
@@ -79,9 +80,9 @@
   }
 
   /** Returns what the exchange took: no backend has run it. */
-  void giveBack(Exchange exchange, long now) {
+  void refund(Exchange exchange, long now) {
     if (exchange.quotaTaken > 0) {
-      control.quota().giveBack(exchange.quotaTenant, exchange.quotaTaken, now);
+      control.quota().refund(exchange.quotaTenant, exchange.quotaTaken, now);
       exchange.quotaTaken = 0;
     }
   }
@@ -89,7 +90,7 @@
   /** Forgets tenants that the configuration no longer has. */
   void routingChanged() {
     if (control.routing() != null) {
-      companions.keySet().removeIf(name -> control.routing().tenant(name) == null);
+      admissionControllers.keySet().removeIf(name -> control.routing().tenant(name) == null);
       lastTaken.keySet().removeIf(name -> control.routing().tenant(name) == null);
     }
   }
--- a/router/src/main/java/nettletrail/router/QuotaSource.java
+++ b/router/src/main/java/nettletrail/router/QuotaSource.java
@@ -13,7 +13,7 @@
   boolean take(String tenant, long tokens, long now);
 
   /** Returns tokens that were taken for a request which no backend ran. */
-  void giveBack(String tenant, long tokens, long now);
+  void refund(String tenant, long tokens, long now);
 
   /**
    * How much of the tenant's rate all doors together use, in percent; above 100 it asks for more
--- a/router/src/main/java/nettletrail/router/ReadyServer.java
+++ b/router/src/main/java/nettletrail/router/ReadyServer.java
@@ -24,7 +24,7 @@
 /** Answers the platform's question whether this door takes clients. */
 final class ReadyServer extends SimpleChannelInboundHandler<FullHttpRequest> {
   static final String PATH = "/nettletrail/ready";
-  private static final int MOST_BODY = 4_096;
+  private static final int MAX_BODY = 4_096;
 
   private final BooleanSupplier ready;
 
@@ -46,7 +46,7 @@
                     .pipeline()
                     .addLast(
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_BODY),
+                        new HttpObjectAggregator(MAX_BODY),
                         new ReadyServer(ready));
               }
             })
--- a/router/src/main/java/nettletrail/router/RequestDeadline.java
+++ b/router/src/main/java/nettletrail/router/RequestDeadline.java
@@ -22,8 +22,8 @@
    * @param arrivedAt when its head came, ns
    */
   static long of(Route route, HttpHeaders headers, long arrivedAt) {
-    long most = route.timeoutMs();
+    long max = route.timeoutMs();
     long told = timeLeftMs(headers);
-    return arrivedAt + (told < 0 ? most : Math.min(most, told)) * NANOS_PER_MS;
+    return arrivedAt + (told < 0 ? max : Math.min(max, told)) * NANOS_PER_MS;
   }
 }
--- a/router/src/main/java/nettletrail/router/RequestDispatcher.java
+++ b/router/src/main/java/nettletrail/router/RequestDispatcher.java
@@ -22,7 +22,7 @@
    * The part of a request's target that it may wait here before it is refused: a refusal is worth
    * more soon.
    */
-  static final double MOST_WAIT_OF_TARGET = 0.22;
+  static final double MAX_WAIT_OF_TARGET = 0.22;
 
   /**
    * The part of its time that a request may wait for the first backend of its service after a
@@ -60,7 +60,7 @@
     random = new SplittableRandom(settings.seed());
     quota = new QuotaGate(control, settings.seed());
     completion =
-        new Completion(loop, quota, counters, random, settings.mostBufferedBytes(), this::pump);
+        new Completion(loop, quota, counters, random, settings.maxBufferedBytes(), this::pump);
     sender = new AttemptSender(loop, control, pool, counters, completion, this::requeue);
     answers = new AnswerHandler(sender, completion);
   }
@@ -111,8 +111,8 @@
   }
 
   private long waitEnd(Exchange exchange) {
-    double mostMs = exchange.route().targetMs() * MOST_WAIT_OF_TARGET;
-    long usual = (long) (mostMs * TimeUnit.MILLISECONDS.toNanos(1));
+    double maxMs = exchange.route().targetMs() * MAX_WAIT_OF_TARGET;
+    long usual = (long) (maxMs * TimeUnit.MILLISECONDS.toNanos(1));
     boolean starting = exchange.request.arrivedAt() - startedAt < STARTING_NANOS;
     if (!starting || exchange.service.backends.size() > 0) {
       return exchange.request.arrivedAt() + usual;
@@ -128,7 +128,7 @@
   private void requeue(Exchange exchange) {
     long now = System.nanoTime();
     exchange.service.queue.released();
-    quota.giveBack(exchange, now);
+    quota.refund(exchange, now);
     exchange.state = Exchange.State.WAITING;
     await(exchange, now);
   }
--- a/router/src/main/java/nettletrail/router/RequestHead.java
+++ b/router/src/main/java/nettletrail/router/RequestHead.java
@@ -12,7 +12,7 @@
   private static final int EXPECTED_BYTES = 640;
 
   /** Priorities are digits, 0 the most urgent. */
-  private static final int LEAST_URGENT = 9;
+  private static final int MIN_URGENT = 9;
 
   private static final byte[] SPACE = HeadBytes.constant(" ");
   private static final byte[] VERSION = HeadBytes.constant(" HTTP/1.1\r\n");
@@ -46,9 +46,7 @@
     if (resolution.tenant() != null) {
       head.add(SENDER).add(resolution.tenantName()).add(LINE_END);
     }
-    head.add(PRIORITY)
-        .add(Math.min(LEAST_URGENT, Math.max(0, resolution.priority())))
-        .add(LINE_END);
+    head.add(PRIORITY).add(Math.min(MIN_URGENT, Math.max(0, resolution.priority()))).add(LINE_END);
     head.add(TIME_LEFT).add(timeLeftMs).add(LINE_END);
     if (resumeAfter >= 0) {
       head.add(LAST_EVENT_ID).add(resumeAfter).add(LINE_END);
--- a/router/src/main/java/nettletrail/router/ResponseWriter.java
+++ b/router/src/main/java/nettletrail/router/ResponseWriter.java
@@ -121,13 +121,13 @@
   }
 
   /** Whether the client has taken nothing of its answers for so long. */
-  boolean isStuck(long now, long mostNanos) {
+  boolean isStuck(long now, long maxNanos) {
     long left = unwritten();
     if (left == 0 || left != unwrittenBefore) {
       unwrittenBefore = left;
       unwrittenSince = now;
     }
-    return left > 0 && now - unwrittenSince > mostNanos;
+    return left > 0 && now - unwrittenSince > maxNanos;
   }
 
   /** Frees what was added and not sent. */
--- a/router/src/main/java/nettletrail/router/RetryAfter.java
+++ b/router/src/main/java/nettletrail/router/RetryAfter.java
@@ -4,13 +4,13 @@
 
 /** When a client that is refused may come again, in ms. */
 final class RetryAfter {
-  private static final long LEAST_MS = 250;
+  private static final long MIN_MS = 250;
   private static final int SPREAD_MS = 250;
 
   /** Clients wait no longer than that part of the time that they have left. */
-  private static final long MOST_PART_OF_TIME_LEFT = 3;
+  private static final long MAX_PART_OF_TIME_LEFT = 3;
 
-  private static final long MOST_MS = 2_500;
+  private static final long MAX_MS = 2_500;
   private static final long DEFAULT_OUTAGE_MS = 500;
 
   private RetryAfter() {}
@@ -20,7 +20,7 @@
    * back together.
    */
   static long whenFullMs(SplittableRandom random) {
-    return LEAST_MS + random.nextInt(SPREAD_MS);
+    return MIN_MS + random.nextInt(SPREAD_MS);
   }
 
   /**
@@ -33,6 +33,6 @@
     if (timeLeftMs < 0) {
       return DEFAULT_OUTAGE_MS;
     }
-    return Math.max(LEAST_MS, Math.min(MOST_MS, timeLeftMs / MOST_PART_OF_TIME_LEFT));
+    return Math.max(MIN_MS, Math.min(MAX_MS, timeLeftMs / MAX_PART_OF_TIME_LEFT));
   }
 }
--- a/router/src/main/java/nettletrail/router/Router.java
+++ b/router/src/main/java/nettletrail/router/Router.java
@@ -44,7 +44,7 @@
   private final ControlView control;
   private final RequestDispatcher dispatcher;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
-  private final int mostClients;
+  private final int maxClients;
   private final Owner owner = new Owner();
   private Channel listener;
   private boolean draining;
@@ -61,9 +61,9 @@
   public Router(EventLoop loop, RouterSettings settings, ControlView control) {
     this.loop = loop;
     this.control = control;
-    mostClients = settings.mostConnections() / 2;
+    maxClients = settings.maxConnections() / 2;
     UpstreamPool pool =
-        new UpstreamPool(loop, settings.connectTimeoutMs(), settings.mostConnections() / 2);
+        new UpstreamPool(loop, settings.connectTimeoutMs(), settings.maxConnections() / 2);
     dispatcher = new RequestDispatcher(loop, settings, control, pool);
   }
 
@@ -218,7 +218,7 @@
     @Override
     public void opened(ClientConnection connection) {
       connections.add(connection);
-      if (connections.size() > mostClients) {
+      if (connections.size() > maxClients) {
         closeOneIdle();
       }
     }
--- a/router/src/main/java/nettletrail/router/RouterSettings.java
+++ b/router/src/main/java/nettletrail/router/RouterSettings.java
@@ -8,8 +8,8 @@
  *     1
  * @param retrySlack further sends that all doors may make beside, in a window
  * @param retryWindowMs of these two
- * @param mostConnections sockets to clients and backends together, at most
- * @param mostBufferedBytes bytes of requests that are held at once, at most
+ * @param maxConnections sockets to clients and backends together, at most
+ * @param maxBufferedBytes bytes of requests that are held at once, at most
  * @param connectTimeoutMs after which a connection to a backend that is not up has failed
  * @param seed of all random choices
  */
@@ -18,8 +18,8 @@
     double retryRatio,
     double retrySlack,
     long retryWindowMs,
-    int mostConnections,
-    long mostBufferedBytes,
+    int maxConnections,
+    long maxBufferedBytes,
     int connectTimeoutMs,
     long seed) {
   /** Many times the way there and back within a region. */
@@ -33,8 +33,8 @@
       String zone,
       double retryRatio,
       double retrySlack,
-      int mostConnections,
-      long mostBufferedBytes,
+      int maxConnections,
+      long maxBufferedBytes,
       int connectTimeoutMs,
       long seed) {
     this(
@@ -42,8 +42,8 @@
         retryRatio,
         retrySlack,
         DEFAULT_RETRY_WINDOW_MS,
-        mostConnections,
-        mostBufferedBytes,
+        maxConnections,
+        maxBufferedBytes,
         connectTimeoutMs,
         seed);
   }
@@ -54,7 +54,7 @@
       throw new IllegalArgumentException(
           "retries: the ratio is from 0 to 1, the slack not negative");
     }
-    if (retryWindowMs < 1 || mostConnections < 2 || mostBufferedBytes < 1 || connectTimeoutMs < 1) {
+    if (retryWindowMs < 1 || maxConnections < 2 || maxBufferedBytes < 1 || connectTimeoutMs < 1) {
       throw new IllegalArgumentException("bounds of the router must be positive");
     }
   }
--- a/router/src/main/java/nettletrail/router/ServiceState.java
+++ b/router/src/main/java/nettletrail/router/ServiceState.java
@@ -16,7 +16,7 @@
   private static final double ENGINE_HEADROOM = 4;
 
   private static final double PLAIN_HEADROOM = 6;
-  private static final int LEAST_BOUND = 8;
+  private static final int MIN_BOUND = 8;
 
   /** A door's share of a backend's connections; the rest is for doors that count too few others. */
   private static final double CONNECTION_SHARE = 0.9;
@@ -44,7 +44,7 @@
   /** Requests in flight, at most, from this door. */
   int bound(Service service, int doors) {
     double headroom = service.engine() == null ? PLAIN_HEADROOM : ENGINE_HEADROOM;
-    return Math.max(LEAST_BOUND, (int) Math.ceil(backends.slots() * headroom / doors));
+    return Math.max(MIN_BOUND, (int) Math.ceil(backends.slots() * headroom / doors));
   }
 
   /** Connections to one backend, at most, from this door. */
--- a/router/src/main/java/nettletrail/router/admission/Companion.java
+++ b/router/src/main/java/nettletrail/router/admission/AdmissionController.java
@@ -16,14 +16,14 @@
  * each reading, or 1 if {@code p} is 0, and a request is refused with chance {@code 1 - a}. Pure
  * and seeded; {@code now} is in ns.
  */
-public final class Companion {
+public final class AdmissionController {
   /** From one reading to the next. */
   public static final long PERIOD_NANOS = 500_000_000L;
 
   /** The least share: with less, a tenant whose demand has ended would hardly be let in again. */
-  static final double LEAST_SHARE = 0.05;
+  static final double MIN_SHARE = 0.05;
 
-  private static final double WHOLE_PERCENT = 100;
+  private static final double COMPLETE_PERCENT = 100;
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final SplittableRandom random;
@@ -39,7 +39,7 @@
    * @param burst tokens beyond
    * @param doors that serve the tenant
    */
-  public Companion(double ratePerSecond, double burst, int doors, long seed, long now) {
+  public AdmissionController(double ratePerSecond, double burst, int doors, long seed, long now) {
     this.ratePerSecond = ratePerSecond;
     this.burst = burst;
     random = new SplittableRandom(seed);
@@ -84,13 +84,13 @@
     double periods = Math.floor((double) (now - touchedAt) / PERIOD_NANOS);
     touchedAt = now;
     double period = periods * PERIOD_NANOS / NANOS_PER_SECOND;
-    double left = (WHOLE_PERCENT - pressurePercent) / WHOLE_PERCENT;
-    double least = -burst / doors;
-    store = Math.min(burst, Math.max(least, store + left * period * ratePerSecond / doors));
+    double left = (COMPLETE_PERCENT - pressurePercent) / COMPLETE_PERCENT;
+    double min = -burst / doors;
+    store = Math.min(burst, Math.max(min, store + left * period * ratePerSecond / doors));
     if (store > 0 || pressurePercent <= 0) {
       share = 1;
     } else {
-      share = Math.max(LEAST_SHARE, Math.min(1, share * WHOLE_PERCENT / pressurePercent));
+      share = Math.max(MIN_SHARE, Math.min(1, share * COMPLETE_PERCENT / pressurePercent));
     }
   }
 
--- a/router/src/main/java/nettletrail/router/admission/AdmissionQueue.java
+++ b/router/src/main/java/nettletrail/router/admission/AdmissionQueue.java
@@ -88,7 +88,7 @@
       return null;
     }
     for (Map<String, ArrayDeque<E>> tenants : waiting.values()) {
-      E next = least(tenants.values(), eligible);
+      E next = min(tenants.values(), eligible);
       if (next != null) {
         ArrayDeque<E> queue = tenants.get(next.tenantName());
         queue.pollFirst();
@@ -101,7 +101,7 @@
   }
 
   /** Of the tenants whose oldest request is eligible, that of the lowest counter. */
-  private E least(Collection<ArrayDeque<E>> queues, Predicate<E> eligible) {
+  private E min(Collection<ArrayDeque<E>> queues, Predicate<E> eligible) {
     if (queues.size() == 1) {
       E only = queues.iterator().next().peekFirst();
       return eligible.test(only) ? only : null;
@@ -109,16 +109,16 @@
     ArrayDeque<E> open = new ArrayDeque<>(queues.size());
     queues.forEach(queue -> open.addLast(queue.peekFirst()));
     while (!open.isEmpty()) {
-      E least = null;
+      E min = null;
       for (E each : open) {
-        if (least == null || counters.of(each.tenantName()) < counters.of(least.tenantName())) {
-          least = each;
+        if (min == null || counters.of(each.tenantName()) < counters.of(min.tenantName())) {
+          min = each;
         }
       }
-      if (eligible.test(least)) {
-        return least;
+      if (eligible.test(min)) {
+        return min;
       }
-      open.remove(least);
+      open.remove(min);
     }
     return null;
   }
--- a/router/src/main/java/nettletrail/router/admission/VirtualCounters.java
+++ b/router/src/main/java/nettletrail/router/admission/VirtualCounters.java
@@ -64,14 +64,14 @@
     if (counter.open > 0) {
       return;
     }
-    double least = Double.POSITIVE_INFINITY;
+    double min = Double.POSITIVE_INFINITY;
     for (String other : waiting) {
       if (!other.equals(tenant)) {
-        least = Math.min(least, of(other));
+        min = Math.min(min, of(other));
       }
     }
-    if (least != Double.POSITIVE_INFINITY) {
-      counter.value = Math.max(counter.value, least);
+    if (min != Double.POSITIVE_INFINITY) {
+      counter.value = Math.max(counter.value, min);
     }
   }
 
--- a/router/src/main/java/nettletrail/router/balance/BackendLoad.java
+++ b/router/src/main/java/nettletrail/router/balance/BackendLoad.java
@@ -104,7 +104,7 @@
 
   /** That it may take for the prompts that it was sent. */
   private long readingNanos() {
-    return promptTokens * ReadingTime.MOST_NANOS_PER_TOKEN;
+    return promptTokens * PrefillTimeout.MAX_NANOS_PER_TOKEN;
   }
 
   private void noteOutcome(double failure, long now) {
@@ -115,7 +115,7 @@
 
   /** The part of its last requests that failed, from 0 to 1; what was seen fades. */
   double failureRate(long now) {
-    return failureRate == 0 ? 0 : failureRate * Fading.kept(now - failureRateAt);
+    return failureRate == 0 ? 0 : failureRate * ExponentialDecay.kept(now - failureRateAt);
   }
 
   /** Whether it keeps requests waiting without a sign of life. */
--- a/router/src/main/java/nettletrail/router/balance/LatencyEstimate.java
+++ b/router/src/main/java/nettletrail/router/balance/LatencyEstimate.java
@@ -9,11 +9,11 @@
  */
 final class LatencyEstimate {
   private static final double STEP = 1.12;
-  private static final double LEAST = 0.5;
-  private static final double MOST = 8;
+  private static final double MIN = 0.5;
+  private static final double MAX = 8;
 
   /** Less is not told from chance. */
-  private static final double LEAST_SLOWDOWN = 1.6;
+  private static final double MIN_SLOWDOWN = 1.6;
 
   private double factor = 1;
   private long updatedAt;
@@ -27,7 +27,7 @@
   void observe(double ratio, long now) {
     double before = factor(now);
     double moved = ratio > before ? before * STEP : before / STEP;
-    factor = Math.min(MOST, Math.max(LEAST, moved));
+    factor = Math.min(MAX, Math.max(MIN, moved));
     updatedAt = now;
   }
 
@@ -36,13 +36,13 @@
    */
   double slowdown(long now) {
     double current = factor(now);
-    return current < LEAST_SLOWDOWN ? 1 : current;
+    return current < MIN_SLOWDOWN ? 1 : current;
   }
 
   private double factor(long now) {
     if (factor == 1) {
       return 1;
     }
-    return 1 + (factor - 1) * Fading.kept(now - updatedAt);
+    return 1 + (factor - 1) * ExponentialDecay.kept(now - updatedAt);
   }
 }
--- a/router/src/main/java/nettletrail/router/balance/ReadingTime.java
+++ b/router/src/main/java/nettletrail/router/balance/PrefillTimeout.java
@@ -1,12 +1,12 @@
 package nettletrail.router.balance;
 
 /** How long an engine may take to read a prompt before it is taken for stuck. */
-public final class ReadingTime {
+public final class PrefillTimeout {
   /**
    * Some times as long as engines take for a token of a prompt, as they read several prompts in
    * turn.
    */
-  public static final long MOST_NANOS_PER_TOKEN = 25_000;
+  public static final long MAX_NANOS_PER_TOKEN = 25_000;
 
-  private ReadingTime() {}
+  private PrefillTimeout() {}
 }
--- a/router/src/main/java/nettletrail/router/balance/PrefixIndex.java
+++ b/router/src/main/java/nettletrail/router/balance/PrefixIndex.java
@@ -10,8 +10,8 @@
  * prefixes, the latest used.
  */
 final class PrefixIndex {
-  private static final int MOST_PREFIXES = 4_096;
-  private static final int MOST_BACKENDS = 3;
+  private static final int MAX_PREFIXES = 4_096;
+  private static final int MAX_BACKENDS = 3;
 
   private final Map<Long, List<String>> backends =
       new LinkedHashMap<>(64, 0.75f, true) {
@@ -19,7 +19,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, List<String>> eldest) {
-          return size() > MOST_PREFIXES;
+          return size() > MAX_PREFIXES;
         }
       };
 
@@ -31,8 +31,8 @@
     }
     known.remove(backendId);
     known.add(0, backendId);
-    if (known.size() > MOST_BACKENDS) {
-      known.remove(MOST_BACKENDS);
+    if (known.size() > MAX_BACKENDS) {
+      known.remove(MAX_BACKENDS);
     }
   }
 
--- a/router/src/main/java/nettletrail/router/balance/PromptPrefix.java
+++ b/router/src/main/java/nettletrail/router/balance/PromptPrefix.java
@@ -15,7 +15,7 @@
 
   private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
   private static final int MIX_SHIFT = 29;
-  private static final long MOST_TOKENS = 1_000_000_000;
+  private static final long MAX_TOKENS = 1_000_000_000;
 
   /**
    * Reads {@code ID:TOKENS,ID:TOKENS,...}. What can't be read counts as no shared part: it guides
@@ -42,7 +42,7 @@
         return NONE;
       }
       long part = DecimalNumber.parse(header, colon + 1, comma);
-      if (part < 0 || part > MOST_TOKENS) {
+      if (part < 0 || part > MAX_TOKENS) {
         return NONE;
       }
       for (int i = at; i < colon; i++) {
--- a/router/src/main/java/nettletrail/router/balance/ServiceBackends.java
+++ b/router/src/main/java/nettletrail/router/balance/ServiceBackends.java
@@ -51,7 +51,7 @@
   static final double STEP_TOKENS = 3_500;
 
   /** One long prompt at this door says little of some dozens of others: the guess is bounded. */
-  private static final double MOST_GUESSED_SHARE = 0.4;
+  private static final double MAX_GUESSED_SHARE = 0.4;
 
   private static final double FULL_TOKENS = 1e7;
 
@@ -206,7 +206,7 @@
     return fullness * load.latency().slowdown(now)
         + FAILURE_LOAD * load.failureRate(now)
         + (isNear(load) ? 0 : OTHER_ZONE_LOAD)
-        + (load.endpoint().coldLeftMs() > 0 ? COLD_LOAD : 0);
+        + (load.endpoint().warmUpLeftMs() > 0 ? COLD_LOAD : 0);
   }
 
   private boolean isNear(BackendLoad load) {
@@ -220,7 +220,7 @@
     int firstChance = random.nextInt(candidates.size());
     int secondChance = random.nextInt(candidates.size());
     BackendLoad best = null;
-    double least = Double.POSITIVE_INFINITY;
+    double min = Double.POSITIVE_INFINITY;
     for (int i = 0; i < candidates.size(); i++) {
       BackendLoad each = candidates.get(i);
       double miss = missChance(each, preferred, prefix);
@@ -228,8 +228,8 @@
         continue;
       }
       double cost = engineCost(each, request, engine, doors, miss, now);
-      if (cost < least) {
-        least = cost;
+      if (cost < min) {
+        min = cost;
         best = each;
       }
     }
@@ -270,7 +270,7 @@
       sum += each.memoryTokens();
     }
     double others = (doors - 1.0) * sum / ready.size();
-    return load.memoryTokens() + Math.min(others, MOST_GUESSED_SHARE * engine.kvTokens());
+    return load.memoryTokens() + Math.min(others, MAX_GUESSED_SHARE * engine.kvTokens());
   }
 
   /**
--- a/router/src/main/java/nettletrail/router/retry/RetryBudget.java
+++ b/router/src/main/java/nettletrail/router/retry/RetryBudget.java
@@ -70,7 +70,7 @@
   }
 
   /** The further send that was paid for last was not made. */
-  public void giveBack(long now) {
+  public void refund(long now) {
     advance(now);
     int at = index(slice);
     furtherSends[at] = Math.max(0, furtherSends[at] - 1);
--- a/router/src/main/java/nettletrail/router/stream/EventParser.java
+++ b/router/src/main/java/nettletrail/router/stream/EventParser.java
@@ -14,9 +14,9 @@
  */
 public final class EventParser implements AutoCloseable {
   /** An event that is larger is no event of ours: what comes is not kept beyond that. */
-  static final int MOST_EVENT_BYTES = 256 << 10;
+  static final int MAX_EVENT_BYTES = 256 << 10;
 
-  private static final int LEAST_BUFFER_BYTES = 256;
+  private static final int MIN_BUFFER_BYTES = 256;
   private static final byte LF = '\n';
   private static final byte CR = '\r';
   private static final byte[] ID = {'i', 'd', ':'};
@@ -73,11 +73,11 @@
   private boolean keep(ByteBuf bytes) {
     int size = bytes.readableBytes();
     int kept = partial == null ? 0 : partial.readableBytes();
-    if (kept + size > MOST_EVENT_BYTES) {
+    if (kept + size > MAX_EVENT_BYTES) {
       return false;
     }
     if (partial == null) {
-      partial = allocator.buffer(Math.max(size, LEAST_BUFFER_BYTES));
+      partial = allocator.buffer(Math.max(size, MIN_BUFFER_BYTES));
     }
     partial.writeBytes(bytes);
     return true;
--- a/router/src/main/java/nettletrail/router/stream/StallRule.java
+++ b/router/src/main/java/nettletrail/router/stream/StallRule.java
@@ -1,7 +1,7 @@
 package nettletrail.router.stream;
 
 import java.util.concurrent.TimeUnit;
-import nettletrail.router.balance.ReadingTime;
+import nettletrail.router.balance.PrefillTimeout;
 
 /**
  * When a request whose backend is silent is better sent elsewhere. Only for requests that may run
@@ -13,9 +13,9 @@
 public final class StallRule {
   private static final double GAPS = 4;
   private static final double TARGETS = 2;
-  private static final long LEAST_MS = 900;
+  private static final long MIN_MS = 900;
   private static final double GAPS_OF_DARK = 2;
-  private static final long LEAST_OF_DARK_MS = 500;
+  private static final long MIN_OF_DARK_MS = 500;
 
   private StallRule() {}
 
@@ -37,11 +37,11 @@
       long promptTokens,
       boolean backendSilent) {
     double usual = answered && gapMs > 0 ? GAPS * gapMs : TARGETS * targetMs;
-    double most = Math.max(LEAST_MS, usual);
+    double max = Math.max(MIN_MS, usual);
     if (backendSilent) {
-      most = Math.max(LEAST_OF_DARK_MS, gapMs > 0 ? GAPS_OF_DARK * gapMs : targetMs);
+      max = Math.max(MIN_OF_DARK_MS, gapMs > 0 ? GAPS_OF_DARK * gapMs : targetMs);
     }
-    double reading = answered ? 0 : promptTokens * (double) ReadingTime.MOST_NANOS_PER_TOKEN;
-    return silence > most * TimeUnit.MILLISECONDS.toNanos(1) + reading;
+    double reading = answered ? 0 : promptTokens * (double) PrefillTimeout.MAX_NANOS_PER_TOKEN;
+    return silence > max * TimeUnit.MILLISECONDS.toNanos(1) + reading;
   }
 }
--- a/router/src/main/java/nettletrail/router/text/DecimalNumber.java
+++ b/router/src/main/java/nettletrail/router/text/DecimalNumber.java
@@ -10,7 +10,7 @@
   /** What is no number reads as this. */
   public static final long NONE = -1;
 
-  private static final int MOST_DIGITS = 18;
+  private static final int MAX_DIGITS = 18;
   private static final int BASE = 10;
 
   private DecimalNumber() {}
@@ -22,7 +22,7 @@
 
   /** The number that this part of the text is, or {@link #NONE}. */
   public static long parse(CharSequence text, int from, int to) {
-    if (from >= to || to - from > MOST_DIGITS) {
+    if (from >= to || to - from > MAX_DIGITS) {
       return NONE;
     }
     long value = 0;
@@ -38,7 +38,7 @@
 
   /** The number that these bytes are, or {@link #NONE}. */
   public static long parse(ByteBuf bytes, int from, int to) {
-    if (from >= to || to - from > MOST_DIGITS) {
+    if (from >= to || to - from > MAX_DIGITS) {
       return NONE;
     }
     long value = 0;
--- a/router/src/main/java/nettletrail/router/upstream/BackendChannels.java
+++ b/router/src/main/java/nettletrail/router/upstream/BackendChannels.java
@@ -70,7 +70,7 @@
   private int connecting;
   private int resting;
   private int connections;
-  private int most = 1;
+  private int max = 1;
   private boolean retired;
 
   BackendChannels(UpstreamPool pool, BackendEndpoint endpoint) {
@@ -82,8 +82,8 @@
     return endpoint.id();
   }
 
-  UpstreamPool.Ticket send(Attempt attempt, int mostConnections, long now) {
-    most = Math.max(1, mostConnections);
+  UpstreamPool.Ticket send(Attempt attempt, int maxConnections, long now) {
+    max = Math.max(1, maxConnections);
     Ride ride = new Ride(attempt);
     UpstreamConnection free = takeIdle(now);
     if (free != null) {
@@ -115,7 +115,7 @@
 
   /** One that rests is free sooner than it costs the backend to take a new one. */
   private void connectIfNeeded() {
-    while (connecting + resting < waiting.size() && connections < most) {
+    while (connecting + resting < waiting.size() && connections < max) {
       if (!pool.reserveConnection()) {
         break;
       }
--- a/router/src/main/java/nettletrail/router/upstream/UpstreamPool.java
+++ b/router/src/main/java/nettletrail/router/upstream/UpstreamPool.java
@@ -41,7 +41,7 @@
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
-  private final int mostConnections;
+  private final int maxConnections;
   private final Map<String, BackendChannels> backends = new HashMap<>();
 
   /** Connections that rest, the first to have rested first; some of them may have closed since. */
@@ -52,11 +52,11 @@
 
   /**
    * @param connectTimeoutMs after which a connection that is not up has failed
-   * @param mostConnections to all backends together
+   * @param maxConnections to all backends together
    */
-  public UpstreamPool(EventLoop loop, int connectTimeoutMs, int mostConnections) {
+  public UpstreamPool(EventLoop loop, int connectTimeoutMs, int maxConnections) {
     this.loop = loop;
-    this.mostConnections = mostConnections;
+    this.maxConnections = maxConnections;
     bootstrap =
         new Bootstrap()
             .group(loop)
@@ -70,14 +70,14 @@
   /**
    * Sends a request, now or when a connection is free.
    *
-   * @param mostToBackend connections that this door may have to the backend
+   * @param maxToBackend connections that this door may have to the backend
    */
-  public Ticket send(BackendEndpoint endpoint, int mostToBackend, Attempt attempt) {
+  public Ticket send(BackendEndpoint endpoint, int maxToBackend, Attempt attempt) {
     long now = System.nanoTime();
     endRests(now);
     BackendChannels backend =
         backends.computeIfAbsent(endpoint.id(), id -> new BackendChannels(this, endpoint));
-    return backend.send(attempt, mostToBackend, now);
+    return backend.send(attempt, maxToBackend, now);
   }
 
   /** Closes what is idle at this incarnation and forgets it once its last connection has closed. */
@@ -130,7 +130,7 @@
 
   /** Counts one more connection; false if there is no room for it. */
   boolean reserveConnection() {
-    if (connections >= mostConnections && !closeOldestIdle()) {
+    if (connections >= maxConnections && !closeOldestIdle()) {
       return false;
     }
     connections++;
--- a/router/src/test/java/nettletrail/router/AttemptEnd.java
+++ b/router/src/test/java/nettletrail/router/AttemptEnd.java
@@ -11,16 +11,16 @@
   EARLY_NOT_RUN_503(Outcome.NOT_RUN, Moment.EARLY, c -> c.write(notRun("503 Service Unavailable"))),
   EARLY_NOT_RUN_429(Outcome.NOT_RUN, Moment.EARLY, c -> c.write(notRun("429 Too Many Requests"))),
   EARLY_NOT_RUN_400(Outcome.NOT_RUN, Moment.EARLY, c -> c.write(notRun("400 Bad Request"))),
-  EARLY_421(Outcome.NOT_RUN, Moment.EARLY, c -> c.write(whole("421 Misdirected Request", ""))),
+  EARLY_421(Outcome.NOT_RUN, Moment.EARLY, c -> c.write(complete("421 Misdirected Request", ""))),
   NOT_RUN_503(Outcome.NOT_RUN, Moment.READ, c -> c.write(notRun("503 Service Unavailable"))),
-  MISDIRECTED(Outcome.NOT_RUN, Moment.READ, c -> c.write(whole("421 Misdirected Request", ""))),
+  MISDIRECTED(Outcome.NOT_RUN, Moment.READ, c -> c.write(complete("421 Misdirected Request", ""))),
 
   // The connection ends and tells nothing.
   RESET_AFTER_THE_HEAD(Outcome.MAY_HAVE_RUN, Moment.EARLY, c -> c.reset()),
   RESET_AFTER_PART_OF_THE_BODY(Outcome.MAY_HAVE_RUN, Moment.PART_READ, c -> c.reset()),
   END_AFTER_PART_OF_THE_BODY(Outcome.MAY_HAVE_RUN, Moment.PART_READ, c -> c.finish()),
-  RESET_AFTER_THE_WHOLE_REQUEST(Outcome.MAY_HAVE_RUN, Moment.READ, c -> c.reset()),
-  END_AFTER_THE_WHOLE_REQUEST(Outcome.MAY_HAVE_RUN, Moment.READ, c -> c.finish()),
+  RESET_AFTER_THE_COMPLETE_REQUEST(Outcome.MAY_HAVE_RUN, Moment.READ, c -> c.reset()),
+  END_AFTER_THE_COMPLETE_REQUEST(Outcome.MAY_HAVE_RUN, Moment.READ, c -> c.finish()),
 
   // The backend answers, before or after it has read the body.
   EARLY_200(
@@ -31,10 +31,11 @@
       Outcome.ANSWERED_200,
       Moment.PART_READ,
       c -> c.write("HTTP/1.1 100 Continue\r\n\r\n" + sealed("200 OK", AttemptEnd.OWN_BODY))),
-  WHOLE_200(Outcome.ANSWERED_200, Moment.READ, c -> c.write(sealed("200 OK", AttemptEnd.OWN_BODY))),
-  WHOLE_500(
+  COMPLETE_200(
+      Outcome.ANSWERED_200, Moment.READ, c -> c.write(sealed("200 OK", AttemptEnd.OWN_BODY))),
+  COMPLETE_500(
       Outcome.ANSWERED_500, Moment.READ, c -> c.write(sealed("500 Failed", AttemptEnd.OWN_BODY))),
-  WHOLE_500_AND_MORE_BYTES(
+  COMPLETE_500_AND_MORE_BYTES(
       Outcome.ANSWERED_500,
       Moment.READ,
       c -> c.write(sealed("500 Failed", AttemptEnd.OWN_BODY) + sealed("200 OK", "surplus"))),
@@ -120,9 +121,9 @@
       Moment.READ,
       c -> c.write(notRun("503 Unavailable").replace("X-Attempt-Id: ", "X-Attempt-Id: other-"))),
   SUCCESS_WITHOUT_SEAL(
-      Outcome.MAY_HAVE_RUN, Moment.READ, c -> c.write(whole("200 OK", AttemptEnd.OWN_BODY))),
-  UNSEALED_503(Outcome.MAY_HAVE_RUN, Moment.READ, c -> c.write(whole("503 Unavailable", ""))),
-  EARLY_UNSEALED_429(Outcome.MAY_HAVE_RUN, Moment.EARLY, c -> c.write(whole("429 Many", "")));
+      Outcome.MAY_HAVE_RUN, Moment.READ, c -> c.write(complete("200 OK", AttemptEnd.OWN_BODY))),
+  UNSEALED_503(Outcome.MAY_HAVE_RUN, Moment.READ, c -> c.write(complete("503 Unavailable", ""))),
+  EARLY_UNSEALED_429(Outcome.MAY_HAVE_RUN, Moment.EARLY, c -> c.write(complete("429 Many", "")));
 
   /** A whole event, so that it is a whole body on every kind of route. */
   static final String OWN_BODY = "id: 1\ndata: own\n\n";
@@ -179,11 +180,11 @@
     return head(status, "Content-Length: " + body.length() + "\r\n") + body;
   }
 
-  private static String whole(String status, String body) {
+  private static String complete(String status, String body) {
     return sealed(status, body).replace("X-Backend-Seal: seal\r\n", "");
   }
 
   private static String notRun(String status) {
-    return whole(status, "").replace("X-Attempt-Id", "X-Not-Run: 1\r\nX-Attempt-Id");
+    return complete(status, "").replace("X-Attempt-Id", "X-Not-Run: 1\r\nX-Attempt-Id");
   }
 }
--- a/router/src/test/java/nettletrail/router/RouterConnectionTest.java
+++ b/router/src/test/java/nettletrail/router/RouterConnectionTest.java
@@ -120,7 +120,7 @@
   void whatIsTooLargeToHoldIsRefusedAndNothingIsSent() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
-    client.post("/once/x", "id-1", "x".repeat(RouterFixture.MOST_BUFFERED_BYTES + 1), KEY);
+    client.post("/once/x", "id-1", "x".repeat(RouterFixture.MAX_BUFFERED_BYTES + 1), KEY);
     TestClient.Answer answer = client.read();
     assertEquals(503, answer.status());
     assertNotNull(answer.header("Retry-After"));
--- a/router/src/test/java/nettletrail/router/RouterFixture.java
+++ b/router/src/test/java/nettletrail/router/RouterFixture.java
@@ -24,7 +24,7 @@
   /** At a ratio of 0.2, of which half is used: four further sends. */
   private static final int EARNING_REQUESTS = 44;
 
-  static final int MOST_BUFFERED_BYTES = 1 << 20;
+  static final int MAX_BUFFERED_BYTES = 1 << 20;
   static final String KEY = "X-Key: key-1";
 
   /** Read and written on the router's loop only. */
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public void giveBack(String tenant, long cost, long now) {
+    public void refund(String tenant, long cost, long now) {
       tokens += cost;
       taken -= cost;
     }
@@ -117,7 +117,7 @@
   private final Set<String> services = new HashSet<>();
 
   RouterFixture(String configuration) throws Exception {
-    this(configuration, new RouterSettings("zone-a", 0.2, 0, 1_000, MOST_BUFFERED_BYTES, 400, 1));
+    this(configuration, new RouterSettings("zone-a", 0.2, 0, 1_000, MAX_BUFFERED_BYTES, 400, 1));
   }
 
   private RouterFixture(String configuration, RouterSettings settings) throws Exception {
--- a/router/src/test/java/nettletrail/router/RouterRoutingChangeTest.java
+++ b/router/src/test/java/nettletrail/router/RouterRoutingChangeTest.java
@@ -94,8 +94,8 @@
   @Test
   void whatIsAtABackendIsAnsweredThoughItsRouteServiceAndBackendAreRemoved() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
-    TestClient whole = fixture.client();
-    whole.post("/once/x", "id-1", "", KEY);
+    TestClient complete = fixture.client();
+    complete.post("/once/x", "id-1", "", KEY);
     ScriptedBackend.Received first = backend.take();
     TestClient streaming = fixture.client();
     streaming.post("/stream/x", "id-2", "", KEY);
@@ -119,7 +119,7 @@
           return null;
         });
     first.answer("200 OK", "whole");
-    assertEquals("whole", whole.read().body());
+    assertEquals("whole", complete.read().body());
     second.event(2, "two");
     assertEquals(ScriptedBackend.eventText(2, "two"), streaming.readChunk());
     second.endStream();
--- a/router/src/test/java/nettletrail/router/retry/RetryBudgetTest.java
+++ b/router/src/test/java/nettletrail/router/retry/RetryBudgetTest.java
@@ -44,7 +44,7 @@
       budget.firstSend(1);
     }
     assertTrue(budget.take(1_000, 2));
-    budget.giveBack(3);
+    budget.refund(3);
     assertTrue(budget.take(1_000, 4));
   }
 
@@ -98,11 +98,11 @@
     }
     for (long end : furthers) {
       long spent = within(furthers, end);
-      long most =
+      long max =
           Math.max(
               within(firsts, end),
               Math.max(within(firsts, end - WINDOW), within(firsts, end - WINDOW / 2)));
-      assertTrue(spent <= RATIO * most + SLACK, spent + " for " + most);
+      assertTrue(spent <= RATIO * max + SLACK, spent + " for " + max);
     }
   }
 
--- a/router/src/test/java/nettletrail/router/stream/EventParserTest.java
+++ b/router/src/test/java/nettletrail/router/stream/EventParserTest.java
@@ -81,7 +81,7 @@
   void anEventWithoutAnEndIsNotKeptForEver() {
     String line = "data: " + "x".repeat(10_000) + "\n";
     boolean fits = true;
-    for (int i = 0; i <= EventParser.MOST_EVENT_BYTES / line.length(); i++) {
+    for (int i = 0; i <= EventParser.MAX_EVENT_BYTES / line.length(); i++) {
       fits = read(line);
     }
     assertFalse(fits);
--- a/store/src/main/java/nettletrail/store/CoreStore.java
+++ b/store/src/main/java/nettletrail/store/CoreStore.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
 /**
@@ -72,8 +72,8 @@
   }
 
   /** Makes a promise durable. */
-  public void storePromise(int shard, Ballot ballot) throws StorageException {
-    stores.get(shard).storePromise(ballot);
+  public void storePromise(int shard, ProposalNumber proposal) throws StorageException {
+    stores.get(shard).storePromise(proposal);
   }
 
   /** Makes a version durable. */
--- a/store/src/main/java/nettletrail/store/DiskCheck.java
+++ b/store/src/main/java/nettletrail/store/DiskCheck.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
 /**
@@ -78,7 +78,7 @@
 
   private DiskReport.Shard shard(int number, String folder) throws StorageException {
     ReadOnlyDirectory directory = root.subdirectory(folder);
-    Ballot promised = null;
+    ProposalNumber promised = null;
     List<String> versions = new ArrayList<>();
     for (String name : directory.list()) {
       String file = folder + "/" + name;
@@ -95,7 +95,7 @@
     return versions(number, directory, folder, promised, versions);
   }
 
-  private Ballot promise(ReadOnlyDirectory directory, String file) throws StorageException {
+  private ProposalNumber promise(ReadOnlyDirectory directory, String file) throws StorageException {
     try {
       return RecordDecoder.readPromise(directory, VersionStore.PROMISE_FILE);
     } catch (StorageException failure) {
@@ -106,27 +106,31 @@
   }
 
   private DiskReport.Shard versions(
-      int number, ReadOnlyDirectory directory, String folder, Ballot promised, List<String> names)
+      int number,
+      ReadOnlyDirectory directory,
+      String folder,
+      ProposalNumber promised,
+      List<String> names)
       throws StorageException {
     names.sort(Collections.reverseOrder());
     ShardVersion newest = null;
-    int whole = 0;
+    int complete = 0;
     for (String name : names) {
       try {
         ShardVersion version = RecordDecoder.readVersion(directory, name);
         newest = newest == null ? version : newest;
-        whole++;
+        complete++;
       } catch (StorageException failure) {
         requireDamage(failure);
         damagedVersion(folder + "/" + name, failure, newest != null);
       }
     }
-    return new DiskReport.Shard(number, promised, newest, whole);
+    return new DiskReport.Shard(number, promised, newest, complete);
   }
 
   /** A start reads versions from the newest on, until one is whole. */
-  private void damagedVersion(String file, StorageException failure, boolean newerIsWhole) {
-    if (newerIsWhole) {
+  private void damagedVersion(String file, StorageException failure, boolean newerIsComplete) {
+    if (newerIsComplete) {
       note(file, failure.getMessage() + "; a newer version is whole, so it isn't read");
     } else {
       fault(file, failure.getMessage() + "; a start takes a fresh identity and removes it");
--- a/store/src/main/java/nettletrail/store/DiskReport.java
+++ b/store/src/main/java/nettletrail/store/DiskReport.java
@@ -1,7 +1,7 @@
 package nettletrail.store;
 
 import java.util.List;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
 /**
@@ -25,9 +25,10 @@
    * @param shard its number
    * @param promised the highest ballot that was promised, or null
    * @param newest the newest version that is whole, or null
-   * @param wholeVersions how many versions are whole
+   * @param completeVersions how many versions are whole
    */
-  public record Shard(int shard, Ballot promised, ShardVersion newest, int wholeVersions) {}
+  public record Shard(
+      int shard, ProposalNumber promised, ShardVersion newest, int completeVersions) {}
 
   /** What a finding means for a start from this disk. */
   public enum Severity {
--- a/store/src/main/java/nettletrail/store/RecordDecoder.java
+++ b/store/src/main/java/nettletrail/store/RecordDecoder.java
@@ -1,7 +1,7 @@
 package nettletrail.store;
 
 import java.io.IOException;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.apache.avro.io.DecoderFactory;
 import org.apache.avro.specific.SpecificDatumReader;
@@ -12,8 +12,9 @@
   private RecordDecoder() {}
 
   /** Reads a promise. */
-  static Ballot readPromise(Directory directory, String name) throws StorageException {
-    return read(directory, name, RecordFile.Kind.PROMISE, new SpecificDatumReader<>(Ballot.class));
+  static ProposalNumber readPromise(Directory directory, String name) throws StorageException {
+    return read(
+        directory, name, RecordFile.Kind.PROMISE, new SpecificDatumReader<>(ProposalNumber.class));
   }
 
   /** Reads a version. */
--- a/store/src/main/java/nettletrail/store/StoredShard.java
+++ b/store/src/main/java/nettletrail/store/StoredShard.java
@@ -1,7 +1,7 @@
 package nettletrail.store;
 
 import java.util.List;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
 /**
@@ -11,7 +11,7 @@
  * @param version the newest version that is whole, or null
  * @param damaged names of files that could not be read whole; empty on a healthy disk
  */
-public record StoredShard(Ballot promised, ShardVersion version, List<String> damaged) {
+public record StoredShard(ProposalNumber promised, ShardVersion version, List<String> damaged) {
 
   /** Copies the list. */
   public StoredShard {
--- a/store/src/main/java/nettletrail/store/VersionStore.java
+++ b/store/src/main/java/nettletrail/store/VersionStore.java
@@ -6,7 +6,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.TreeMap;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.EncoderFactory;
@@ -45,7 +45,7 @@
     List<String> damaged = new ArrayList<>();
     versionFiles.clear();
     lastNumber = 0;
-    Ballot promised = null;
+    ProposalNumber promised = null;
     for (String name : directory.list()) {
       if (name.endsWith(RecordFile.TEMPORARY_SUFFIX)) {
         directory.remove(name);
@@ -72,8 +72,9 @@
   }
 
   /** Makes a promise durable. */
-  public void storePromise(Ballot ballot) throws StorageException {
-    byte[] payload = encode(PROMISE_FILE, ballot, new SpecificDatumWriter<>(Ballot.class));
+  public void storePromise(ProposalNumber proposal) throws StorageException {
+    byte[] payload =
+        encode(PROMISE_FILE, proposal, new SpecificDatumWriter<>(ProposalNumber.class));
     RecordFile.write(directory, PROMISE_FILE, RecordFile.Kind.PROMISE, payload);
   }
 
@@ -117,7 +118,7 @@
     }
   }
 
-  private Ballot readPromise(List<String> damaged) throws StorageException {
+  private ProposalNumber readPromise(List<String> damaged) throws StorageException {
     try {
       return RecordDecoder.readPromise(directory, PROMISE_FILE);
     } catch (StorageException failure) {
--- a/store/src/test/java/nettletrail/store/ConfigurationOnDiskTest.java
+++ b/store/src/test/java/nettletrail/store/ConfigurationOnDiskTest.java
@@ -9,10 +9,10 @@
 import java.nio.file.Path;
 import java.util.HexFormat;
 import java.util.List;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.ConfigurationChange;
 import nettletrail.protocol.ConfigurationValue;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.DecoderFactory;
@@ -68,7 +68,7 @@
     new SpecificDatumWriter<>(ConfigurationValue.class).write(value, encoder);
     encoder.flush();
     return new ShardVersion(
-        new Ballot(3L, IDENTITY),
+        new ProposalNumber(3L, IDENTITY),
         sequence,
         List.of(new Member(IDENTITY, ADDRESS)),
         ByteBuffer.wrap(bytes.toByteArray()));
--- a/store/src/test/java/nettletrail/store/CoreStoreTest.java
+++ b/store/src/test/java/nettletrail/store/CoreStoreTest.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.Stream;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -35,7 +35,7 @@
   private static ShardVersion version(long sequence) {
     ByteBuffer value = ByteBuffer.wrap(("value " + sequence).getBytes(StandardCharsets.UTF_8));
     List<Member> members = List.of(new Member(ADDRESS + "#0", ADDRESS));
-    return new ShardVersion(new Ballot(7L, ADDRESS + "#0"), sequence, members, value);
+    return new ShardVersion(new ProposalNumber(7L, ADDRESS + "#0"), sequence, members, value);
   }
 
   private List<Path> versionFiles(int shard) throws IOException {
@@ -71,14 +71,14 @@
   void givenPromiseAndVersions_whenOpenedAgain_thenTheNewestAreRead()
       throws StorageException, IOException {
     CoreStore store = open(true);
-    store.storePromise(0, new Ballot(3L, "a"));
-    store.storePromise(0, new Ballot(9L, "b"));
+    store.storePromise(0, new ProposalNumber(3L, "a"));
+    store.storePromise(0, new ProposalNumber(9L, "b"));
     for (long sequence = 0; sequence < 10; sequence++) {
       store.storeVersion(0, version(sequence));
     }
     assertEquals(VersionStore.KEPT_VERSIONS, versionFiles(0).size());
     StoredShard stored = open(false).stored().get(0);
-    assertEquals(new Ballot(9L, "b"), stored.promised());
+    assertEquals(new ProposalNumber(9L, "b"), stored.promised());
     assertEquals(version(9), stored.version());
     assertTrue(stored.damaged().isEmpty());
   }
@@ -119,7 +119,7 @@
 
   @Test
   void givenTornPromise_whenOpened_thenReported() throws StorageException, IOException {
-    open(true).storePromise(0, new Ballot(3L, "a"));
+    open(true).storePromise(0, new ProposalNumber(3L, "a"));
     Files.write(folder.resolve("shard-0").resolve("promise"), new byte[5]);
     StoredShard stored = open(false).stored().get(0);
     assertNull(stored.promised());
--- a/store/src/test/java/nettletrail/store/DiskCheckTest.java
+++ b/store/src/test/java/nettletrail/store/DiskCheckTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import nettletrail.protocol.Ballot;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -31,15 +31,15 @@
   @BeforeEach
   void writeTwoVersions() throws StorageException {
     CoreStore store = CoreStore.open(DiskDirectory.open(disk), ADDRESS, true, SHARDS, 7);
-    store.storePromise(0, new Ballot(3L, store.self().getId()));
+    store.storePromise(0, new ProposalNumber(3L, store.self().getId()));
     store.storeVersion(0, version(store, 1));
     store.storeVersion(0, version(store, 2));
   }
 
   private static ShardVersion version(CoreStore store, long sequence) {
-    Ballot ballot = new Ballot(3L, store.self().getId());
+    ProposalNumber proposal = new ProposalNumber(3L, store.self().getId());
     ByteBuffer value = ByteBuffer.wrap(new byte[] {1, 2, 3});
-    return new ShardVersion(ballot, sequence, List.of(store.self()), value);
+    return new ShardVersion(proposal, sequence, List.of(store.self()), value);
   }
 
   private void spoil(String name) throws IOException {
@@ -75,8 +75,8 @@
     assertEquals(ADDRESS + "#0", report.identity());
     assertEquals(SHARDS, report.shards().size());
     assertEquals(2, report.shards().get(0).newest().getSequence());
-    assertEquals(2, report.shards().get(0).wholeVersions());
-    assertEquals(3, report.shards().get(0).promised().getRound());
+    assertEquals(2, report.shards().get(0).completeVersions());
+    assertEquals(3, report.shards().get(0).promised().getTerm());
     assertNull(report.shards().get(1).newest());
   }
 
--- a/store/src/test/java/nettletrail/store/PowerLossTest.java
+++ b/store/src/test/java/nettletrail/store/PowerLossTest.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
 /** Random writes, failures and losses of power over a simulated disk. */
@@ -48,7 +48,7 @@
 
   private static void check(StoredShard stored, Expected expected) {
     assertTrue(stored.damaged().isEmpty(), stored.damaged().toString());
-    long promise = stored.promised() == null ? 0 : stored.promised().getRound();
+    long promise = stored.promised() == null ? 0 : stored.promised().getTerm();
     assertTrue(promise >= expected.acknowledgedPromise, "promise forgotten");
     assertTrue(promise <= expected.lastPromise, "promise out of nowhere");
     long version = stored.version() == null ? 0 : stored.version().getSequence();
@@ -65,7 +65,7 @@
       try {
         if (random.nextInt(3) == 0) {
           expected.lastPromise++;
-          store.storePromise(0, new Ballot(expected.lastPromise, "node"));
+          store.storePromise(0, new ProposalNumber(expected.lastPromise, "node"));
           expected.acknowledgedPromise = expected.lastPromise;
         } else {
           expected.lastVersion++;
@@ -81,6 +81,6 @@
   private static ShardVersion version(long sequence) {
     ByteBuffer value = ByteBuffer.wrap(new byte[(int) (sequence % 50)]);
     return new ShardVersion(
-        new Ballot(1L, "node"), sequence, List.of(new Member("m", ADDRESS)), value);
+        new ProposalNumber(1L, "node"), sequence, List.of(new Member("m", ADDRESS)), value);
   }
 }
--- a/store/src/test/java/nettletrail/store/StateOnDiskTest.java
+++ b/store/src/test/java/nettletrail/store/StateOnDiskTest.java
@@ -7,8 +7,8 @@
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
 import java.util.List;
-import nettletrail.protocol.Ballot;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -23,7 +23,7 @@
   private static final String IDENTITY = ADDRESS + "#0";
   private static final int SHARDS = 5;
   private static final int VERSIONS = 5;
-  private static final Ballot BALLOT = new Ballot(3L, IDENTITY);
+  private static final ProposalNumber PROPOSAL = new ProposalNumber(3L, IDENTITY);
 
   @TempDir private Path folder;
 
@@ -33,17 +33,17 @@
             new Member(IDENTITY, ADDRESS),
             new Member("10.2.0.34:7680#0", "10.2.0.34:7680"),
             new Member("10.3.0.42:7680#r1f", "10.3.0.42:7680"));
-    return new ShardVersion(BALLOT, sequence, members, ByteBuffer.wrap(new byte[] {1, 2, 3}));
+    return new ShardVersion(PROPOSAL, sequence, members, ByteBuffer.wrap(new byte[] {1, 2, 3}));
   }
 
   /** Writes the sample's state, as a core process would. */
   private static void writeSample(Path disk) throws StorageException {
     CoreStore store = CoreStore.open(DiskDirectory.open(disk), ADDRESS, true, SHARDS, 1);
-    store.storePromise(0, BALLOT);
+    store.storePromise(0, PROPOSAL);
     for (long sequence = 1; sequence <= VERSIONS; sequence++) {
       store.storeVersion(0, version(sequence));
     }
-    store.storePromise(4, new Ballot(2L, "10.2.0.34:7680#0"));
+    store.storePromise(4, new ProposalNumber(2L, "10.2.0.34:7680#0"));
   }
 
   private Path copyOfSample() throws IOException {
@@ -59,12 +59,12 @@
     assertEquals(IDENTITY, store.self().getId());
     StoredShard configuration = store.stored().get(0);
     assertEquals(List.of(), configuration.damaged());
-    assertEquals(BALLOT, configuration.promised());
+    assertEquals(PROPOSAL, configuration.promised());
     assertEquals(version(VERSIONS), configuration.version());
     List<Long> kept = store.versions(0).stream().map(ShardVersion::getSequence).toList();
     assertEquals(List.of(2L, 3L, 4L, 5L), kept);
     assertTrue(store.stored().get(1).isEmpty());
-    assertEquals(2, store.stored().get(4).promised().getRound());
+    assertEquals(2, store.stored().get(4).promised().getTerm());
   }
 
   @Test
