--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/GroupChangeSystem.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/GroupChangeSystem.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import nettletrail.control.shard.ProposalNumbers;
 import nettletrail.control.shard.CoreShards;
+import nettletrail.control.shard.ProposalNumbers;
 import nettletrail.control.shard.ShardSettings;
 import nettletrail.emulator.explore.ReplicaNetwork.Disturbance;
 import nettletrail.protocol.Member;
@@ -59,7 +59,8 @@
       addresses.add(nextAddress());
     }
     List<Member> members = addresses.stream().map(NodeIdentity::founding).toList();
-    ShardVersion initial = new ShardVersion(ProposalNumbers.ZERO, 0L, members, ByteBuffer.allocate(0));
+    ShardVersion initial =
+        new ShardVersion(ProposalNumbers.ZERO, 0L, members, ByteBuffer.allocate(0));
     for (Member member : members) {
       addAt(places.size(), new SimulatedReplica(member, addresses, settings, initial));
     }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaSystem.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaSystem.java
@@ -44,7 +44,8 @@
       addresses.add("replica-" + number + ":1");
     }
     List<Member> members = addresses.stream().map(NodeIdentity::founding).toList();
-    ShardVersion initial = new ShardVersion(ProposalNumbers.ZERO, 0L, members, ByteBuffer.allocate(0));
+    ShardVersion initial =
+        new ShardVersion(ProposalNumbers.ZERO, 0L, members, ByteBuffer.allocate(0));
     for (Member member : members) {
       network.add(new SimulatedReplica(member, addresses, settings, initial));
     }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/SimulatedReplica.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/SimulatedReplica.java
@@ -8,8 +8,8 @@
 import nettletrail.control.shard.CoreShards;
 import nettletrail.control.shard.ShardSettings;
 import nettletrail.control.shard.StoreOutcome;
-import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 import nettletrail.store.StoredShard;
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Bounds.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Bounds.java
@@ -83,13 +83,31 @@
   /** The same with another time until a configuration is in force. */
   public Bounds withInForce(long value) {
     return new Bounds(
-        contact, value, revoke, drain, recover, catchUp, heartbeat, quotaWindow, quotaOver, quotaSlack);
+        contact,
+        value,
+        revoke,
+        drain,
+        recover,
+        catchUp,
+        heartbeat,
+        quotaWindow,
+        quotaOver,
+        quotaSlack);
   }
 
   /** The same with another time until a key is revoked. */
   public Bounds withRevoke(long value) {
     return new Bounds(
-        contact, inForce, value, drain, recover, catchUp, heartbeat, quotaWindow, quotaOver, quotaSlack);
+        contact,
+        inForce,
+        value,
+        drain,
+        recover,
+        catchUp,
+        heartbeat,
+        quotaWindow,
+        quotaOver,
+        quotaSlack);
   }
 
   /** The same with another time until a backend is drained. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FleetJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FleetJudge.java
@@ -25,8 +25,8 @@
 import nettletrail.emulator.world.VirtualTime;
 import nettletrail.emulator.world.World;
 import nettletrail.protocol.Accept;
-import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.GrantReply;
+import nettletrail.protocol.ProposalNumber;
 
 /** All judges of one fleet, and what they found. */
 public final class FleetJudge implements CoreObserver, Observations {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
@@ -26,10 +26,10 @@
 import nettletrail.emulator.world.VirtualTime;
 import nettletrail.emulator.world.World;
 import nettletrail.protocol.Accept;
-import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.Member;
+import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.link.LinkListener;
 import nettletrail.protocol.link.LinkSettings;
 import nettletrail.protocol.link.Peer;
@@ -121,8 +121,14 @@
     registry = new CoreRegistry(registrySettings, this, now());
     Hello hello =
         new Hello(
-            incarnation.machine().name(), self.getAddress(), ROLE, random.nextLong(), PROTOCOL_VERSION);
-    links = new SimulatedLinks(world, incarnation, LinkSettings.defaults(), hello, this, random.split());
+            incarnation.machine().name(),
+            self.getAddress(),
+            ROLE,
+            random.nextLong(),
+            PROTOCOL_VERSION);
+    links =
+        new SimulatedLinks(
+            world, incarnation, LinkSettings.defaults(), hello, this, random.split());
     seeds.forEach(links::dial);
     world.network().listen(incarnation, controlAddress(), this::acceptCaller);
     tick();
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
@@ -41,7 +41,8 @@
    * @param seeds addresses of links to begin with
    * @param promises the bounds that the door keeps
    */
-  public DoorProcess(World world, Machine.Incarnation incarnation, List<String> seeds, Promises promises) {
+  public DoorProcess(
+      World world, Machine.Incarnation incarnation, List<String> seeds, Promises promises) {
     this.incarnation = incarnation;
     SplittableRandom random = world.newRandom();
     String name = incarnation.machine().name();
@@ -55,9 +56,11 @@
             promises.inForceMillis(),
             seeds);
     this.control = new DoorControl(settings, now());
-    Hello hello = new Hello(name, "", SimulatedLinks.DOOR_ROLE, settings.incarnation(), PROTOCOL_VERSION);
+    Hello hello =
+        new Hello(name, "", SimulatedLinks.DOOR_ROLE, settings.incarnation(), PROTOCOL_VERSION);
     this.links =
-        new SimulatedLinks(world, incarnation, LinkSettings.defaults(), hello, this, random.split());
+        new SimulatedLinks(
+            world, incarnation, LinkSettings.defaults(), hello, this, random.split());
     tick();
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLinks.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLinks.java
@@ -155,7 +155,9 @@
 
   private void connect(String address) {
     long timeout = settings.connectTimeoutMillis() * VirtualTime.MILLISECOND;
-    world.network().connect(incarnation, address, timeout, connection -> connected(address, connection));
+    world
+        .network()
+        .connect(incarnation, address, timeout, connection -> connected(address, connection));
   }
 
   private void connected(String address, Connection connection) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/Machine.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/world/Machine.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * One machine with at most one process. Every step of the process goes through {@link Incarnation#run}, so
- * that it can be killed or frozen between any two steps: a frozen process runs its steps after it
- * was thawed, a dead one never does.
+ * One machine with at most one process. Every step of the process goes through {@link
+ * Incarnation#run}, so that it can be killed or frozen between any two steps: a frozen process runs
+ * its steps after it was thawed, a dead one never does.
  */
 public final class Machine {
   /** How a process ends. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/Network.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/world/Network.java
@@ -48,16 +48,21 @@
    *
    * @param address {@code host:port}, the host being the machine's
    */
-  public void listen(Machine.Incarnation incarnation, String address, Consumer<Connection> acceptor) {
+  public void listen(
+      Machine.Incarnation incarnation, String address, Consumer<Connection> acceptor) {
     listening.put(address, new Listening(incarnation, acceptor));
-    incarnation.onEnd(end -> listening.computeIfPresent(address, (key, l) -> l.incarnation == incarnation ? null : l));
+    incarnation.onEnd(
+        end ->
+            listening.computeIfPresent(
+                address, (key, l) -> l.incarnation == incarnation ? null : l));
   }
 
   /**
    * Opens a connection. The result comes as a step of the process: a connection, or null if it was
    * refused or did not come up in time.
    */
-  public void connect(Machine.Incarnation from, String address, long timeout, Consumer<Connection> done) {
+  public void connect(
+      Machine.Incarnation from, String address, long timeout, Consumer<Connection> done) {
     Attempt attempt = new Attempt(from, done);
     from.after(timeout, () -> attempt.complete(null));
     Machine target = machines.get(hostOf(address));
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/DoorStoriesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/DoorStoriesTest.java
@@ -174,8 +174,7 @@
     story.when(
         "the owner is killed four times and each door is cut off once, under twice the load");
     long max = story.fleet().judge().maxTokensInWindow();
-    story.then(
-        "some window holds over half of the limit", max > 4 * OrderDocument.RATE_PER_SECOND);
+    story.then("some window holds over half of the limit", max > 4 * OrderDocument.RATE_PER_SECOND);
     story.approve();
   }
 
