--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/BackendActor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/BackendActor.java
@@ -7,9 +7,9 @@
 import java.util.function.Supplier;
 import nettletrail.emulator.host.ControlRequest;
 import nettletrail.emulator.host.ControlResponse;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendState;
 
@@ -72,22 +72,22 @@
    * @param coreInTouch whether the core process at an address is in touch
    */
   public BackendActor(
-      World world,
+      Simulation simulation,
       Machine machine,
       Identity identity,
       Schedule schedule,
       Supplier<List<String>> addresses,
       Predicate<String> coreInTouch,
       Observations observations) {
-    this.time = world.time();
+    this.time = simulation.time();
     this.incarnation = machine.isUp() ? machine.incarnation() : machine.start();
     this.identity = identity;
     this.schedule = schedule;
     this.addresses = addresses;
     this.coreInTouch = coreInTouch;
     this.observations = observations;
-    this.random = world.newRandom();
-    this.caller = new ControlCaller(world.network(), incarnation, ANSWER_TIMEOUT);
+    this.random = simulation.newRandom();
+    this.caller = new ControlCaller(simulation.network(), incarnation, ANSWER_TIMEOUT);
     register();
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/ControlCaller.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/ControlCaller.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 import nettletrail.emulator.host.ControlRequest;
 import nettletrail.emulator.host.ControlResponse;
-import nettletrail.emulator.world.Connection;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.Network;
-import nettletrail.emulator.world.Payload;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.Connection;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Network;
+import nettletrail.emulator.simulation.Payload;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /** Makes calls to core processes, each on a connection of its own. */
 final class ControlCaller {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/DoorTraffic.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/DoorTraffic.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import nettletrail.emulator.host.DoorProcess;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendState;
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/Operator.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/Operator.java
@@ -5,9 +5,9 @@
 import java.util.function.Supplier;
 import nettletrail.emulator.host.ControlRequest;
 import nettletrail.emulator.host.ControlResponse;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * One operator: makes orders on top of the newest version that it knows, sends each to any core
@@ -23,7 +23,7 @@
   private final VirtualTime time;
   private final Machine.Incarnation incarnation;
   private final Supplier<List<String>> addresses;
-  private final OrderBook orders;
+  private final OperatorHistory orders;
   private final Observations observations;
   private final SplittableRandom random;
   private final ControlCaller caller;
@@ -34,18 +34,18 @@
    * @param addresses where core processes take calls
    */
   public Operator(
-      World world,
+      Simulation simulation,
       Machine machine,
       Supplier<List<String>> addresses,
-      OrderBook orders,
+      OperatorHistory orders,
       Observations observations) {
-    this.time = world.time();
+    this.time = simulation.time();
     this.incarnation = machine.start();
     this.addresses = addresses;
     this.orders = orders;
     this.observations = observations;
-    this.random = world.newRandom();
-    this.caller = new ControlCaller(world.network(), incarnation, ANSWER_TIMEOUT);
+    this.random = simulation.newRandom();
+    this.caller = new ControlCaller(simulation.network(), incarnation, ANSWER_TIMEOUT);
   }
 
   /** The newest version that this operator knows; null before the first. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/OrderBook.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/OperatorHistory.java
@@ -2,10 +2,10 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import nettletrail.emulator.judge.ConfigurationOperation.Order;
+import nettletrail.emulator.checker.ConfigurationOperation.Order;
 
 /** All orders that any operator has made, by id. */
-public final class OrderBook {
+public final class OperatorHistory {
   private final Map<Integer, OrderDocument> documents = new HashMap<>();
 
   /**
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/OrderDocument.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/OrderDocument.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import nettletrail.configuration.RoutingTable;
 import nettletrail.configuration.Tenant;
-import nettletrail.emulator.judge.ConfigurationOperation.Order;
+import nettletrail.emulator.checker.ConfigurationOperation.Order;
 
 /**
  * The configuration that one order brings. Each order has a key of its own that its successor still
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CoreNode.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CoreNode.java
@@ -25,7 +25,7 @@
 import nettletrail.control.shard.ReplicaGroup;
 import nettletrail.control.shard.ShardSettings;
 import nettletrail.control.shard.StoreOutcome;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.ProposalNumber;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /** Plays what happens to a fleet over a year and tells the peak of each, and how long it lasts. */
 final class FleetEvents {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetParts.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetParts.java
@@ -1,7 +1,7 @@
 package nettletrail.emulator.capacity;
 
 import java.util.List;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /** What all processes of a fleet in memory share. */
 record FleetParts(
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HealthWatch.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HealthWatch.java
@@ -1,7 +1,7 @@
 package nettletrail.emulator.capacity;
 
 import java.util.List;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * Watches a fleet for shards that change their owner and for leases that run out though their
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowBackend.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowBackend.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
 
 /**
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowDoor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowDoor.java
@@ -7,7 +7,7 @@
 import nettletrail.control.door.DoorAction;
 import nettletrail.control.door.DoorControl;
 import nettletrail.control.door.DoorControlSettings;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 import org.apache.avro.specific.SpecificRecord;
 
 /** A door's real control plane with its share of requests, which take quota and do nothing else. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import nettletrail.control.ShardMap;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
 
 /**
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredNetwork.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredNetwork.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.link.EnvelopeCodec;
 import nettletrail.protocol.link.ProtocolException;
 import org.apache.avro.specific.SpecificRecord;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredProcess.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * One process in virtual time with one control thread: steps run one after the other, each takes as
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Operator.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Operator.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * Sends configurations one after the other, each again to another core process until it is
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SizeRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SizeRun.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * One size of the fleet: a steady window, some changes of the configuration, and what all that
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/InForceJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/ActivationChecker.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,7 +9,7 @@
 /**
  * Checks that doors use what was acknowledged in time, and never go back to an older configuration.
  */
-public final class InForceJudge {
+public final class ActivationChecker {
   private final long bound;
   private final Consumer<Violation> violations;
   private final NavigableMap<Long, Long> acknowledged = new TreeMap<>();
@@ -19,7 +19,7 @@
    * @param bound how long a door in touch may use an older configuration, in nanoseconds
    * @param violations told what is broken
    */
-  public InForceJudge(long bound, Consumer<Violation> violations) {
+  public ActivationChecker(long bound, Consumer<Violation> violations) {
     this.bound = bound;
     this.violations = violations;
   }
@@ -38,13 +38,13 @@
     long before = used.getOrDefault(door, 0L);
     if (edition < before) {
       String what = door + " went back from " + before + " to " + edition;
-      violations.accept(new Violation(Promise.CONFIGURATION_NEVER_BACK, instant, what));
+      violations.accept(new Violation(Guarantee.CONFIGURATION_NEVER_BACK, instant, what));
     }
     used.put(door, Math.max(before, edition));
     long due = due(instant);
     if (inTouch && edition < due) {
       String what = door + " uses " + edition + " though " + due + " was acknowledged";
-      violations.accept(new Violation(Promise.CONFIGURATION_IN_FORCE, instant, what));
+      violations.accept(new Violation(Guarantee.CONFIGURATION_IN_FORCE, instant, what));
     }
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/ConfigurationHistory.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/ConfigurationHistory.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import nettletrail.emulator.judge.ConfigurationOperation.Answer;
-import nettletrail.emulator.judge.ConfigurationOperation.Order;
-import nettletrail.emulator.judge.ConfigurationOperation.Read;
-import nettletrail.emulator.judge.ConfigurationOperation.Use;
-import nettletrail.emulator.judge.ConfigurationOperation.Write;
+import nettletrail.emulator.checker.ConfigurationOperation.Answer;
+import nettletrail.emulator.checker.ConfigurationOperation.Order;
+import nettletrail.emulator.checker.ConfigurationOperation.Read;
+import nettletrail.emulator.checker.ConfigurationOperation.Use;
+import nettletrail.emulator.checker.ConfigurationOperation.Write;
 
 /**
  * Collects what operators and doors saw of the configuration, to be checked at the end of a run.
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/ConfigurationModel.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/ConfigurationModel.java
@@ -1,11 +1,11 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import java.util.Set;
 import java.util.TreeSet;
-import nettletrail.emulator.judge.ConfigurationOperation.Order;
-import nettletrail.emulator.judge.ConfigurationOperation.Read;
-import nettletrail.emulator.judge.ConfigurationOperation.Use;
-import nettletrail.emulator.judge.ConfigurationOperation.Write;
+import nettletrail.emulator.checker.ConfigurationOperation.Order;
+import nettletrail.emulator.checker.ConfigurationOperation.Read;
+import nettletrail.emulator.checker.ConfigurationOperation.Use;
+import nettletrail.emulator.checker.ConfigurationOperation.Write;
 
 /**
  * The configuration as a register with compare-and-set on the edition. An order that was taken is
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/ConfigurationOperation.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/ConfigurationOperation.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 /** What operators do with the configuration, and what doors show of it. */
 public sealed interface ConfigurationOperation {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/DrainJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/DrainChecker.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,7 +10,7 @@
  * Checks that no door in touch uses a backend that still runs after its end was acknowledged and a
  * bound has passed.
  */
-public final class DrainJudge {
+public final class DrainChecker {
   private final long bound;
   private final Consumer<Violation> violations;
   private final Map<String, Long> acknowledged = new HashMap<>();
@@ -20,7 +20,7 @@
    * @param bound how long a backend may be used after the acknowledgement, in nanoseconds
    * @param violations told what is broken
    */
-  public DrainJudge(long bound, Consumer<Violation> violations) {
+  public DrainChecker(long bound, Consumer<Violation> violations) {
     this.bound = bound;
     this.violations = violations;
   }
@@ -43,7 +43,7 @@
     Long since = acknowledged.get(backend);
     if (inTouch && since != null && instant > since + bound) {
       String what = door + " used " + backend + ", whose end was acknowledged at " + since;
-      violations.accept(new Violation(Promise.DRAINED_BACKEND, instant, what));
+      violations.accept(new Violation(Guarantee.DRAINED_BACKEND, instant, what));
     }
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/Promise.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/Guarantee.java
@@ -1,7 +1,7 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 /** What the fleet promises, one entry for each check. */
-public enum Promise {
+public enum Guarantee {
   /** Calls of the operators have an order in which each answer is right. */
   LINEARIZABLE_CONFIGURATION,
   /** Operators don't read an older configuration than a door was seen to use before. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/KeyJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/KeyChecker.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * Checks that no door takes a key after its removal was acknowledged and a bound has passed, in
  * touch or not.
  */
-public final class KeyJudge {
+public final class KeyChecker {
   private final long bound;
   private final Consumer<Violation> violations;
   private final Map<String, Long> revoked = new HashMap<>();
@@ -17,7 +17,7 @@
    * @param bound how long a key may be taken after the acknowledgement, in nanoseconds
    * @param violations told what is broken
    */
-  public KeyJudge(long bound, Consumer<Violation> violations) {
+  public KeyChecker(long bound, Consumer<Violation> violations) {
     this.bound = bound;
     this.violations = violations;
   }
@@ -32,7 +32,7 @@
     Long revokedAt = revoked.get(key);
     if (revokedAt != null && instant > revokedAt + bound) {
       String what = door + " took " + key + ", revoked at " + revokedAt;
-      violations.accept(new Violation(Promise.REVOKED_KEY, instant, what));
+      violations.accept(new Violation(Guarantee.REVOKED_KEY, instant, what));
     }
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/LinearizabilityChecker.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/LinearizabilityChecker.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import java.util.ArrayList;
 import java.util.BitSet;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/OwnershipJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/OwnershipChecker.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import java.util.HashMap;
 import java.util.List;
@@ -9,7 +9,7 @@
  * Checks that a shard has one owner at a time and that a fencing token belongs to one process and
  * one value.
  */
-public final class OwnershipJudge {
+public final class OwnershipChecker {
   private final Consumer<Violation> violations;
   private final Map<TokenKey, String> tokenHolders = new HashMap<>();
   private final Map<WriteKey, String> writtenValues = new HashMap<>();
@@ -17,7 +17,7 @@
   /**
    * @param violations told what is broken
    */
-  public OwnershipJudge(Consumer<Violation> violations) {
+  public OwnershipChecker(Consumer<Violation> violations) {
     this.violations = violations;
   }
 
@@ -29,7 +29,7 @@
   public void leaseHolders(long instant, int shard, List<String> holders) {
     if (holders.size() > 1) {
       violations.accept(
-          new Violation(Promise.ONE_OWNER, instant, "shard " + shard + " owned by " + holders));
+          new Violation(Guarantee.ONE_OWNER, instant, "shard " + shard + " owned by " + holders));
     }
   }
 
@@ -42,7 +42,7 @@
     String first = tokenHolders.putIfAbsent(new TokenKey(shard, token), process);
     if (first != null && !first.equals(process)) {
       String what = "shard " + shard + " token " + token + " of " + first + " used by " + process;
-      violations.accept(new Violation(Promise.TOKEN_USED_ONCE, instant, what));
+      violations.accept(new Violation(Guarantee.TOKEN_USED_ONCE, instant, what));
     }
   }
 
@@ -51,7 +51,7 @@
     WriteKey key = new WriteKey(shard, token, sequence);
     String first = writtenValues.putIfAbsent(key, valueDigest);
     if (first != null && !first.equals(valueDigest)) {
-      violations.accept(new Violation(Promise.TOKEN_USED_ONCE, instant, "two values for " + key));
+      violations.accept(new Violation(Guarantee.TOKEN_USED_ONCE, instant, "two values for " + key));
     }
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/QuotaJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/QuotaChecker.java
@@ -1,11 +1,11 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
 
 /** Checks that one tenant's use over all doors stays within its limit in every sliding window. */
-public final class QuotaJudge {
+public final class QuotaChecker {
   /**
    * A tenant's limit.
    *
@@ -35,7 +35,7 @@
   /**
    * @param violations told what is broken
    */
-  public QuotaJudge(String tenant, Limit limit, Consumer<Violation> violations) {
+  public QuotaChecker(String tenant, Limit limit, Consumer<Violation> violations) {
     this.tenant = tenant;
     this.limit = limit;
     this.violations = violations;
@@ -51,7 +51,7 @@
     maxUsed = Math.max(maxUsed, used);
     if (used > limit.maxPerWindow()) {
       String what = tenant + " used " + used + " of at most " + limit.maxPerWindow();
-      violations.accept(new Violation(Promise.QUOTA_WINDOW, instant, what));
+      violations.accept(new Violation(Guarantee.QUOTA_WINDOW, instant, what));
     }
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/SequentialModel.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/SequentialModel.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 /**
  * What a system does when its operations run one after another.
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/TimedOperation.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/TimedOperation.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 /**
  * An operation in a history.
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/Violation.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/Violation.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 /**
  * A promise that was seen broken.
@@ -6,7 +6,7 @@
  * @param instant when, in nanoseconds of virtual time
  * @param what who did what
  */
-public record Violation(Promise promise, long instant, String what) {
+public record Violation(Guarantee promise, long instant, String what) {
   private static final double NANOSECONDS_PER_SECOND = 1e9;
 
   @Override
--- a/fleet-emulator/src/main/java/nettletrail/emulator/judge/package-info.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/checker/package-info.java
@@ -3,4 +3,4 @@
  * the fleet's inside: they see calls with their answers, and what doors did, each with its instant
  * in nanoseconds of virtual time.
  */
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/GroupChangeSystem.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/GroupChangeSystem.java
@@ -107,13 +107,13 @@
     }
     for (int place = 0; place < bounds.troubled(); place++) {
       if (mayBeLost(place)) {
-        addTroubles(place, enabled);
+        addFaults(place, enabled);
       }
     }
     return enabled;
   }
 
-  private void addTroubles(int place, List<Transition> enabled) {
+  private void addFaults(int place, List<Transition> enabled) {
     enabled.add(new Transition.Round(place, ReplicaNetwork.UNLIMITED));
     enabled.add(new Transition.StalledRound(place));
     if (losses < bounds.losses()) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/RegisterChecks.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/RegisterChecks.java
@@ -9,7 +9,7 @@
 import nettletrail.control.shard.CoreAction;
 import nettletrail.control.shard.CoreShards;
 import nettletrail.emulator.actors.OrderDocument;
-import nettletrail.emulator.judge.ConfigurationOperation.Order;
+import nettletrail.emulator.checker.ConfigurationOperation.Order;
 
 /**
  * What must hold of a register whose operators all build on one version: one owner, one order
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Bounds.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Bounds.java
@@ -2,8 +2,8 @@
 
 import nettletrail.control.grant.GrantTerms;
 import nettletrail.emulator.actors.OrderDocument;
-import nettletrail.emulator.judge.QuotaJudge;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.checker.QuotaChecker;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * The times and limits that the fleet promises to keep.
@@ -138,8 +138,8 @@
   }
 
   /** The limit that the judge holds the tenant's use against. */
-  QuotaJudge.Limit quotaLimit() {
-    return new QuotaJudge.Limit(
+  QuotaChecker.Limit quotaLimit() {
+    return new QuotaChecker.Limit(
         OrderDocument.RATE_PER_SECOND, OrderDocument.BURST, quotaWindow, quotaOver, quotaSlack);
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Contact.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Contact.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.Network;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Network;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * Which machines are in touch, so that bounds on time hold for them: for some time nothing happened
@@ -22,9 +22,9 @@
   private final Network network;
   private final long span;
   private final Supplier<List<Machine>> core;
-  private final Map<Machine, Long> machineTroubles = new HashMap<>();
+  private final Map<Machine, Long> machineFaults = new HashMap<>();
   private final Set<Machine> troubled = new HashSet<>();
-  private long coreTrouble = NEVER;
+  private long coreFault = NEVER;
 
   /**
    * @param span how long nothing may have happened, in nanoseconds
@@ -38,10 +38,10 @@
   }
 
   /** Something happens to a machine now. */
-  void trouble(Machine machine) {
-    machineTroubles.put(machine, time.now());
+  void fault(Machine machine) {
+    machineFaults.put(machine, time.now());
     if (core.get().contains(machine)) {
-      coreTrouble = time.now();
+      coreFault = time.now();
     }
   }
 
@@ -49,13 +49,13 @@
    * A trouble begins that lasts, and that others don't see from the machine being down or cut off.
    */
   void begin(Machine machine) {
-    trouble(machine);
+    fault(machine);
     troubled.add(machine);
   }
 
   /** A lasting trouble has ended. */
   void end(Machine machine) {
-    trouble(machine);
+    fault(machine);
     troubled.remove(machine);
   }
 
@@ -66,7 +66,7 @@
   int lostCores(long catchUp) {
     int lost = 0;
     for (Machine machine : core.get()) {
-      boolean past = time.now() - machineTroubles.getOrDefault(machine, NEVER) >= catchUp;
+      boolean past = time.now() - machineFaults.getOrDefault(machine, NEVER) >= catchUp;
       boolean well =
           machine.isRunning() && !troubled.contains(machine) && isConnectedToAll(machine);
       lost += past && well ? 0 : 1;
@@ -84,7 +84,7 @@
   boolean isInTouch(Machine machine) {
     return machine.isRunning()
         && !troubled.contains(machine)
-        && isPast(machineTroubles.getOrDefault(machine, NEVER))
+        && isPast(machineFaults.getOrDefault(machine, NEVER))
         && isCoreStable()
         && reachesCore(machine);
   }
@@ -96,7 +96,7 @@
   private boolean isCoreStable() {
     List<Machine> machines = core.get();
     boolean majority = machines.stream().anyMatch(this::reachesMajority);
-    return majority && isPast(coreTrouble) && machines.stream().noneMatch(troubled::contains);
+    return majority && isPast(coreFault) && machines.stream().noneMatch(troubled::contains);
   }
 
   private boolean reachesMajority(Machine machine) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/CoreNode.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/CoreNode.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import nettletrail.emulator.host.CoreObserver;
 import nettletrail.emulator.host.CoreProcess;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.store.StorageException;
 
 /**
@@ -15,15 +15,20 @@
 public final class CoreNode {
   private static final long RESTART_PAUSE = 500 * VirtualTime.MILLISECOND;
 
-  private final World world;
+  private final Simulation simulation;
   private final Machine machine;
   private final Bounds bounds;
   private final CoreObserver observer;
   private List<String> seeds;
   private CoreProcess process;
 
-  CoreNode(World world, Machine machine, Bounds bounds, CoreObserver observer, List<String> seeds) {
-    this.world = world;
+  CoreNode(
+      Simulation simulation,
+      Machine machine,
+      Bounds bounds,
+      CoreObserver observer,
+      List<String> seeds) {
+    this.simulation = simulation;
     this.machine = machine;
     this.bounds = bounds;
     this.observer = observer;
@@ -59,7 +64,7 @@
     try {
       process =
           new CoreProcess(
-              world,
+              simulation,
               incarnation,
               seeds,
               firstRun,
@@ -68,7 +73,7 @@
               observer);
     } catch (StorageException unusable) {
       machine.end(Machine.End.KILL);
-      world.time().after(RESTART_PAUSE, this::startIfDown);
+      simulation.time().after(RESTART_PAUSE, this::startIfDown);
     }
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/DoorNode.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/DoorNode.java
@@ -4,15 +4,15 @@
 import nettletrail.emulator.actors.DoorTraffic;
 import nettletrail.emulator.actors.Observations;
 import nettletrail.emulator.host.DoorProcess;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /** A door's machine over all lives of its process, with the traffic that comes there. */
 public final class DoorNode {
   private static final long TOKENS_PER_REQUEST = 1_500;
 
-  private final World world;
+  private final Simulation simulation;
   private final Machine machine;
   private final Bounds bounds;
   private final Contact contact;
@@ -23,14 +23,14 @@
   private DoorTraffic traffic;
 
   DoorNode(
-      World world,
+      Simulation simulation,
       Machine machine,
       Bounds bounds,
       Contact contact,
       Observations observations,
       double tokensPerSecond,
       List<String> seeds) {
-    this.world = world;
+    this.simulation = simulation;
     this.machine = machine;
     this.bounds = bounds;
     this.contact = contact;
@@ -65,13 +65,13 @@
     DoorProcess.Promises promises =
         new DoorProcess.Promises(
             bounds.revoke() / VirtualTime.MILLISECOND, bounds.inForce() / VirtualTime.MILLISECOND);
-    process = new DoorProcess(world, machine.start(), seeds, promises);
+    process = new DoorProcess(simulation, machine.start(), seeds, promises);
     traffic =
         new DoorTraffic(
             process,
             () -> contact.isInTouch(machine),
             observations,
-            world.newRandom(),
+            simulation.newRandom(),
             tokensPerSecond,
             TOKENS_PER_REQUEST);
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Troubles.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FaultInjector.java
@@ -3,22 +3,22 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.SimulatedDisk;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedDisk;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /** Everything that can befall a fleet, with a note of it for the question who is in touch. */
-public final class Troubles {
+public final class FaultInjector {
   private static final long GRACE = 100 * VirtualTime.MILLISECOND;
 
-  private final World world;
+  private final Simulation simulation;
   private final Fleet fleet;
   private final Contact contact;
   private final Set<Machine> cutMachines = new LinkedHashSet<>();
 
-  Troubles(World world, Fleet fleet, Contact contact) {
-    this.world = world;
+  FaultInjector(Simulation simulation, Fleet fleet, Contact contact) {
+    this.simulation = simulation;
     this.fleet = fleet;
     this.contact = contact;
   }
@@ -28,21 +28,21 @@
   /** Ends a process, if there is one. */
   public void kill(Machine machine) {
     log("kill %s", machine);
-    contact.trouble(machine);
+    contact.fault(machine);
     machine.end(Machine.End.KILL);
   }
 
   /** A machine loses power. */
   public void losePower(Machine machine) {
     log("power loss at %s", machine);
-    contact.trouble(machine);
+    contact.fault(machine);
     machine.end(Machine.End.POWER_LOSS);
   }
 
   /** Starts a core process that has ended. */
   public void start(CoreNode core) {
     if (!core.machine().isUp()) {
-      contact.trouble(core.machine());
+      contact.fault(core.machine());
       log("start %s", core);
       core.start(false);
     }
@@ -51,7 +51,7 @@
   /** Starts a door that has ended. */
   public void start(DoorNode door) {
     if (!door.machine().isUp()) {
-      contact.trouble(door.machine());
+      contact.fault(door.machine());
       log("start %s", door);
       door.start();
     }
@@ -60,13 +60,13 @@
   /** Kills a core process and starts it again after a pause in nanoseconds. */
   public void restart(CoreNode core, long pause) {
     kill(core.machine());
-    world.time().after(pause, () -> start(core));
+    simulation.time().after(pause, () -> start(core));
   }
 
   /** A core process is told to end, and has ended a little later. */
   public void terminate(CoreNode core) {
     log("terminate %s", core);
-    contact.trouble(core.machine());
+    contact.fault(core.machine());
     if (core.machine().isUp()) {
       core.machine().incarnation().run(core.process()::release);
       Machine.Incarnation incarnation = core.machine().incarnation();
@@ -77,14 +77,14 @@
   /** Stops a process between two steps. */
   public void freeze(Machine machine) {
     log("freeze %s", machine);
-    contact.trouble(machine);
+    contact.fault(machine);
     machine.freeze();
   }
 
   /** Lets a frozen process go on. */
   public void thaw(Machine machine) {
     log("thaw %s", machine);
-    contact.trouble(machine);
+    contact.fault(machine);
     machine.thaw();
   }
 
@@ -93,7 +93,7 @@
   /** A core machine loses its disk and comes back at its address with an empty one. */
   public void wipe(CoreNode core) {
     log("wipe %s", core);
-    contact.trouble(core.machine());
+    contact.fault(core.machine());
     core.machine().end(Machine.End.POWER_LOSS);
     core.machine().disk().wipe();
   }
@@ -104,11 +104,11 @@
    */
   public CoreNode replace(CoreNode core) {
     log("replace %s", core);
-    contact.trouble(core.machine());
+    contact.fault(core.machine());
     core.machine().end(Machine.End.POWER_LOSS);
     fleet.removeCore(core);
     CoreNode successor = fleet.addCore();
-    contact.trouble(successor.machine());
+    contact.fault(successor.machine());
     successor.start(false);
     return successor;
   }
@@ -129,7 +129,7 @@
     for (Machine machine : group) {
       for (Machine other : others) {
         noteCut(machine, other);
-        world.network().cut(machine, other);
+        simulation.network().cut(machine, other);
       }
     }
   }
@@ -138,15 +138,15 @@
   public void cutOneWay(Machine from, Machine to) {
     log("cut one way from %s to %s", from, to);
     noteCut(from, to);
-    world.network().cutOneWay(from, to);
+    simulation.network().cutOneWay(from, to);
   }
 
   /** Ends all cuts. */
   public void healCuts() {
     log("heal cuts");
-    cutMachines.forEach(contact::trouble);
+    cutMachines.forEach(contact::fault);
     cutMachines.clear();
-    world.network().healAll();
+    simulation.network().healAll();
   }
 
   /**
@@ -156,7 +156,7 @@
     boolean withinCore = isCore(one) && isCore(other);
     for (Machine machine : List.of(one, other)) {
       if (withinCore || !isCore(machine)) {
-        contact.trouble(machine);
+        contact.fault(machine);
         cutMachines.add(machine);
       }
     }
@@ -169,8 +169,8 @@
   /** Resets all connections of a machine. */
   public void resetConnections(Machine machine) {
     log("reset connections of %s", machine);
-    contact.trouble(machine);
-    world.network().resetConnections(machine);
+    contact.fault(machine);
+    simulation.network().resetConnections(machine);
   }
 
   /** Adds to the delay in both directions between a machine and all core machines; 0 ends it. */
@@ -178,8 +178,8 @@
     log("links of %s take %d ns more", machine, extra);
     noteLasting(machine, extra > 0);
     for (CoreNode core : fleet.cores()) {
-      world.network().setExtraDelay(machine, core.machine(), extra);
-      world.network().setExtraDelay(core.machine(), machine, extra);
+      simulation.network().setExtraDelay(machine, core.machine(), extra);
+      simulation.network().setExtraDelay(core.machine(), machine, extra);
     }
   }
 
@@ -196,8 +196,8 @@
   public void hangDisk(CoreNode core, long span) {
     log("disk of %s hangs for %d ns", core, span);
     contact.begin(core.machine());
-    core.machine().disk().hangUntil(world.time().now() + span);
-    world.time().after(span, () -> contact.end(core.machine()));
+    core.machine().disk().hangUntil(simulation.time().now() + span);
+    simulation.time().after(span, () -> contact.end(core.machine()));
   }
 
   /** A disk takes only so many bytes more. */
@@ -217,7 +217,7 @@
   /** The time of day of a machine jumps. */
   public void stepClock(Machine machine, long span) {
     log("time of day of %s jumps by %d ns", machine, span);
-    contact.trouble(machine);
+    contact.fault(machine);
     machine.clock().stepTimeOfDay(span);
   }
 
@@ -237,7 +237,7 @@
       thaw(core.machine());
       slowLinks(core.machine(), 0);
       slowDisk(core, SimulatedDisk.USUAL_LATENCY);
-      core.machine().disk().hangUntil(world.time().now());
+      core.machine().disk().hangUntil(simulation.time().now());
       freeDisk(core);
       start(core);
     }
@@ -249,6 +249,6 @@
   }
 
   private void log(String format, Object... arguments) {
-    world.log().add(format, arguments);
+    simulation.log().add(format, arguments);
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Fleet.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/Fleet.java
@@ -6,12 +6,12 @@
 import nettletrail.control.ShardMap;
 import nettletrail.emulator.actors.BackendActor;
 import nettletrail.emulator.actors.Operator;
-import nettletrail.emulator.actors.OrderBook;
+import nettletrail.emulator.actors.OperatorHistory;
 import nettletrail.emulator.actors.OrderDocument;
 import nettletrail.emulator.host.CoreProcess;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * An emulated fleet with its operators and backends. Everything follows from the seed and the calls
@@ -23,32 +23,32 @@
   private static final String BACKEND_PORT = ":8080";
   private static final long GREATEST_START_DELAY = 300 * VirtualTime.MILLISECOND;
 
-  private final World world;
+  private final Simulation simulation;
   private final FleetOptions options;
   private final SplittableRandom random;
-  private final OrderBook orders = new OrderBook();
+  private final OperatorHistory orders = new OperatorHistory();
   private final List<CoreNode> cores = new ArrayList<>();
   private final List<DoorNode> doors = new ArrayList<>();
   private final List<Operator> operators = new ArrayList<>();
   private final List<BackendActor> backends = new ArrayList<>();
   private final Contact contact;
-  private final FleetJudge judge;
-  private final Troubles troubles;
+  private final FleetChecker checker;
+  private final FaultInjector faults;
   private int machines;
 
   /** A fleet whose machines have no power yet. */
   public Fleet(long seed, FleetOptions options) {
-    this.world = new World(seed, options.network(), options.greatestDriftPpm());
+    this.simulation = new Simulation(seed, options.network(), options.greatestDriftPpm());
     this.options = options;
-    this.random = world.newRandom();
+    this.random = simulation.newRandom();
     this.contact =
         new Contact(
-            world.time(),
-            world.network(),
+            simulation.time(),
+            simulation.network(),
             options.bounds().contact(),
             () -> cores.stream().map(CoreNode::machine).toList());
-    this.judge = new FleetJudge(world, options.bounds(), orders, () -> processes());
-    this.troubles = new Troubles(world, this, contact);
+    this.checker = new FleetChecker(simulation, options.bounds(), orders, () -> processes());
+    this.faults = new FaultInjector(simulation, this, contact);
     for (int index = 0; index < options.cores(); index++) {
       addCore();
     }
@@ -71,34 +71,34 @@
 
   /** A machine that has just started is new: it counts as lost and is not in touch for a while. */
   private void startSoon(Machine machine, Runnable start) {
-    world
+    simulation
         .time()
         .after(
             random.nextLong(GREATEST_START_DELAY),
             () -> {
-              contact.trouble(machine);
+              contact.fault(machine);
               start.run();
             });
   }
 
   /** Virtual time, network and randomness. */
-  public World world() {
-    return world;
+  public Simulation simulation() {
+    return simulation;
   }
 
   /** The scheduler. */
   public VirtualTime time() {
-    return world.time();
+    return simulation.time();
   }
 
   /** What was promised, and what was seen. */
-  public FleetJudge judge() {
-    return judge;
+  public FleetChecker checker() {
+    return checker;
   }
 
   /** What can befall the fleet. */
-  public Troubles troubles() {
-    return troubles;
+  public FaultInjector faults() {
+    return faults;
   }
 
   /** Core machines, except those that were removed for good. */
@@ -122,7 +122,7 @@
   }
 
   /** All orders that were ever made. */
-  public OrderBook orders() {
+  public OperatorHistory orders() {
     return orders;
   }
 
@@ -144,7 +144,7 @@
   /** Adds an operator, who does nothing by himself. */
   public Operator addOperator() {
     Machine machine = newMachine("operator-" + (operators.size() + 1), false);
-    Operator operator = new Operator(world, machine, this::controlAddresses, orders, judge);
+    Operator operator = new Operator(simulation, machine, this::controlAddresses, orders, checker);
     operators.add(operator);
     return operator;
   }
@@ -161,13 +161,13 @@
     String id = "i-" + (backends.size() + 1);
     BackendActor backend =
         new BackendActor(
-            world,
+            simulation,
             machine,
             new BackendActor.Identity(id, service, machine.host() + BACKEND_PORT),
             new BackendActor.Schedule(options.bounds().heartbeat(), drain + random.nextLong(drain)),
             this::controlAddresses,
             this::isCoreInTouch,
-            judge);
+            checker);
     backends.add(backend);
     return backend;
   }
@@ -177,7 +177,7 @@
     machines++;
     int network = machines / HOSTS_PER_NETWORK;
     int host = 1 + machines % HOSTS_PER_NETWORK;
-    return world.addMachine(name, "10.0." + network + "." + host, withDisk);
+    return simulation.addMachine(name, "10.0." + network + "." + host, withDisk);
   }
 
   /** The process that owns a shard now; null if there is none. */
@@ -200,7 +200,8 @@
 
   CoreNode addCore() {
     Machine machine = newMachine("core-" + (machines + 1), true);
-    CoreNode core = new CoreNode(world, machine, options.told(), judge, seedsForNewMachine());
+    CoreNode core =
+        new CoreNode(simulation, machine, options.told(), checker, seedsForNewMachine());
     cores.add(core);
     return core;
   }
@@ -222,11 +223,11 @@
     Machine machine = newMachine("door-" + (doors.size() + 1), false);
     doors.add(
         new DoorNode(
-            world,
+            simulation,
             machine,
             options.told(),
             contact,
-            judge,
+            checker,
             options.tokensPerSecond() / options.doors(),
             seeds));
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FleetJudge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FleetChecker.java
@@ -8,54 +8,57 @@
 import java.util.function.Supplier;
 import nettletrail.control.ShardMap;
 import nettletrail.emulator.actors.Observations;
-import nettletrail.emulator.actors.OrderBook;
+import nettletrail.emulator.actors.OperatorHistory;
 import nettletrail.emulator.actors.OrderDocument;
+import nettletrail.emulator.checker.ActivationChecker;
+import nettletrail.emulator.checker.ConfigurationHistory;
+import nettletrail.emulator.checker.ConfigurationOperation.Answer;
+import nettletrail.emulator.checker.DrainChecker;
+import nettletrail.emulator.checker.Guarantee;
+import nettletrail.emulator.checker.KeyChecker;
+import nettletrail.emulator.checker.OwnershipChecker;
+import nettletrail.emulator.checker.QuotaChecker;
+import nettletrail.emulator.checker.Violation;
 import nettletrail.emulator.host.CoreObserver;
 import nettletrail.emulator.host.CoreProcess;
-import nettletrail.emulator.judge.ConfigurationHistory;
-import nettletrail.emulator.judge.ConfigurationOperation.Answer;
-import nettletrail.emulator.judge.DrainJudge;
-import nettletrail.emulator.judge.InForceJudge;
-import nettletrail.emulator.judge.KeyJudge;
-import nettletrail.emulator.judge.OwnershipJudge;
-import nettletrail.emulator.judge.Promise;
-import nettletrail.emulator.judge.QuotaJudge;
-import nettletrail.emulator.judge.Violation;
-import nettletrail.emulator.world.RunLog;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.RunLog;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.ProposalNumber;
 
 /** All judges of one fleet, and what they found. */
-public final class FleetJudge implements CoreObserver, Observations {
+public final class FleetChecker implements CoreObserver, Observations {
   private static final int MAX_VIOLATIONS = 20;
 
   private final VirtualTime time;
   private final RunLog log;
-  private final OrderBook orders;
+  private final OperatorHistory orders;
   private final Supplier<List<CoreProcess>> coreProcesses;
   private final List<Violation> violations = new ArrayList<>();
   private final ConfigurationHistory history = new ConfigurationHistory();
-  private final OwnershipJudge ownership = new OwnershipJudge(this::report);
-  private final QuotaJudge quota;
-  private final KeyJudge keys;
-  private final DrainJudge drain;
-  private final InForceJudge inForce;
+  private final OwnershipChecker ownership = new OwnershipChecker(this::report);
+  private final QuotaChecker quota;
+  private final KeyChecker keys;
+  private final DrainChecker drain;
+  private final ActivationChecker inForce;
   private int acknowledgedOrders;
   private int refusedOrders;
 
-  FleetJudge(
-      World world, Bounds bounds, OrderBook orders, Supplier<List<CoreProcess>> coreProcesses) {
-    this.time = world.time();
-    this.log = world.log();
+  FleetChecker(
+      Simulation simulation,
+      Bounds bounds,
+      OperatorHistory orders,
+      Supplier<List<CoreProcess>> coreProcesses) {
+    this.time = simulation.time();
+    this.log = simulation.log();
     this.orders = orders;
     this.coreProcesses = coreProcesses;
-    this.quota = new QuotaJudge(OrderDocument.TENANT, bounds.quotaLimit(), this::report);
-    this.keys = new KeyJudge(bounds.revoke(), this::report);
-    this.drain = new DrainJudge(bounds.drain(), this::report);
-    this.inForce = new InForceJudge(bounds.inForce(), this::report);
+    this.quota = new QuotaChecker(OrderDocument.TENANT, bounds.quotaLimit(), this::report);
+    this.keys = new KeyChecker(bounds.revoke(), this::report);
+    this.drain = new DrainChecker(bounds.drain(), this::report);
+    this.inForce = new ActivationChecker(bounds.inForce(), this::report);
   }
 
   /** Notes a promise that was seen broken. */
@@ -75,13 +78,15 @@
   public void checkHistory() {
     Optional<String> amongOperators = history.findObstacle(false);
     if (amongOperators.isPresent()) {
-      broken(Promise.LINEARIZABLE_CONFIGURATION, amongOperators.get());
+      broken(Guarantee.LINEARIZABLE_CONFIGURATION, amongOperators.get());
       return;
     }
-    history.findObstacle(true).ifPresent(obstacle -> broken(Promise.READS_FOLLOW_DOORS, obstacle));
+    history
+        .findObstacle(true)
+        .ifPresent(obstacle -> broken(Guarantee.READS_FOLLOW_DOORS, obstacle));
   }
 
-  private void broken(Promise promise, String what) {
+  private void broken(Guarantee promise, String what) {
     report(new Violation(promise, time.now(), what));
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FleetOptions.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FleetOptions.java
@@ -1,7 +1,7 @@
 package nettletrail.emulator.fleet;
 
 import nettletrail.emulator.actors.OrderDocument;
-import nettletrail.emulator.world.NetworkSettings;
+import nettletrail.emulator.simulation.NetworkSettings;
 
 /**
  * Size and surroundings of an emulated fleet.
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomTroubles.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomFaults.java
@@ -5,19 +5,19 @@
 import java.util.SplittableRandom;
 import nettletrail.emulator.actors.BackendActor;
 import nettletrail.emulator.actors.OrderDocument;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.SimulatedDisk;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedDisk;
+import nettletrail.emulator.simulation.VirtualTime;
 
 /**
  * Draws troubles from a seed, half of those of core machines at the owner of the configuration.
  * Kills, losses of power, freezes and cuts come in any number at a time; a disk is lost only while
  * the others have been well for some time, as many at once as the fleet is to withstand.
  */
-final class RandomTroubles {
+final class RandomFaults {
   private static final long SHORTEST_PAUSE = 100 * VirtualTime.MILLISECOND;
   private static final long LONGEST_PAUSE = 2_500 * VirtualTime.MILLISECOND;
-  private static final long LONGEST_TROUBLE = 4 * VirtualTime.SECOND;
+  private static final long LONGEST_FAULT = 4 * VirtualTime.SECOND;
   private static final long LONGEST_RESTART = VirtualTime.SECOND;
   private static final long QUICK_RESTART = 200 * VirtualTime.MILLISECOND;
   private static final long LONGEST_LEASE = 2 * VirtualTime.SECOND;
@@ -32,14 +32,14 @@
   private static final double[] LOADS = {0, 0.5, 2, 4};
 
   private final Fleet fleet;
-  private final Troubles troubles;
+  private final FaultInjector faults;
   private final SplittableRandom random;
   private final List<Runnable> kinds;
   private boolean stopped;
 
-  RandomTroubles(Fleet fleet, SplittableRandom random) {
+  RandomFaults(Fleet fleet, SplittableRandom random) {
     this.fleet = fleet;
-    this.troubles = fleet.troubles();
+    this.faults = fleet.faults();
     this.random = random;
     this.kinds =
         List.of(
@@ -54,10 +54,10 @@
             this::cutGroups,
             this::cutGroups,
             this::cutOneWay,
-            () -> troubles.resetConnections(anyMachine()),
+            () -> faults.resetConnections(anyMachine()),
             this::slowLinks,
             this::slowDisk,
-            () -> troubles.hangDisk(anyCore(), random.nextLong(LONGEST_TROUBLE)),
+            () -> faults.hangDisk(anyCore(), random.nextLong(LONGEST_FAULT)),
             this::fillDisk,
             this::loseDisk,
             this::loseDisk,
@@ -67,7 +67,7 @@
             this::freezeDoor,
             this::cutDoorOff,
             this::stepClock,
-            troubles::exchangeSeeds,
+            faults::exchangeSeeds,
             this::changeBackends,
             this::changeBackends,
             this::changeLoad);
@@ -98,7 +98,7 @@
 
   private void killCore() {
     boolean quick = random.nextBoolean();
-    troubles.restart(anyCore(), random.nextLong(quick ? QUICK_RESTART : LONGEST_TROUBLE));
+    faults.restart(anyCore(), random.nextLong(quick ? QUICK_RESTART : LONGEST_FAULT));
   }
 
   /**
@@ -114,43 +114,43 @@
     }
     CoreNode cut = followers.get(random.nextInt(followers.size()));
     followers.remove(cut);
-    troubles.cut(List.of(owner.machine()), List.of(cut.machine()));
+    faults.cut(List.of(owner.machine()), List.of(cut.machine()));
     for (CoreNode follower : followers) {
       fleet
           .time()
           .after(
               random.nextLong(LONGEST_LEASE),
-              () -> troubles.restart(follower, random.nextLong(QUICK_RESTART)));
+              () -> faults.restart(follower, random.nextLong(QUICK_RESTART)));
     }
     healLater();
   }
 
   private void terminateCore() {
     CoreNode core = anyCore();
-    troubles.terminate(core);
+    faults.terminate(core);
     fleet
         .time()
         .after(
             LONGEST_RESTART,
             () -> {
               if (!stopped) {
-                troubles.start(core);
+                faults.start(core);
               }
             });
   }
 
   private void powerOffCore() {
-    powerOff(anyCore(), LONGEST_TROUBLE);
+    powerOff(anyCore(), LONGEST_FAULT);
   }
 
   private void powerOff(CoreNode core, long longest) {
-    troubles.losePower(core.machine());
-    later(longest, () -> troubles.start(core));
+    faults.losePower(core.machine());
+    later(longest, () -> faults.start(core));
   }
 
   private void killAllCores() {
     for (CoreNode core : List.copyOf(fleet.cores())) {
-      later(KILL_SPREAD, () -> troubles.restart(core, random.nextLong(LONGEST_RESTART)));
+      later(KILL_SPREAD, () -> faults.restart(core, random.nextLong(LONGEST_RESTART)));
     }
   }
 
@@ -165,36 +165,36 @@
   }
 
   private void freeze(Machine machine) {
-    troubles.freeze(machine);
-    later(LONGEST_TROUBLE, () -> troubles.thaw(machine));
+    faults.freeze(machine);
+    later(LONGEST_FAULT, () -> faults.thaw(machine));
   }
 
   // Disks and machines
 
   private void slowDisk() {
     CoreNode core = anyCore();
-    troubles.slowDisk(core, 1 + random.nextLong(LARGEST_DISK_LATENCY));
-    later(LONGEST_TROUBLE, () -> troubles.slowDisk(core, SimulatedDisk.USUAL_LATENCY));
+    faults.slowDisk(core, 1 + random.nextLong(LARGEST_DISK_LATENCY));
+    later(LONGEST_FAULT, () -> faults.slowDisk(core, SimulatedDisk.USUAL_LATENCY));
   }
 
   private void fillDisk() {
     CoreNode core = anyCore();
-    troubles.fillDisk(core, random.nextInt(MAX_FREE_BYTES));
-    later(LONGEST_TROUBLE, () -> troubles.freeDisk(core));
+    faults.fillDisk(core, random.nextInt(MAX_FREE_BYTES));
+    later(LONGEST_FAULT, () -> faults.freeDisk(core));
   }
 
   private void loseDisk() {
     CoreNode core = anyCore();
     if (fleet.mayLoseDisk(core)) {
-      troubles.wipe(core);
-      later(LONGEST_RESTART, () -> troubles.start(core));
+      faults.wipe(core);
+      later(LONGEST_RESTART, () -> faults.start(core));
     }
   }
 
   private void replaceCore() {
     CoreNode core = anyCore();
     if (fleet.mayLoseDisk(core)) {
-      troubles.replace(core);
+      faults.replace(core);
     }
   }
 
@@ -203,13 +203,13 @@
     if (!fleet.mayLoseDisk(lost)) {
       return;
     }
-    troubles.wipe(lost);
+    faults.wipe(lost);
     for (CoreNode core : fleet.cores()) {
       if (core != lost) {
         powerOff(core, LONGEST_RESTART);
       }
     }
-    later(LONGEST_RESTART, () -> troubles.start(lost));
+    later(LONGEST_RESTART, () -> faults.start(lost));
   }
 
   // Network
@@ -220,7 +220,7 @@
     for (Machine machine : coreAndDoors()) {
       (random.nextBoolean() ? group : others).add(machine);
     }
-    troubles.cut(group, others);
+    faults.cut(group, others);
     healLater();
   }
 
@@ -228,27 +228,27 @@
     Machine from = anyMachine();
     Machine to = anyMachine();
     if (from != to) {
-      troubles.cutOneWay(from, to);
+      faults.cutOneWay(from, to);
       healLater();
     }
   }
 
   private void healLater() {
-    later(LONGEST_TROUBLE, troubles::healCuts);
+    later(LONGEST_FAULT, faults::healCuts);
   }
 
   private void slowLinks() {
     Machine machine = anyMachine();
-    troubles.slowLinks(machine, random.nextLong(LARGEST_LINK_DELAY));
-    later(LONGEST_TROUBLE, () -> troubles.slowLinks(machine, 0));
+    faults.slowLinks(machine, random.nextLong(LARGEST_LINK_DELAY));
+    later(LONGEST_FAULT, () -> faults.slowLinks(machine, 0));
   }
 
   // Doors, clocks, backends
 
   private void killDoor() {
     DoorNode door = anyDoor();
-    troubles.kill(door.machine());
-    later(LONGEST_RESTART, () -> troubles.start(door));
+    faults.kill(door.machine());
+    later(LONGEST_RESTART, () -> faults.start(door));
   }
 
   private void freezeDoor() {
@@ -257,12 +257,12 @@
 
   private void cutDoorOff() {
     Machine door = anyDoor().machine();
-    troubles.cut(List.of(door), fleet.cores().stream().map(CoreNode::machine).toList());
+    faults.cut(List.of(door), fleet.cores().stream().map(CoreNode::machine).toList());
     healLater();
   }
 
   private void stepClock() {
-    troubles.stepClock(anyMachine(), random.nextLong(-LARGEST_CLOCK_STEP, LARGEST_CLOCK_STEP));
+    faults.stepClock(anyMachine(), random.nextLong(-LARGEST_CLOCK_STEP, LARGEST_CLOCK_STEP));
   }
 
   private void changeBackends() {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomRun.java
@@ -6,11 +6,11 @@
 import nettletrail.emulator.actors.BackendActor;
 import nettletrail.emulator.actors.Operator;
 import nettletrail.emulator.actors.OrderDocument;
+import nettletrail.emulator.checker.Guarantee;
+import nettletrail.emulator.checker.Violation;
 import nettletrail.emulator.host.DoorProcess;
-import nettletrail.emulator.judge.Promise;
-import nettletrail.emulator.judge.Violation;
-import nettletrail.emulator.world.NetworkSettings;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.NetworkSettings;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.BackendState;
 
 /**
@@ -32,7 +32,7 @@
   private final long recover;
   private final Fleet fleet;
   private final SplittableRandom random;
-  private final RandomTroubles randomTroubles;
+  private final RandomFaults randomFaults;
   private int acknowledged;
 
   /** Prepares the run of a seed. */
@@ -46,7 +46,7 @@
     this.fleet = new Fleet(seed, size.withNetwork(network));
     this.recover = size.bounds().recover();
     this.random = drawn.split();
-    this.randomTroubles = new RandomTroubles(fleet, drawn.split());
+    this.randomFaults = new RandomFaults(fleet, drawn.split());
   }
 
   /** The fleet, to be looked at. */
@@ -56,7 +56,7 @@
 
   /** Hands all lines of the log to a reader. */
   public RandomRun withLog(Consumer<String> reader) {
-    fleet.world().log().readBy(reader);
+    fleet.simulation().log().readBy(reader);
     return this;
   }
 
@@ -68,16 +68,16 @@
     fleet.addBackend();
     fleet.addBackend();
     fleet.time().runUntil(2 * VirtualTime.SECOND);
-    randomTroubles.begin();
+    randomFaults.begin();
     fleet.time().runFor(TROUBLED);
-    randomTroubles.stop();
-    fleet.troubles().endAll();
+    randomFaults.stop();
+    fleet.faults().endAll();
     checkRecovery();
     fleet.time().runFor(CALM);
     checkBackends();
     readBack();
-    fleet.judge().checkHistory();
-    return fleet.judge().violations();
+    fleet.checker().checkHistory();
+    return fleet.checker().violations();
   }
 
   private void beginOperator(Operator operator) {
@@ -85,7 +85,7 @@
   }
 
   private void work(Operator operator) {
-    if (operator.isIdle() && !randomTroubles.isStopped()) {
+    if (operator.isIdle() && !randomFaults.isStopped()) {
       operator.order(1 + random.nextInt(MAX_ATTEMPTS));
     }
     fleet.time().after(random.nextLong(LONGEST_OPERATOR_PAUSE), () -> work(operator));
@@ -97,13 +97,13 @@
     Operator operator = fleet.addOperator();
     operator.read();
     if (!waitUntilIdle(operator, deadline)) {
-      broken(Promise.RECOVERY, "no configuration is read after all troubles have ended");
+      broken(Guarantee.RECOVERY, "no configuration is read after all troubles have ended");
       return;
     }
-    acknowledged = fleet.judge().acknowledgedOrders();
+    acknowledged = fleet.checker().acknowledgedOrders();
     operator.order(PERSISTENT);
     if (!waitUntilIdle(operator, deadline)) {
-      broken(Promise.RECOVERY, "no order is acknowledged after all troubles have ended");
+      broken(Guarantee.RECOVERY, "no order is acknowledged after all troubles have ended");
     }
   }
 
@@ -111,7 +111,7 @@
     Operator reader = fleet.addOperator();
     reader.read();
     if (!waitUntilIdle(reader, fleet.time().now() + recover)) {
-      broken(Promise.RECOVERY, "the configuration can't be read back");
+      broken(Guarantee.RECOVERY, "the configuration can't be read back");
     }
   }
 
@@ -136,12 +136,12 @@
             .filter(entry -> entry.getState() == BackendState.READY)
             .anyMatch(entry -> entry.getId().equals(backend.id()));
     if (backend.stage() == BackendActor.Stage.SERVING && !ready) {
-      broken(Promise.BACKENDS_KNOWN, door.name() + " does not list " + backend.id());
+      broken(Guarantee.BACKENDS_KNOWN, door.name() + " does not list " + backend.id());
     }
   }
 
-  private void broken(Promise promise, String what) {
-    fleet.judge().report(new Violation(promise, fleet.time().now(), what));
+  private void broken(Guarantee promise, String what) {
+    fleet.checker().report(new Violation(promise, fleet.time().now(), what));
   }
 
   @Override
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/ControlRequest.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/ControlRequest.java
@@ -1,6 +1,6 @@
 package nettletrail.emulator.host;
 
-import nettletrail.emulator.world.Payload;
+import nettletrail.emulator.simulation.Payload;
 import nettletrail.protocol.Backend;
 
 /** A call of an operator or a backend to a core process. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/ControlResponse.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/ControlResponse.java
@@ -1,7 +1,7 @@
 package nettletrail.emulator.host;
 
 import java.util.Set;
-import nettletrail.emulator.world.Payload;
+import nettletrail.emulator.simulation.Payload;
 
 /** A core process's answer: an HTTP status and a body. */
 public record ControlResponse(int status, String body) implements Payload {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
@@ -19,12 +19,12 @@
 import nettletrail.control.shard.ShardSettings;
 import nettletrail.control.shard.StoreOutcome;
 import nettletrail.emulator.link.SimulatedLinks;
-import nettletrail.emulator.world.Connection;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.Payload;
-import nettletrail.emulator.world.SimulatedDirectory;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Connection;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Payload;
+import nettletrail.emulator.simulation.SimulatedDirectory;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.Hello;
@@ -52,7 +52,7 @@
   private static final int PROTOCOL_VERSION = 2;
   private static final long TICK = 50 * VirtualTime.MILLISECOND;
 
-  private final World world;
+  private final Simulation simulation;
   private final Machine.Incarnation incarnation;
   private final SplittableRandom random;
   private final CoreObserver observer;
@@ -74,7 +74,7 @@
    * @throws StorageException if the disk can't be read or the identity can't be written
    */
   public CoreProcess(
-      World world,
+      Simulation simulation,
       Machine.Incarnation incarnation,
       List<String> seeds,
       boolean firstRun,
@@ -82,12 +82,12 @@
       GrantTerms grantTerms,
       CoreObserver observer)
       throws StorageException {
-    this.world = world;
+    this.simulation = simulation;
     this.incarnation = incarnation;
-    this.random = world.newRandom();
+    this.random = simulation.newRandom();
     this.observer = observer;
     this.seeds = List.copyOf(seeds);
-    this.storage = new StorageQueue(world.time(), incarnation);
+    this.storage = new StorageQueue(simulation.time(), incarnation);
     this.store =
         CoreStore.open(
             new SimulatedDirectory(incarnation.machine().disk()),
@@ -103,7 +103,7 @@
             heartbeatMillis,
             grantTerms);
     long opened = incarnation.machine().disk().busyUntil();
-    world.time().at(opened, () -> incarnation.run(() -> begin(firstRun, registrySettings)));
+    simulation.time().at(opened, () -> incarnation.run(() -> begin(firstRun, registrySettings)));
   }
 
   private void begin(boolean firstRun, CoreRegistrySettings registrySettings) {
@@ -128,9 +128,9 @@
             PROTOCOL_VERSION);
     links =
         new SimulatedLinks(
-            world, incarnation, LinkSettings.defaults(), hello, this, random.split());
+            simulation, incarnation, LinkSettings.defaults(), hello, this, random.split());
     seeds.forEach(links::dial);
-    world.network().listen(incarnation, controlAddress(), this::acceptCaller);
+    simulation.network().listen(incarnation, controlAddress(), this::acceptCaller);
     tick();
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
@@ -7,9 +7,9 @@
 import nettletrail.control.door.DoorControl;
 import nettletrail.control.door.DoorControlSettings;
 import nettletrail.emulator.link.SimulatedLinks;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.link.LinkListener;
@@ -42,9 +42,12 @@
    * @param promises the bounds that the door keeps
    */
   public DoorProcess(
-      World world, Machine.Incarnation incarnation, List<String> seeds, Promises promises) {
+      Simulation simulation,
+      Machine.Incarnation incarnation,
+      List<String> seeds,
+      Promises promises) {
     this.incarnation = incarnation;
-    SplittableRandom random = world.newRandom();
+    SplittableRandom random = simulation.newRandom();
     String name = incarnation.machine().name();
     String zone = "zone-" + name;
     DoorControlSettings settings =
@@ -60,7 +63,7 @@
         new Hello(name, "", SimulatedLinks.DOOR_ROLE, settings.incarnation(), PROTOCOL_VERSION);
     this.links =
         new SimulatedLinks(
-            world, incarnation, LinkSettings.defaults(), hello, this, random.split());
+            simulation, incarnation, LinkSettings.defaults(), hello, this, random.split());
     tick();
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/StorageQueue.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/StorageQueue.java
@@ -4,9 +4,9 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 import nettletrail.control.shard.StoreOutcome;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.SimulatedDisk;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedDisk;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.store.StorageException;
 
 /**
--- a/fleet-emulator/src/main/java/nettletrail/emulator/link/Frame.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/link/Frame.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import nettletrail.emulator.world.Payload;
+import nettletrail.emulator.simulation.Payload;
 import nettletrail.protocol.Envelope;
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.DecoderFactory;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLink.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLink.java
@@ -1,7 +1,7 @@
 package nettletrail.emulator.link;
 
-import nettletrail.emulator.world.Connection;
-import nettletrail.emulator.world.Payload;
+import nettletrail.emulator.simulation.Connection;
+import nettletrail.emulator.simulation.Payload;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.Ping;
 import nettletrail.protocol.Pong;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLinks.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLinks.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import nettletrail.emulator.world.Connection;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.VirtualTime;
-import nettletrail.emulator.world.World;
+import nettletrail.emulator.simulation.Connection;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.Simulation;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.link.LinkListener;
 import nettletrail.protocol.link.LinkSettings;
@@ -29,7 +29,7 @@
 
   private static final int CHECKS_PER_PING = 4;
 
-  private final World world;
+  private final Simulation simulation;
   private final Machine.Incarnation incarnation;
   private final LinkSettings settings;
   private final Hello me;
@@ -50,13 +50,13 @@
    *     address
    */
   public SimulatedLinks(
-      World world,
+      Simulation simulation,
       Machine.Incarnation incarnation,
       LinkSettings settings,
       Hello me,
       LinkListener listener,
       SplittableRandom random) {
-    this.world = world;
+    this.simulation = simulation;
     this.incarnation = incarnation;
     this.settings = settings;
     this.me = me;
@@ -64,7 +64,9 @@
     this.random = random;
     this.lastCheck = now();
     if (!me.getRole().equals(DOOR_ROLE)) {
-      world.network().listen(incarnation, me.getAddress(), connection -> add(connection, null));
+      simulation
+          .network()
+          .listen(incarnation, me.getAddress(), connection -> add(connection, null));
     }
     checkLater();
   }
@@ -104,8 +106,8 @@
     if (link == null) {
       return;
     }
-    if (world.log().isRead()) {
-      world.log().add("%s -> %s %s %s", me.getNode(), peer, nameOf(message), message);
+    if (simulation.log().isRead()) {
+      simulation.log().add("%s -> %s %s %s", me.getNode(), peer, nameOf(message), message);
     }
     link.send(message, now());
   }
@@ -155,7 +157,7 @@
 
   private void connect(String address) {
     long timeout = settings.connectTimeoutMillis() * VirtualTime.MILLISECOND;
-    world
+    simulation
         .network()
         .connect(incarnation, address, timeout, connection -> connected(address, connection));
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/DiskContent.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/DiskContent.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.world;
+package nettletrail.emulator.simulation;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/MachineClock.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/MachineClock.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.world;
+package nettletrail.emulator.simulation;
 
 /**
  * The two clocks of a machine. The steady clock starts at an arbitrary value, runs at a rate that
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/NetworkSettings.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/NetworkSettings.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.world;
+package nettletrail.emulator.simulation;
 
 /**
  * How the network behaves while nothing is in trouble.
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/Path.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Path.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.world;
+package nettletrail.emulator.simulation;
 
 /** One direction between two machines. */
 record Path(Machine from, Machine to) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/Payload.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Payload.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.world;
+package nettletrail.emulator.simulation;
 
 /**
  * What a connection carries: one message, whole. Implementations are immutable, since both ends see
--- a/fleet-emulator/src/main/java/nettletrail/emulator/world/World.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Simulation.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.world;
+package nettletrail.emulator.simulation;
 
 import java.util.SplittableRandom;
 
@@ -6,7 +6,7 @@
  * Virtual time, the network, the log and all randomness of one run; the same seed gives the same
  * run.
  */
-public final class World {
+public final class Simulation {
   private static final long GREATEST_CLOCK_ORIGIN = 100_000 * VirtualTime.SECOND;
 
   private final VirtualTime time = new VirtualTime();
@@ -19,7 +19,7 @@
    * @param seed decides everything that the settings leave open
    * @param greatestDriftPpm by how many parts in a million steady clocks may be fast or slow
    */
-  public World(long seed, NetworkSettings settings, double greatestDriftPpm) {
+  public Simulation(long seed, NetworkSettings settings, double greatestDriftPpm) {
     this.greatestDriftPpm = greatestDriftPpm;
     this.random = new SplittableRandom(seed);
     this.network = new Network(time, random.split(), settings);
--- a/fleet-emulator/src/test/java/nettletrail/emulator/capacity/MeasuredProcessTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/capacity/MeasuredProcessTest.java
@@ -5,7 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 import org.junit.jupiter.api.Test;
 
 /** The control thread and the link of a measured process. */
--- a/fleet-emulator/src/test/java/nettletrail/emulator/judge/LinearizabilityCheckerTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/checker/LinearizabilityCheckerTest.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.judge;
+package nettletrail.emulator.checker;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,11 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import nettletrail.emulator.judge.ConfigurationOperation.Answer;
-import nettletrail.emulator.judge.ConfigurationOperation.Order;
-import nettletrail.emulator.judge.ConfigurationOperation.Read;
-import nettletrail.emulator.judge.ConfigurationOperation.Use;
-import nettletrail.emulator.judge.ConfigurationOperation.Write;
+import nettletrail.emulator.checker.ConfigurationOperation.Answer;
+import nettletrail.emulator.checker.ConfigurationOperation.Order;
+import nettletrail.emulator.checker.ConfigurationOperation.Read;
+import nettletrail.emulator.checker.ConfigurationOperation.Use;
+import nettletrail.emulator.checker.ConfigurationOperation.Write;
 import org.junit.jupiter.api.Test;
 
 /** Histories of the configuration register, right ones and ones with a planted defect. */
--- a/fleet-emulator/src/test/java/nettletrail/emulator/fleet/PlantedDefectsTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/fleet/PlantedDefectsTest.java
@@ -10,11 +10,11 @@
 import nettletrail.emulator.actors.BackendActor;
 import nettletrail.emulator.actors.Operator;
 import nettletrail.emulator.actors.OrderDocument;
-import nettletrail.emulator.judge.Promise;
-import nettletrail.emulator.judge.Violation;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.SimulatedDisk;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.checker.Guarantee;
+import nettletrail.emulator.checker.Violation;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedDisk;
+import nettletrail.emulator.simulation.VirtualTime;
 import org.junit.jupiter.api.Test;
 
 /** Each promise is broken in a whole fleet by a planted defect, and the judge sees it. */
@@ -24,12 +24,12 @@
 
   @Test
   void disksThatDoNotSyncLoseConfigurations() {
-    assertFound(Promise.LINEARIZABLE_CONFIGURATION, PlantedDefectsTest::withDisksThatDoNotSync);
+    assertFound(Guarantee.LINEARIZABLE_CONFIGURATION, PlantedDefectsTest::withDisksThatDoNotSync);
   }
 
   @Test
   void disksThatDoNotSyncUseATokenTwice() {
-    assertFound(Promise.TOKEN_USED_ONCE, PlantedDefectsTest::withDisksThatDoNotSync);
+    assertFound(Guarantee.TOKEN_USED_ONCE, PlantedDefectsTest::withDisksThatDoNotSync);
   }
 
   private static Fleet withDisksThatDoNotSync(long seed) {
@@ -43,12 +43,12 @@
     Operator operator = fleet.addOperator();
     operator.order(10);
     fleet.time().runFor(3 * SECOND);
-    fleet.cores().forEach(core -> fleet.troubles().losePower(core.machine()));
-    fleet.troubles().endAll();
+    fleet.cores().forEach(core -> fleet.faults().losePower(core.machine()));
+    fleet.faults().endAll();
     fleet.time().runFor(5 * SECOND);
     operator.order(10);
     fleet.time().runFor(5 * SECOND);
-    fleet.judge().checkHistory();
+    fleet.checker().checkHistory();
     return fleet;
   }
 
@@ -56,16 +56,16 @@
   void clocksFarApartGiveTwoOwners() {
     FleetOptions options = FleetOptions.small().withDrift(500_000);
     assertFound(
-        Promise.ONE_OWNER,
+        Guarantee.ONE_OWNER,
         seed -> {
           Fleet fleet = started(seed, options);
           for (int round = 0; round < 4; round++) {
             CoreNode owner = fleet.configurationOwner();
             if (owner != null) {
-              fleet.troubles().cut(List.of(owner.machine()), others(fleet, owner));
+              fleet.faults().cut(List.of(owner.machine()), others(fleet, owner));
             }
             fleet.time().runFor(4 * SECOND);
-            fleet.troubles().healCuts();
+            fleet.faults().healCuts();
             fleet.time().runFor(2 * SECOND);
           }
           return fleet;
@@ -75,12 +75,12 @@
   @Test
   void anIdentityThatOutlivesItsDiskLosesConfigurations() {
     assertFound(
-        Promise.LINEARIZABLE_CONFIGURATION,
+        Guarantee.LINEARIZABLE_CONFIGURATION,
         seed -> {
           Fleet fleet = started(seed, FleetOptions.small());
           CoreNode owner = fleet.configurationOwner();
           CoreNode late = fleet.cores().stream().filter(core -> core != owner).findFirst().get();
-          fleet.troubles().kill(late.machine());
+          fleet.faults().kill(late.machine());
           fleet.operators().get(0).order(1);
           fleet.time().runFor(SECOND);
           CoreNode third =
@@ -88,13 +88,13 @@
                   .filter(core -> core != owner && core != late)
                   .findFirst()
                   .get();
-          fleet.troubles().losePower(third.machine());
+          fleet.faults().losePower(third.machine());
           wipeButKeepIdentity(fleet, owner);
-          fleet.troubles().start(late);
+          fleet.faults().start(late);
           fleet.time().runFor(6 * SECOND);
           fleet.operators().get(0).read();
           fleet.time().runFor(3 * SECOND);
-          fleet.judge().checkHistory();
+          fleet.checker().checkHistory();
           return fleet;
         });
   }
@@ -104,7 +104,7 @@
     Bounds told = Bounds.typical();
     Bounds wrong = told.withQuotaWindow(told.quotaWindow() * 10);
     assertFound(
-        Promise.QUOTA_WINDOW,
+        Guarantee.QUOTA_WINDOW,
         seed -> {
           Fleet fleet = started(seed, FleetOptions.small().withTold(wrong));
           fleet.doors().forEach(door -> door.traffic().setLoad(0));
@@ -119,10 +119,10 @@
   void keysThatHoldTooLongAreTakenBehindACut() {
     Bounds wrong = Bounds.typical().withRevoke(60 * SECOND);
     assertFound(
-        Promise.REVOKED_KEY,
+        Guarantee.REVOKED_KEY,
         seed -> {
           Fleet fleet = started(seed, FleetOptions.small().withTold(wrong));
-          fleet.troubles().cut(List.of(fleet.doors().get(0).machine()), cores(fleet));
+          fleet.faults().cut(List.of(fleet.doors().get(0).machine()), cores(fleet));
           for (int order = 0; order < 3; order++) {
             fleet.operators().get(0).order(10);
             fleet.time().runFor(SECOND);
@@ -147,13 +147,13 @@
           fleet.time().runFor(SECOND);
           return fleet;
         };
-    assertFound(Promise.CONFIGURATION_IN_FORCE, run);
+    assertFound(Guarantee.CONFIGURATION_IN_FORCE, run);
   }
 
   @Test
   void aDoorThatIsCutOffUnnoticedUsesADrainedBackend() {
     assertFound(
-        Promise.DRAINED_BACKEND,
+        Guarantee.DRAINED_BACKEND,
         seed -> {
           Fleet fleet = started(seed, FleetOptions.small());
           BackendActor backend = fleet.addBackend();
@@ -162,7 +162,11 @@
           fleet
               .cores()
               .forEach(
-                  core -> fleet.world().network().setExtraDelay(core.machine(), door, 30 * SECOND));
+                  core ->
+                      fleet
+                          .simulation()
+                          .network()
+                          .setExtraDelay(core.machine(), door, 30 * SECOND));
           backend.close();
           fleet.time().runFor(10 * SECOND);
           return fleet;
@@ -174,10 +178,10 @@
     Fleet play(long seed);
   }
 
-  private static void assertFound(Promise promise, FleetRun run) {
-    Set<Promise> found = new HashSet<>();
+  private static void assertFound(Guarantee promise, FleetRun run) {
+    Set<Guarantee> found = new HashSet<>();
     for (long seed = 1; seed <= MAX_SEEDS; seed++) {
-      for (Violation violation : run.play(seed).judge().violations()) {
+      for (Violation violation : run.play(seed).checker().violations()) {
         found.add(violation.promise());
       }
       if (found.contains(promise)) {
@@ -209,13 +213,13 @@
     SimulatedDisk disk = core.machine().disk();
     try {
       byte[] identity = disk.read("identity");
-      fleet.troubles().wipe(core);
+      fleet.faults().wipe(core);
       disk.create("identity");
       disk.append("identity", identity);
       disk.sync("identity");
       disk.syncFolder("");
       fleet.time().runUntil(disk.busyUntil());
-      fleet.troubles().start(core);
+      fleet.faults().start(core);
     } catch (IOException unreadable) {
       throw new IllegalStateException(unreadable);
     }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/fleet/RandomRunsTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/fleet/RandomRunsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettletrail.emulator.judge.Violation;
+import nettletrail.emulator.checker.Violation;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -76,7 +76,7 @@
     List<Violation> violations = run.run();
     runs++;
     events += run.fleet().time().executed();
-    acknowledged += run.fleet().judge().acknowledgedOrders();
+    acknowledged += run.fleet().checker().acknowledgedOrders();
     if (!violations.isEmpty()) {
       failures.add("-Demulator.seed=" + seed + ": " + violations);
     }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/world/NetworkTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/simulation/NetworkTest.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.world;
+package nettletrail.emulator.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,11 +16,11 @@
   private static final String SERVER_ADDRESS = "10.0.0.2:7680";
   private static final long TIMEOUT = VirtualTime.SECOND;
 
-  private final World world = new World(3, NetworkSettings.rough(), 200);
-  private final VirtualTime time = world.time();
-  private final Network network = world.network();
-  private final Machine client = world.addMachine("client", "10.0.0.1", false);
-  private final Machine server = world.addMachine("server", "10.0.0.2", true);
+  private final Simulation simulation = new Simulation(3, NetworkSettings.rough(), 200);
+  private final VirtualTime time = simulation.time();
+  private final Network network = simulation.network();
+  private final Machine client = simulation.addMachine("client", "10.0.0.1", false);
+  private final Machine server = simulation.addMachine("server", "10.0.0.2", true);
   private final Recorder serverEnd = new Recorder();
   private final Recorder clientEnd = new Recorder();
   private Connection accepted;
--- a/fleet-emulator/src/test/java/nettletrail/emulator/world/SimulatedDiskTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/simulation/SimulatedDiskTest.java
@@ -1,4 +1,4 @@
-package nettletrail.emulator.world;
+package nettletrail.emulator.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/ConfigurationStoriesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/ConfigurationStoriesTest.java
@@ -21,22 +21,22 @@
     racing.read();
     story.waitFor(racing::isIdle);
     OrderDocument inHand = story.fleet().orders().create(racing.newest(), 2);
-    story.troubles().cut(List.of(owner.machine()), machines(story.followers()));
+    story.faults().cut(List.of(owner.machine()), machines(story.followers()));
     racing.sendTo(owner.controlAddress(), inHand);
     story.pass(5 * MILLISECOND);
-    story.troubles().freeze(owner.machine());
+    story.faults().freeze(owner.machine());
     story.when("the owner writes an order that reaches nobody, and is frozen");
     story.then("another order is acknowledged", story.orderIsAcknowledged());
     CoreNode successor = story.owner();
     story.then("another process is the owner", successor != owner);
-    story.troubles().healCuts();
-    story.troubles().thaw(owner.machine());
+    story.faults().healCuts();
+    story.faults().thaw(owner.machine());
     story.pass(3 * SECOND);
     story.when("the former owner is thawed and reaches the others");
     story.then("still the owner is the other", story.owner() == successor);
     racing.send(inHand, 10);
     story.waitFor(racing::isIdle);
-    story.then("orders refused, the one in hand", story.fleet().judge().refusedOrders());
+    story.then("orders refused, the one in hand", story.fleet().checker().refusedOrders());
     story.then("the last order is read back", story.readBack() == story.operator().newest());
     story.approve();
   }
@@ -46,7 +46,7 @@
     Story story = Story.givenFleet(2, 3, 2);
     CoreNode owner = story.owner();
     List<CoreNode> others = story.followers();
-    story.troubles().cut(List.of(owner.machine()), machines(others));
+    story.faults().cut(List.of(owner.machine()), machines(others));
     story.when("the owner is cut off and one order is sent to both sides");
     OrderDocument order = story.fleet().orders().create(story.operator().newest(), 1);
     Operator left = story.fleet().addOperator();
@@ -61,7 +61,7 @@
     left.sendTo(owner.controlAddress(), order);
     story.waitFor(left::isIdle);
     story.then("the lesser side acknowledges it", left.newest() == order);
-    story.troubles().healCuts();
+    story.faults().healCuts();
     story.pass(3 * SECOND);
     story.when("the cut has healed and it is sent once more");
     left.sendTo(owner.controlAddress(), order);
@@ -83,13 +83,13 @@
     OrderDocument second = two.order(100);
     story.pass(3 * MILLISECOND);
     CoreNode owner = story.owner();
-    story.troubles().kill(owner.machine());
+    story.faults().kill(owner.machine());
     story.when("two orders on one version are on their way and the owner is killed");
     story.waitFor(() -> one.isIdle() && two.isIdle());
     OrderDocument winner = story.readBack();
     story.then("one of them is read back", winner == first || winner == second);
     story.then("both operators know the winner", one.newest() == winner && two.newest() == winner);
-    story.then("orders refused", story.fleet().judge().refusedOrders());
+    story.then("orders refused", story.fleet().checker().refusedOrders());
     story.approve();
   }
 
@@ -99,11 +99,11 @@
     CoreNode owner = story.owner();
     CoreNode near = story.followers().get(0);
     CoreNode replaced = story.followers().get(1);
-    CoreNode successor = story.troubles().replace(replaced);
-    story.troubles().cut(List.of(owner.machine()), List.of(near.machine()));
+    CoreNode successor = story.faults().replace(replaced);
+    story.faults().cut(List.of(owner.machine()), List.of(near.machine()));
     story.when("a machine is replaced while the owner reaches only the new one");
     story.pass(12 * SECOND);
-    story.troubles().healCuts();
+    story.faults().healCuts();
     story.then("an order is acknowledged", story.orderIsAcknowledged());
     story.pass(5 * SECOND);
     story.when("the cut has healed");
@@ -117,7 +117,7 @@
   void aClockJumpsAheadAtTheOwner() {
     Story story = Story.givenFleet(5, 3, 2);
     CoreNode owner = story.owner();
-    story.troubles().stepClock(owner.machine(), 2 * SECOND);
+    story.faults().stepClock(owner.machine(), 2 * SECOND);
     story.pass(5 * SECOND);
     story.when("the owner's time of day jumps ahead by 2 s");
     story.then("it is still the owner", story.owner() == owner);
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/CutOffCoreStoriesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/CutOffCoreStoriesTest.java
@@ -16,7 +16,7 @@
 import nettletrail.emulator.actors.OrderDocument;
 import nettletrail.emulator.fleet.CoreNode;
 import nettletrail.emulator.fleet.DoorNode;
-import nettletrail.emulator.world.Machine;
+import nettletrail.emulator.simulation.Machine;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
@@ -58,53 +58,53 @@
     OTHER_CORES {
       @Override
       void begin(Story story, CoreNode victim) {
-        story.troubles().cut(List.of(victim.machine()), machines(others(story, victim)));
+        story.faults().cut(List.of(victim.machine()), machines(others(story, victim)));
       }
     },
     ALL {
       @Override
       void begin(Story story, CoreNode victim) {
         OTHER_CORES.begin(story, victim);
-        story.troubles().cut(List.of(victim.machine()), doors(story));
+        story.faults().cut(List.of(victim.machine()), doors(story));
       }
     },
     TO_OTHER_CORES {
       @Override
       void begin(Story story, CoreNode victim) {
         others(story, victim)
-            .forEach(other -> story.troubles().cutOneWay(victim.machine(), other.machine()));
+            .forEach(other -> story.faults().cutOneWay(victim.machine(), other.machine()));
       }
     },
     FROM_OTHER_CORES {
       @Override
       void begin(Story story, CoreNode victim) {
         others(story, victim)
-            .forEach(other -> story.troubles().cutOneWay(other.machine(), victim.machine()));
+            .forEach(other -> story.faults().cutOneWay(other.machine(), victim.machine()));
       }
     },
     WITH_RESETS {
       @Override
       void begin(Story story, CoreNode victim) {
-        story.troubles().resetConnections(victim.machine());
+        story.faults().resetConnections(victim.machine());
         OTHER_CORES.begin(story, victim);
       }
     },
     FREEZE {
       @Override
       void begin(Story story, CoreNode victim) {
-        story.troubles().freeze(victim.machine());
+        story.faults().freeze(victim.machine());
       }
 
       @Override
       void end(Story story, CoreNode victim) {
-        story.troubles().thaw(victim.machine());
+        story.faults().thaw(victim.machine());
       }
     };
 
     abstract void begin(Story story, CoreNode victim);
 
     void end(Story story, CoreNode victim) {
-      story.troubles().healCuts();
+      story.faults().healCuts();
     }
   }
 
@@ -200,15 +200,15 @@
     CoreNode cutOff = story.fleet().cores().get(0);
     OrderDocument old = story.operator().newest();
     DoorNode door = story.door(0);
-    story.troubles().cut(List.of(cutOff.machine()), machines(others(story, cutOff)));
-    story.troubles().cut(List.of(door.machine()), machines(others(story, cutOff)));
+    story.faults().cut(List.of(cutOff.machine()), machines(others(story, cutOff)));
+    story.faults().cut(List.of(door.machine()), machines(others(story, cutOff)));
     assertTrue(story.orderIsAcknowledged());
     story.pass(3 * SECOND);
-    story.troubles().kill(door.machine());
-    story.troubles().start(door);
+    story.faults().kill(door.machine());
+    story.faults().start(door);
     story.pass(seconds * SECOND);
     assertNull(door.process().table(), "configuration in force at a door cut off with a core");
-    story.troubles().healCuts();
+    story.faults().healCuts();
     assertTrue(story.waitFor(() -> door.process().table() != null));
     assertTrue(story.uses(door, story.operator().newest()));
     assertNotSame(old, story.operator().newest());
@@ -221,12 +221,12 @@
     CoreNode cutOff = story.fleet().cores().get(0);
     OrderDocument old = story.operator().newest();
     DoorNode door = story.door(0);
-    story.troubles().cut(List.of(cutOff.machine()), machines(others(story, cutOff)));
+    story.faults().cut(List.of(cutOff.machine()), machines(others(story, cutOff)));
     assertTrue(story.orderIsAcknowledged());
     story.pass(3 * SECOND);
     slowOthers(story, cutOff, door, 200 * MILLISECOND);
-    story.troubles().kill(door.machine());
-    story.troubles().start(door);
+    story.faults().kill(door.machine());
+    story.faults().start(door);
     boolean usedOld = false;
     for (int step = 0; step < 2_000; step++) {
       story.pass(MILLISECOND);
@@ -242,17 +242,17 @@
     Story story = Story.givenFleet(500, CORES, DOORS);
     CoreNode cutOff = story.owner();
     DoorNode door = story.door(0);
-    story.troubles().cut(List.of(cutOff.machine()), machines(others(story, cutOff)));
-    story.troubles().cut(List.of(door.machine()), machines(others(story, cutOff)));
+    story.faults().cut(List.of(cutOff.machine()), machines(others(story, cutOff)));
+    story.faults().cut(List.of(door.machine()), machines(others(story, cutOff)));
     assertTrue(story.orderIsAcknowledged());
     story.pass(20 * SECOND);
-    story.troubles().kill(door.machine());
-    story.troubles().start(door);
-    story.troubles().restart(cutOff, 100 * MILLISECOND);
+    story.faults().kill(door.machine());
+    story.faults().start(door);
+    story.faults().restart(cutOff, 100 * MILLISECOND);
     story.pass(SECOND);
-    others(story, cutOff).forEach(core -> story.troubles().restart(core, 300 * MILLISECOND));
+    others(story, cutOff).forEach(core -> story.faults().restart(core, 300 * MILLISECOND));
     story.pass(200 * MILLISECOND);
-    story.troubles().healCuts();
+    story.faults().healCuts();
     OrderDocument newest = story.operator().newest();
     assertSame(newest, story.readBack());
     assertTrue(story.waitFor(() -> story.uses(door, newest)));
@@ -262,8 +262,8 @@
   /** Messages between the door and the other core machines take longer. */
   private static void slowOthers(Story story, CoreNode cutOff, DoorNode door, long extra) {
     for (CoreNode other : others(story, cutOff)) {
-      story.fleet().world().network().setExtraDelay(other.machine(), door.machine(), extra);
-      story.fleet().world().network().setExtraDelay(door.machine(), other.machine(), extra);
+      story.fleet().simulation().network().setExtraDelay(other.machine(), door.machine(), extra);
+      story.fleet().simulation().network().setExtraDelay(door.machine(), other.machine(), extra);
     }
   }
 
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/DoorStoriesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/DoorStoriesTest.java
@@ -9,7 +9,7 @@
 import nettletrail.emulator.fleet.CoreNode;
 import nettletrail.emulator.fleet.DoorNode;
 import nettletrail.emulator.fleet.Fleet;
-import nettletrail.emulator.world.Machine;
+import nettletrail.emulator.simulation.Machine;
 import nettletrail.protocol.BackendState;
 import org.junit.jupiter.api.Test;
 
@@ -20,14 +20,14 @@
   void aDoorThatIsCutOffStopsTakingKeys() {
     Story story = Story.givenFleet(31, 3, 2);
     DoorNode door = story.door(0);
-    story.troubles().cut(List.of(door.machine()), story.coreMachines());
+    story.faults().cut(List.of(door.machine()), story.coreMachines());
     story.when("a door is cut off");
     story.pass(SECOND);
     story.then("it takes keys after 1 s", door.process().keysValid());
     story.pass(4 * SECOND);
     story.then("it takes keys after 5 s", door.process().keysValid());
     story.then("an order is acknowledged meanwhile", story.orderIsAcknowledged());
-    story.troubles().healCuts();
+    story.faults().healCuts();
     story.pass(3 * SECOND);
     story.when("the cut has healed");
     story.then("it takes keys", door.process().keysValid());
@@ -40,7 +40,7 @@
     Story story = Story.givenFleet(32, 3, 2);
     BackendActor backend = story.fleet().addBackend();
     story.pass(3 * SECOND);
-    story.coreMachines().forEach(story.troubles()::losePower);
+    story.coreMachines().forEach(story.faults()::losePower);
     story.pass(30 * SECOND);
     story.when("the whole core has been without power for 30 s");
     story.then("a door lists the backend", story.lists(story.door(0), backend, BackendState.READY));
@@ -54,7 +54,7 @@
     BackendActor backend = story.fleet().addBackend();
     story.pass(3 * SECOND);
     CoreNode cutCore = story.fleet().cores().get(0);
-    story.troubles().cut(List.of(cutCore.machine()), List.of(story.door(0).machine()));
+    story.faults().cut(List.of(cutCore.machine()), List.of(story.door(0).machine()));
     backend.close();
     story.when("a core machine and a door don't reach each other and a backend closes");
     boolean acknowledged = story.waitFor(backend::isEndAcknowledged);
@@ -72,21 +72,21 @@
     CoreNode alone = story.fleet().cores().get(2);
     List<Machine> others =
         List.of(story.fleet().cores().get(0).machine(), story.fleet().cores().get(1).machine());
-    story.troubles().cut(List.of(alone.machine()), others);
+    story.faults().cut(List.of(alone.machine()), others);
     backend.close();
     story.waitFor(backend::isEndAcknowledged);
     story.waitFor(() -> backend.stage() == BackendActor.Stage.ENDED);
     BackendActor next = story.fleet().addBackend();
     story.pass(3 * SECOND);
     story.when("a backend ends and another begins while a core machine is cut off");
-    story.troubles().healCuts();
+    story.faults().healCuts();
     story.pass(50 * MILLISECOND);
-    story.troubles().resetConnections(alone.machine());
+    story.faults().resetConnections(alone.machine());
     story.pass(3 * SECOND);
     story.when("the cut has healed, and connections broke in the middle of the handoff");
     for (CoreNode core : story.fleet().cores()) {
-      story.troubles().kill(core.machine());
-      story.troubles().start(core);
+      story.faults().kill(core.machine());
+      story.faults().start(core);
       story.pass(2 * SECOND);
     }
     story.when("the core processes have started anew one after another");
@@ -103,7 +103,7 @@
     List<BackendActor> backends = new java.util.ArrayList<>();
     for (int round = 0; round < 8; round++) {
       backends.add(fleet.addBackend());
-      fleet.time().after(40 * MILLISECOND, () -> story.troubles().resetConnections(door.machine()));
+      fleet.time().after(40 * MILLISECOND, () -> story.faults().resetConnections(door.machine()));
       story.pass(80 * MILLISECOND);
       if (round % 2 == 1) {
         backends.get(round - 1).close();
@@ -150,9 +150,9 @@
     BackendActor crashed = story.fleet().addBackend();
     story.pass(3 * SECOND);
     crashed.crash();
-    story.coreMachines().forEach(story.troubles()::kill);
+    story.coreMachines().forEach(story.faults()::kill);
     story.pass(SECOND);
-    story.fleet().cores().forEach(story.troubles()::start);
+    story.fleet().cores().forEach(story.faults()::start);
     story.pass(30 * SECOND);
     story.when("a backend crashes, all core processes start anew, and 30 s pass");
     story.then("a door lists the one that crashed", isListed(story, crashed));
@@ -164,16 +164,16 @@
   void quotasHoldWhileOwnersChangeAndDoorsAreCutOff() {
     Story story = Story.givenFleet(38, 3, 4);
     for (int round = 0; round < 4; round++) {
-      story.troubles().restart(story.owner(), 500 * MILLISECOND);
+      story.faults().restart(story.owner(), 500 * MILLISECOND);
       story.pass(2 * SECOND);
-      story.troubles().cut(List.of(story.door(round).machine()), story.coreMachines());
+      story.faults().cut(List.of(story.door(round).machine()), story.coreMachines());
       story.pass(3 * SECOND);
-      story.troubles().healCuts();
+      story.faults().healCuts();
       story.pass(3 * SECOND);
     }
     story.when(
         "the owner is killed four times and each door is cut off once, under twice the load");
-    long max = story.fleet().judge().maxTokensInWindow();
+    long max = story.fleet().checker().maxTokensInWindow();
     story.then("some window holds over half of the limit", max > 4 * OrderDocument.RATE_PER_SECOND);
     story.approve();
   }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/LossStoriesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/LossStoriesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import nettletrail.emulator.actors.OrderDocument;
 import nettletrail.emulator.fleet.CoreNode;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.VirtualTime;
 import org.junit.jupiter.api.Test;
 
 /** Losses of processes, machines and disks of the core. */
@@ -23,7 +23,7 @@
     long delay = 0;
     for (CoreNode core : story.fleet().cores()) {
       delay += 130 * MILLISECOND;
-      time.after(delay, () -> story.troubles().restart(core, LATE_START));
+      time.after(delay, () -> story.faults().restart(core, LATE_START));
     }
     story.waitFor(() -> story.operator().isIdle());
     story.then("the order is acknowledged", story.operator().newest() == order);
@@ -37,9 +37,9 @@
     Story story = Story.givenFleet(12, 3, 2);
     story.then("an order is acknowledged", story.orderIsAcknowledged());
     OrderDocument order = story.operator().newest();
-    story.coreMachines().forEach(story.troubles()::losePower);
+    story.coreMachines().forEach(story.faults()::losePower);
     story.pass(LATE_START);
-    story.fleet().cores().forEach(story.troubles()::start);
+    story.fleet().cores().forEach(story.faults()::start);
     story.when("all core machines lose power at that moment and are back in 1 s");
     story.then("the order is read back", story.readBack() == order);
     story.then("the next one is acknowledged", story.orderIsAcknowledged());
@@ -53,10 +53,10 @@
     List<CoreNode> others = story.followers();
     story.then("an order is acknowledged", story.orderIsAcknowledged());
     OrderDocument order = story.operator().newest();
-    story.troubles().wipe(owner);
-    others.forEach(core -> story.troubles().losePower(core.machine()));
+    story.faults().wipe(owner);
+    others.forEach(core -> story.faults().losePower(core.machine()));
     story.pass(LATE_START);
-    story.fleet().cores().forEach(story.troubles()::start);
+    story.fleet().cores().forEach(story.faults()::start);
     story.when("the owner loses its disk and the others lose power at that moment");
     story.then("the order is read back", story.readBack() == order);
     story.then("the next one is acknowledged", story.orderIsAcknowledged());
@@ -67,9 +67,9 @@
   void aDiskIsLostAndLaterTheNextOneAndTheThird() {
     Story story = Story.givenFleet(14, 3, 2);
     for (CoreNode core : List.copyOf(story.fleet().cores())) {
-      story.troubles().wipe(core);
+      story.faults().wipe(core);
       story.pass(200 * MILLISECOND);
-      story.troubles().start(core);
+      story.faults().start(core);
       story.pass(CATCH_UP);
       story.when("a disk is lost, and the machine has had its time to catch up");
       story.then("an order is acknowledged", story.orderIsAcknowledged());
@@ -83,12 +83,12 @@
     Story story = Story.givenFleet(15, 3, 2);
     CoreNode replaced = story.followers().get(0);
     CoreNode wiped = story.followers().get(1);
-    story.troubles().replace(replaced);
+    story.faults().replace(replaced);
     story.pass(CATCH_UP + 100 * MILLISECOND);
     story.when("a machine is replaced, and the new one has had its time to catch up");
-    story.troubles().wipe(wiped);
+    story.faults().wipe(wiped);
     story.pass(200 * MILLISECOND);
-    story.troubles().start(wiped);
+    story.faults().start(wiped);
     story.when("another loses its disk");
     story.then("an order is acknowledged", story.orderIsAcknowledged());
     story.then("it is read back", story.readBack() == story.operator().newest());
@@ -99,12 +99,12 @@
   void theOwnerIsReplacedAndLaterAnotherLosesItsDisk() {
     Story story = Story.givenFleet(16, 3, 2);
     CoreNode wiped = story.followers().get(1);
-    story.troubles().replace(story.owner());
+    story.faults().replace(story.owner());
     story.pass(CATCH_UP + 100 * MILLISECOND);
     story.when("the owner is replaced, and the new machine has had its time to catch up");
-    story.troubles().wipe(wiped);
+    story.faults().wipe(wiped);
     story.pass(200 * MILLISECOND);
-    story.troubles().start(wiped);
+    story.faults().start(wiped);
     story.when("another loses its disk");
     story.then("an order is acknowledged", story.orderIsAcknowledged());
     story.then("it is read back", story.readBack() == story.operator().newest());
@@ -115,14 +115,14 @@
   void allMachinesAreReplacedOneByOneAndTheSeedsFollow() {
     Story story = Story.givenFleet(17, 3, 2);
     for (CoreNode core : List.copyOf(story.fleet().cores())) {
-      story.troubles().replace(core);
-      story.troubles().exchangeSeeds();
+      story.faults().replace(core);
+      story.faults().exchangeSeeds();
       story.pass(2 * CATCH_UP);
       story.when("a machine is replaced at another address and all hear of other seeds");
       story.then("an order is acknowledged", story.orderIsAcknowledged());
     }
-    story.troubles().kill(story.door(0).machine());
-    story.troubles().start(story.door(0));
+    story.faults().kill(story.door(0).machine());
+    story.faults().start(story.door(0));
     story.pass(3 * SECOND);
     story.when("a door starts that knows none of the first machines");
     story.then("it uses the last", story.uses(story.door(0), story.operator().newest()));
@@ -133,17 +133,17 @@
   void aDiskFillsUpInTheMiddleOfTheWriteAside() {
     Story story = Story.givenFleet(18, 3, 2);
     CoreNode follower = story.followers().get(0);
-    story.troubles().fillDisk(follower, 100);
+    story.faults().fillDisk(follower, 100);
     story.when("a replica's disk takes only 100 bytes more");
     story.then("an order is acknowledged", story.orderIsAcknowledged());
-    story.troubles().kill(follower.machine());
-    story.troubles().start(follower);
+    story.faults().kill(follower.machine());
+    story.faults().start(follower);
     story.pass(3 * SECOND);
-    story.troubles().freeDisk(follower);
+    story.faults().freeDisk(follower);
     story.pass(3 * SECOND);
     story.when("the process starts again and the disk has room");
     CoreNode other = story.followers().stream().filter(core -> core != follower).findFirst().get();
-    story.troubles().losePower(other.machine());
+    story.faults().losePower(other.machine());
     story.then("an order is acknowledged without the third", story.orderIsAcknowledged());
     story.approve();
   }
@@ -151,7 +151,7 @@
   @Test
   void theOwnersDiskHangs() {
     Story story = Story.givenFleet(19, 3, 2);
-    story.troubles().hangDisk(story.owner(), 6 * SECOND);
+    story.faults().hangDisk(story.owner(), 6 * SECOND);
     story.when("the owner's disk hangs for 6 s");
     story.then("an order is acknowledged", story.orderIsAcknowledged());
     story.approve();
@@ -160,7 +160,7 @@
   @Test
   void theOwnerDiesAndIsBackAtOnce() {
     Story story = Story.givenFleet(20, 3, 2);
-    story.troubles().restart(story.owner(), 100 * MILLISECOND);
+    story.faults().restart(story.owner(), 100 * MILLISECOND);
     story.when("the owner is killed and back in 100 ms");
     story.then("an order is acknowledged", story.orderIsAcknowledged());
     story.then("it is read back", story.readBack() == story.operator().newest());
@@ -173,10 +173,10 @@
     story.then("an order is acknowledged", story.orderIsAcknowledged());
     OrderDocument order = story.operator().newest();
     List<CoreNode> cores = List.copyOf(story.fleet().cores());
-    cores.subList(0, 2).forEach(story.troubles()::wipe);
-    cores.subList(2, 5).forEach(core -> story.troubles().losePower(core.machine()));
+    cores.subList(0, 2).forEach(story.faults()::wipe);
+    cores.subList(2, 5).forEach(core -> story.faults().losePower(core.machine()));
     story.pass(LATE_START);
-    cores.forEach(story.troubles()::start);
+    cores.forEach(story.faults()::start);
     story.when("two of five machines lose their disks and the others lose power");
     story.then("the order is read back", story.readBack() == order);
     story.then("the next one is acknowledged", story.orderIsAcknowledged());
@@ -187,7 +187,7 @@
   void theOwnerIsToldToEnd() {
     Story story = Story.givenFleet(23, 3, 2);
     CoreNode owner = story.owner();
-    story.troubles().terminate(owner);
+    story.faults().terminate(owner);
     story.pass(200 * MILLISECOND);
     story.when("the owner is told to end and has ended");
     long before = story.fleet().time().now();
@@ -202,13 +202,13 @@
     Story story = Story.givenFleet(24, 3, 2);
     CoreNode full = story.followers().get(0);
     CoreNode down = story.followers().get(1);
-    story.troubles().fillDisk(full, 100);
-    story.troubles().losePower(down.machine());
+    story.faults().fillDisk(full, 100);
+    story.faults().losePower(down.machine());
     OrderDocument order = story.operator().order(1_000);
     story.pass(3 * SECOND);
     story.when("one replica's disk is full, another has no power, and an order is sent");
     story.then("it is acknowledged", story.operator().newest() == order);
-    story.troubles().freeDisk(full);
+    story.faults().freeDisk(full);
     story.waitFor(story.operator()::isIdle);
     story.when("the disk has room");
     story.then("it is acknowledged", story.operator().newest() == order);
@@ -220,12 +220,12 @@
     Story story = Story.givenFleet(22, 5, 2);
     CoreNode replaced = story.followers().get(0);
     CoreNode wiped = story.followers().get(1);
-    CoreNode successor = story.troubles().replace(replaced);
+    CoreNode successor = story.faults().replace(replaced);
     story.pass(1_400 * MILLISECOND);
     for (CoreNode lost : List.of(successor, wiped)) {
-      story.troubles().wipe(lost);
+      story.faults().wipe(lost);
       story.pass(100 * MILLISECOND);
-      story.troubles().start(lost);
+      story.faults().start(lost);
     }
     story.when("one of five is replaced, and the new one and another lose their disks 1.4 s later");
     story.then("an order is acknowledged", story.orderIsAcknowledged());
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/ReadStoriesTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/ReadStoriesTest.java
@@ -16,7 +16,7 @@
     CoreNode owner = story.owner();
     for (CoreNode follower : story.followers()) {
       long late = 800 * MILLISECOND;
-      story.fleet().world().network().setExtraDelay(follower.machine(), owner.machine(), late);
+      story.fleet().simulation().network().setExtraDelay(follower.machine(), owner.machine(), late);
     }
     OrderDocument order = story.fleet().orders().create(story.operator().newest(), 1);
     Operator writer = story.fleet().addOperator();
--- a/fleet-emulator/src/test/java/nettletrail/emulator/story/Story.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/story/Story.java
@@ -6,14 +6,14 @@
 import nettletrail.emulator.actors.BackendActor;
 import nettletrail.emulator.actors.Operator;
 import nettletrail.emulator.actors.OrderDocument;
+import nettletrail.emulator.checker.Violation;
 import nettletrail.emulator.fleet.CoreNode;
 import nettletrail.emulator.fleet.DoorNode;
+import nettletrail.emulator.fleet.FaultInjector;
 import nettletrail.emulator.fleet.Fleet;
 import nettletrail.emulator.fleet.FleetOptions;
-import nettletrail.emulator.fleet.Troubles;
-import nettletrail.emulator.judge.Violation;
-import nettletrail.emulator.world.Machine;
-import nettletrail.emulator.world.VirtualTime;
+import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.BackendState;
 import org.approvaltests.Approvals;
 
@@ -53,8 +53,8 @@
     return fleet;
   }
 
-  Troubles troubles() {
-    return fleet.troubles();
+  FaultInjector faults() {
+    return fleet.faults();
   }
 
   /** The first operator. */
@@ -111,10 +111,10 @@
    * The first operator sends an order until it is answered; true if that was an acknowledgement.
    */
   boolean orderIsAcknowledged() {
-    int before = fleet.judge().acknowledgedOrders();
+    int before = fleet.checker().acknowledgedOrders();
     operator.order(PERSISTENT);
     waitFor(operator::isIdle);
-    return operator.isIdle() && fleet.judge().acknowledgedOrders() > before;
+    return operator.isIdle() && fleet.checker().acknowledgedOrders() > before;
   }
 
   /** A new operator reads until he gets an answer. */
@@ -155,8 +155,8 @@
   /** What the judges found, once all operators have their answers; to be asked once, at the end. */
   List<Violation> brokenPromises() {
     waitFor(() -> fleet.operators().stream().allMatch(Operator::isIdle));
-    fleet.judge().checkHistory();
-    return fleet.judge().violations();
+    fleet.checker().checkHistory();
+    return fleet.checker().violations();
   }
 
   /** Checks the history and compares the text with the approved one. */
