--- a/control/src/main/java/nettletrail/control/shard/Acceptor.java
+++ b/control/src/main/java/nettletrail/control/shard/Acceptor.java
@@ -25,17 +25,17 @@
 final class Acceptor {
 
   /** A message that is answered once its content is durable. */
-  private record WaitingPrepare(String address, ProposalNumber proposal) {}
+  private record PendingPrepare(String address, ProposalNumber proposal) {}
 
-  private record WaitingAccept(String address, ShardVersion version) {}
+  private record PendingAccept(String address, ShardVersion version) {}
 
   private static final long NO_TICKET = -1;
 
   private final int shard;
   private final Member self;
   private final ShardSettings settings;
-  private final Outbox outbox;
-  private final long promisesFrom;
+  private final ActionQueue actionQueue;
+  private final long votingStartsAt;
 
   private ProposalNumber promised;
   private ShardVersion accepted;
@@ -43,24 +43,24 @@
   private ProposalNumber leaseProposal = ProposalNumbers.ZERO;
   private long leaseUntil = Long.MIN_VALUE;
 
-  private WaitingPrepare waitingPrepare;
-  private WaitingAccept waitingAccept;
+  private PendingPrepare pendingPrepare;
+  private PendingAccept pendingAccept;
   private long storingTicket = NO_TICKET;
-  private WaitingPrepare storingPrepare;
-  private WaitingAccept storingAccept;
+  private PendingPrepare storingPrepare;
+  private PendingAccept storingAccept;
 
   Acceptor(
       int shard,
       Member self,
       ShardSettings settings,
       StoredShard stored,
-      Outbox outbox,
-      long promisesFrom) {
+      ActionQueue actionQueue,
+      long votingStartsAt) {
     this.shard = shard;
     this.self = self;
     this.settings = settings;
-    this.outbox = outbox;
-    this.promisesFrom = promisesFrom;
+    this.actionQueue = actionQueue;
+    this.votingStartsAt = votingStartsAt;
     this.accepted = stored.version();
     this.promised =
         ProposalNumbers.max(stored.promised(), accepted == null ? null : accepted.getProposal());
@@ -79,8 +79,8 @@
   /**
    * True while it is bound to an owner other than the node given, or does not know whether it is.
    */
-  boolean boundToOther(String node, long now) {
-    if (now < promisesFrom) {
+  boolean isLeasedToOther(String node, long now) {
+    if (now < votingStartsAt) {
       return true;
     }
     return now < leaseUntil && !leaseProposal.getNode().equals(node);
@@ -89,31 +89,32 @@
   /** Stores the version that the whole system starts from. */
   void bootstrap(ShardVersion initial) {
     accepted = initial;
-    waitingAccept = new WaitingAccept(null, initial);
+    pendingAccept = new PendingAccept(null, initial);
     startStoring();
   }
 
   void onPreVote(String address, PreVote request, long now) {
-    boolean granted = mayPromise(request.getProposal(), now);
-    outbox.send(
+    boolean granted = canPromise(request.getProposal(), now);
+    actionQueue.send(
         address, new PreVoteReply(shard, self.getId(), request.getProposal(), granted, promised));
   }
 
   /** Returns true if the ballot is promised as soon as that is durable. */
   boolean onPrepare(String address, Prepare request, long now) {
     ProposalNumber proposal = request.getProposal();
-    if (!mayPromise(proposal, now)) {
-      outbox.send(address, new PrepareReply(shard, self.getId(), proposal, false, promised, null));
+    if (!canPromise(proposal, now)) {
+      actionQueue.send(
+          address, new PrepareReply(shard, self.getId(), proposal, false, promised, null));
       return false;
     }
     promised = proposal;
-    waitingPrepare = new WaitingPrepare(address, proposal);
+    pendingPrepare = new PendingPrepare(address, proposal);
     startStoring();
     return true;
   }
 
-  private boolean mayPromise(ProposalNumber proposal, long now) {
-    return ProposalNumbers.above(proposal, promised) && !boundToOther(proposal.getNode(), now);
+  private boolean canPromise(ProposalNumber proposal, long now) {
+    return ProposalNumbers.above(proposal, promised) && !isLeasedToOther(proposal.getNode(), now);
   }
 
   void onAccept(String address, Accept request) {
@@ -126,19 +127,19 @@
     if (order == 0) {
       replyAccept(address, version, true, "");
     }
-    if (order <= 0 || isUnderWay(version)) {
+    if (order <= 0 || isInFlight(version)) {
       return;
     }
     promised = ProposalNumbers.max(promised, version.getProposal());
-    waitingAccept = new WaitingAccept(address, version);
+    pendingAccept = new PendingAccept(address, version);
     startStoring();
   }
 
-  private boolean isUnderWay(ShardVersion version) {
+  private boolean isInFlight(ShardVersion version) {
     boolean storing =
         storingAccept != null && VersionStamp.compare(version, storingAccept.version()) <= 0;
     boolean waiting =
-        waitingAccept != null && VersionStamp.compare(version, waitingAccept.version()) <= 0;
+        pendingAccept != null && VersionStamp.compare(version, pendingAccept.version()) <= 0;
     return storing || waiting;
   }
 
@@ -174,8 +175,8 @@
     if (ticket != storingTicket) {
       return false;
     }
-    WaitingAccept storedAccept = storingAccept;
-    WaitingPrepare storedPrepare = storingPrepare;
+    PendingAccept storedAccept = storingAccept;
+    PendingPrepare storedPrepare = storingPrepare;
     storingTicket = NO_TICKET;
     storingAccept = null;
     storingPrepare = null;
@@ -189,7 +190,7 @@
     return true;
   }
 
-  private void finishAccept(WaitingAccept done, StoreOutcome outcome) {
+  private void finishAccept(PendingAccept done, StoreOutcome outcome) {
     if (outcome.stored()) {
       accepted = done.version();
     }
@@ -198,10 +199,10 @@
     }
   }
 
-  private void finishPrepare(WaitingPrepare done, StoreOutcome outcome) {
+  private void finishPrepare(PendingPrepare done, StoreOutcome outcome) {
     boolean overtaken = ProposalNumbers.above(promised, done.proposal());
     boolean granted = outcome.stored() && !overtaken;
-    outbox.send(
+    actionQueue.send(
         done.address(),
         new PrepareReply(
             shard, self.getId(), done.proposal(), granted, promised, granted ? accepted : null));
@@ -211,19 +212,19 @@
     if (storingTicket != NO_TICKET) {
       return;
     }
-    if (waitingAccept != null) {
-      storingAccept = waitingAccept;
-      waitingAccept = null;
-      storingTicket = outbox.storeVersion(shard, storingAccept.version());
-    } else if (waitingPrepare != null) {
-      storingPrepare = waitingPrepare;
-      waitingPrepare = null;
-      storingTicket = outbox.storePromise(shard, storingPrepare.proposal());
+    if (pendingAccept != null) {
+      storingAccept = pendingAccept;
+      pendingAccept = null;
+      storingTicket = actionQueue.storeVersion(shard, storingAccept.version());
+    } else if (pendingPrepare != null) {
+      storingPrepare = pendingPrepare;
+      pendingPrepare = null;
+      storingTicket = actionQueue.storePromise(shard, storingPrepare.proposal());
     }
   }
 
   private void replyAccept(String address, ShardVersion version, boolean stored, String failure) {
-    outbox.send(
+    actionQueue.send(
         address,
         new AcceptReply(
             shard,
--- a/control/src/main/java/nettletrail/control/shard/Outbox.java
+++ b/control/src/main/java/nettletrail/control/shard/ActionQueue.java
@@ -12,17 +12,17 @@
  * Collects the actions of one event. Messages to this process itself are kept apart and handled
  * within the same event.
  */
-final class Outbox {
+final class ActionQueue {
 
   private final String selfAddress;
-  private final Deque<Loopback> loopback = new ArrayDeque<>();
+  private final Deque<LoopbackMessage> loopback = new ArrayDeque<>();
   private List<CoreAction> actions = new ArrayList<>();
   private long lastTicket;
 
   /** A message to this process itself; valid as {@link CoreAction.Send} says. */
-  record Loopback(SpecificRecord message, long validUntil) {}
+  record LoopbackMessage(SpecificRecord message, long validUntil) {}
 
-  Outbox(String selfAddress) {
+  ActionQueue(String selfAddress) {
     this.selfAddress = selfAddress;
   }
 
@@ -37,7 +37,7 @@
   /** Sends a message that must not leave from an instant on. */
   void sendUntil(String address, SpecificRecord message, long validUntil) {
     if (address.equals(selfAddress)) {
-      loopback.add(new Loopback(message, validUntil));
+      loopback.add(new LoopbackMessage(message, validUntil));
     } else {
       actions.add(new CoreAction.Send(address, message, validUntil));
     }
@@ -62,7 +62,7 @@
   }
 
   /** The next message that this process sent to itself, or null. */
-  Loopback pollLoopback() {
+  LoopbackMessage pollLoopback() {
     return loopback.poll();
   }
 
--- a/control/src/main/java/nettletrail/control/shard/OrderHistory.java
+++ b/control/src/main/java/nettletrail/control/shard/AppliedChanges.java
@@ -18,9 +18,9 @@
  * later changes don't touch. The history is stored with every version of the configuration, so it
  * is bounded: at {@value #DIGEST_BYTES} bytes and some three to five for edition and length, an
  * order takes about 20 bytes, {@value #MAX_ORDERS} of them some 80 KB. An order that may have been
- * dropped from it is neither taken nor refused: {@link Outcome#FORGOTTEN}.
+ * dropped from it is neither taken nor refused: {@link Outcome#UNKNOWN}.
  */
-final class OrderHistory {
+final class AppliedChanges {
 
   /** How many orders that were taken are remembered. */
   static final int MAX_ORDERS = 4_096;
@@ -31,57 +31,57 @@
   /** What is known of an order. */
   enum Outcome {
     /** Exactly this order was taken. */
-    TAKEN,
+    APPLIED,
     /** It was not taken on top of the edition that it names. */
-    NOT_TAKEN,
+    NOT_APPLIED,
     /** It builds on an edition from before the history: nobody knows whether it was taken. */
-    FORGOTTEN
+    UNKNOWN
   }
 
-  private final List<ConfigurationChange> orders;
+  private final List<ConfigurationChange> changes;
 
-  OrderHistory(List<ConfigurationChange> orders) {
-    this.orders = List.copyOf(orders);
+  AppliedChanges(List<ConfigurationChange> changes) {
+    this.changes = List.copyOf(changes);
   }
 
   /** The orders, the oldest first. */
-  List<ConfigurationChange> orders() {
-    return orders;
+  List<ConfigurationChange> changes() {
+    return changes;
   }
 
   /** What is known of the order with this digest, which builds on this edition. */
   Outcome outcomeOf(long ifMatch, ByteBuffer digest) {
     int next = indexAfter(ifMatch);
-    if (next == orders.size()) {
-      return Outcome.NOT_TAKEN;
+    if (next == changes.size()) {
+      return Outcome.NOT_APPLIED;
     }
-    if (sameDigest(orders.get(next).getDigest(), digest)) {
-      return Outcome.TAKEN;
+    if (sameDigest(changes.get(next).getDigest(), digest)) {
+      return Outcome.APPLIED;
     }
-    boolean dropped = next == 0 && orders.size() >= MAX_ORDERS;
-    return dropped ? Outcome.FORGOTTEN : Outcome.NOT_TAKEN;
+    boolean dropped = next == 0 && changes.size() >= MAX_ORDERS;
+    return dropped ? Outcome.UNKNOWN : Outcome.NOT_APPLIED;
   }
 
   /** The edition that the order which was taken on top of this one made. */
   long editionAfter(long ifMatch) {
-    return orders.get(indexAfter(ifMatch)).getEdition();
+    return changes.get(indexAfter(ifMatch)).getEdition();
   }
 
   /** The history with one order more; the oldest is dropped beyond the bound. */
-  OrderHistory with(long edition, ByteBuffer digest) {
-    int first = Math.max(0, orders.size() + 1 - MAX_ORDERS);
-    List<ConfigurationChange> longer = new ArrayList<>(orders.subList(first, orders.size()));
+  AppliedChanges with(long edition, ByteBuffer digest) {
+    int first = Math.max(0, changes.size() + 1 - MAX_ORDERS);
+    List<ConfigurationChange> longer = new ArrayList<>(changes.subList(first, changes.size()));
     longer.add(new ConfigurationChange(edition, digest));
-    return new OrderHistory(longer);
+    return new AppliedChanges(longer);
   }
 
   /** The index of the first order that made a higher edition, or the count if there is none. */
   private int indexAfter(long edition) {
     int from = 0;
-    int to = orders.size();
+    int to = changes.size();
     while (from < to) {
       int middle = (from + to) >>> 1;
-      if (orders.get(middle).getEdition() > edition) {
+      if (changes.get(middle).getEdition() > edition) {
         to = middle;
       } else {
         from = middle + 1;
@@ -96,16 +96,16 @@
   }
 
   /** Tells orders apart: method, the edition that they build on, and body. */
-  static ByteBuffer digest(OrderForward order, long ifMatch) {
+  static ByteBuffer digest(OrderForward request, long ifMatch) {
     MessageDigest digest;
     try {
       digest = MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException impossible) {
       throw new IllegalStateException(impossible);
     }
-    String head = order.getMethod() + "\n" + ifMatch + "\n";
+    String head = request.getMethod() + "\n" + ifMatch + "\n";
     digest.update(head.getBytes(StandardCharsets.UTF_8));
-    digest.update(order.getBody().duplicate());
+    digest.update(request.getBody().duplicate());
     return ByteBuffer.wrap(Arrays.copyOf(digest.digest(), DIGEST_BYTES));
   }
 }
--- a/control/src/main/java/nettletrail/control/shard/Election.java
+++ b/control/src/main/java/nettletrail/control/shard/CandidateState.java
@@ -17,7 +17,7 @@
  * One candidacy for one shard: a PreVote round, which changes nothing, then a Prepare round. It is
  * won with promises of a majority of the group that the newest version among the answers names.
  */
-final class Election {
+final class CandidateState {
 
   /** Which round is under way. */
   enum Phase {
@@ -35,7 +35,7 @@
   private ProposalNumber highestSeen;
 
   /** Starts from the newest version that the candidate itself accepted. */
-  Election(Phase phase, ProposalNumber proposal, ShardVersion ownAccepted, long deadline) {
+  CandidateState(Phase phase, ProposalNumber proposal, ShardVersion ownAccepted, long deadline) {
     this.phase = phase;
     this.proposal = proposal;
     this.newest = ownAccepted;
--- a/control/src/main/java/nettletrail/control/shard/ConfigurationRegister.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfigurationRegister.java
@@ -23,19 +23,19 @@
   private static final long NO_EDITION = -1;
 
   /** An order and where its answer goes. */
-  private record WaitingOrder(String address, OrderForward order, long receivedAt) {}
+  private record QueuedRequest(String address, OrderForward request, long receivedAt) {}
 
   /** The order that is being written. */
   private static final class WriteInFlight {
-    final WaitingOrder waiting;
+    final QueuedRequest queued;
     final ProposalNumber proposal;
     final long sequence;
     final long ifMatch;
     final ByteBuffer digest;
     boolean answered;
 
-    WriteInFlight(WaitingOrder waiting, ShardVersion version, long ifMatch, ByteBuffer digest) {
-      this.waiting = waiting;
+    WriteInFlight(QueuedRequest queued, ShardVersion version, long ifMatch, ByteBuffer digest) {
+      this.queued = queued;
       this.proposal = version.getProposal();
       this.sequence = version.getSequence();
       this.ifMatch = ifMatch;
@@ -46,28 +46,31 @@
   private final ShardReplica replica;
   private final ConfigurationRules rules;
   private final ShardSettings settings;
-  private final Outbox outbox;
-  private final Deque<WaitingOrder> queue = new ArrayDeque<>();
+  private final ActionQueue actionQueue;
+  private final Deque<QueuedRequest> queue = new ArrayDeque<>();
   private WriteInFlight inFlight;
   private ShardVersion decodedVersion;
-  private ConfigurationState decoded = ConfigurationState.EMPTY;
+  private ConfigurationState decodedState = ConfigurationState.EMPTY;
 
   ConfigurationRegister(
-      ShardReplica replica, ConfigurationRules rules, ShardSettings settings, Outbox outbox) {
+      ShardReplica replica,
+      ConfigurationRules rules,
+      ShardSettings settings,
+      ActionQueue actionQueue) {
     this.replica = replica;
     this.rules = rules;
     this.settings = settings;
-    this.outbox = outbox;
+    this.actionQueue = actionQueue;
   }
 
   /** The newest committed state that this process knows. */
   ConfigurationState state() {
     ShardVersion committed = replica.committed();
     if (committed != decodedVersion) {
-      decoded = ConfigurationState.decode(committed.getValue());
+      decodedState = ConfigurationState.decode(committed.getValue());
       decodedVersion = committed;
     }
-    return decoded;
+    return decodedState;
   }
 
   /**
@@ -75,37 +78,38 @@
    * any other order: another process may have learnt from a majority that the write is committed,
    * and pushed it to the doors, before its owner did.
    */
-  void onOrder(String address, OrderForward order, long now) {
+  void onRequest(String address, OrderForward request, long now) {
     if (!replica.owns(now)) {
-      outbox.send(address, OrderReplies.notOwner(order.getCall()));
+      actionQueue.send(address, OperatorResponses.notOwner(request.getCall()));
     } else if (queue.size() >= settings.requestQueueCapacity()) {
-      outbox.send(address, OrderReplies.unavailable(order.getCall(), "too many orders wait"));
+      actionQueue.send(
+          address, OperatorResponses.unavailable(request.getCall(), "too many orders wait"));
     } else {
-      queue.add(new WaitingOrder(address, order, now));
+      queue.add(new QueuedRequest(address, request, now));
       advance(now);
     }
   }
 
   /** Settles the write in flight and judges what waits; after each event. */
   void advance(long now) {
-    settleWrite(now);
+    completeWrite(now);
     if (replica.token() == null) {
-      abandonQueue();
+      rejectQueue();
     }
     expireQueue(now);
     while (inFlight == null && !queue.isEmpty() && replica.writable(now)) {
-      judge(queue.poll(), now);
+      evaluate(queue.poll(), now);
     }
   }
 
-  private OrderForwardReply read(OrderForward order) {
+  private OrderForwardReply read(OrderForward request) {
     ConfigurationState state = state();
     if (state.edition() == 0) {
-      return OrderReplies.refused(
-          order.getCall(), OrderReplies.NOT_FOUND, 0, "there is no configuration yet");
+      return OperatorResponses.rejected(
+          request.getCall(), OperatorResponses.NOT_FOUND, 0, "there is no configuration yet");
     }
-    return OrderReplies.document(
-        order.getCall(), state.edition(), ByteBuffer.wrap(state.documentBytes()));
+    return OperatorResponses.document(
+        request.getCall(), state.edition(), ByteBuffer.wrap(state.documentBytes()));
   }
 
   /**
@@ -113,7 +117,7 @@
    * another owner may have used the number. The order is confirmed only if the committed value
    * names it.
    */
-  private void settleWrite(long now) {
+  private void completeWrite(long now) {
     if (inFlight == null) {
       return;
     }
@@ -121,106 +125,108 @@
       answerWrite(committedOutcome());
       inFlight = null;
     } else if (!inFlight.proposal.equals(replica.token())) {
-      answerWrite(unknownOutcome(inFlight.waiting));
+      answerWrite(unknownOutcome(inFlight.queued));
       inFlight = null;
-    } else if (now - inFlight.waiting.receivedAt() >= settings.requestTimeout()) {
-      answerWrite(unknownOutcome(inFlight.waiting));
+    } else if (now - inFlight.queued.receivedAt() >= settings.requestTimeout()) {
+      answerWrite(unknownOutcome(inFlight.queued));
     }
   }
 
   private OrderForwardReply committedOutcome() {
-    OrderHistory history = state().history();
-    if (history.outcomeOf(inFlight.ifMatch, inFlight.digest) != OrderHistory.Outcome.TAKEN) {
-      return unknownOutcome(inFlight.waiting);
+    AppliedChanges appliedChanges = state().appliedChanges();
+    if (appliedChanges.outcomeOf(inFlight.ifMatch, inFlight.digest)
+        != AppliedChanges.Outcome.APPLIED) {
+      return unknownOutcome(inFlight.queued);
     }
-    long edition = history.editionAfter(inFlight.ifMatch);
-    return OrderReplies.taken(inFlight.waiting.order().getCall(), edition);
+    long edition = appliedChanges.editionAfter(inFlight.ifMatch);
+    return OperatorResponses.applied(inFlight.queued.request().getCall(), edition);
   }
 
   private void answerWrite(OrderForwardReply reply) {
     if (!inFlight.answered) {
       inFlight.answered = true;
-      outbox.send(inFlight.waiting.address(), reply);
+      actionQueue.send(inFlight.queued.address(), reply);
     }
   }
 
-  private static OrderForwardReply unknownOutcome(WaitingOrder waiting) {
-    return OrderReplies.unavailable(waiting.order().getCall(), "the outcome is not known");
+  private static OrderForwardReply unknownOutcome(QueuedRequest queued) {
+    return OperatorResponses.unavailable(queued.request().getCall(), "the outcome is not known");
   }
 
-  private void abandonQueue() {
-    for (WaitingOrder waiting : queue) {
-      outbox.send(waiting.address(), OrderReplies.notOwner(waiting.order().getCall()));
+  private void rejectQueue() {
+    for (QueuedRequest queued : queue) {
+      actionQueue.send(queued.address(), OperatorResponses.notOwner(queued.request().getCall()));
     }
     queue.clear();
   }
 
   private void expireQueue(long now) {
-    Iterator<WaitingOrder> orders = queue.iterator();
-    while (orders.hasNext()) {
-      WaitingOrder waiting = orders.next();
-      if (now - waiting.receivedAt() >= settings.requestTimeout()) {
-        orders.remove();
-        outbox.send(
-            waiting.address(),
-            OrderReplies.unavailable(waiting.order().getCall(), "no majority answers"));
+    Iterator<QueuedRequest> requests = queue.iterator();
+    while (requests.hasNext()) {
+      QueuedRequest queued = requests.next();
+      if (now - queued.receivedAt() >= settings.requestTimeout()) {
+        requests.remove();
+        actionQueue.send(
+            queued.address(),
+            OperatorResponses.unavailable(queued.request().getCall(), "no majority answers"));
       }
     }
   }
 
-  private void judge(WaitingOrder waiting, long now) {
-    OrderForward order = waiting.order();
-    if (order.getMethod().equals("GET")) {
-      outbox.sendUntil(waiting.address(), read(order), replica.leaseUntil());
+  private void evaluate(QueuedRequest queued, long now) {
+    OrderForward request = queued.request();
+    if (request.getMethod().equals("GET")) {
+      actionQueue.sendUntil(queued.address(), read(request), replica.leaseUntil());
       return;
     }
     ConfigurationState state = state();
-    long ifMatch = parseIfMatch(order.getIfMatch());
+    long ifMatch = parseIfMatch(request.getIfMatch());
     if (ifMatch == NO_EDITION) {
-      refuse(waiting, OrderReplies.BAD_REQUEST, state, "If-Match must name an edition");
+      reject(queued, OperatorResponses.BAD_REQUEST, state, "If-Match must name an edition");
       return;
     }
-    ByteBuffer digest = OrderHistory.digest(order, ifMatch);
-    switch (state.history().outcomeOf(ifMatch, digest)) {
-      case TAKEN -> {
-        long edition = state.history().editionAfter(ifMatch);
-        outbox.send(waiting.address(), OrderReplies.taken(order.getCall(), edition));
+    ByteBuffer digest = AppliedChanges.digest(request, ifMatch);
+    switch (state.appliedChanges().outcomeOf(ifMatch, digest)) {
+      case APPLIED -> {
+        long edition = state.appliedChanges().editionAfter(ifMatch);
+        actionQueue.send(queued.address(), OperatorResponses.applied(request.getCall(), edition));
       }
-      case FORGOTTEN ->
-          outbox.send(
-              waiting.address(),
-              OrderReplies.unavailable(order.getCall(), "it is not known whether it was taken"));
-      case NOT_TAKEN -> judgeNew(waiting, state, ifMatch, digest, now);
+      case UNKNOWN ->
+          actionQueue.send(
+              queued.address(),
+              OperatorResponses.unavailable(
+                  request.getCall(), "it is not known whether it was taken"));
+      case NOT_APPLIED -> evaluateNewChange(queued, state, ifMatch, digest, now);
     }
   }
 
   /** Judges an order that was not taken before. */
-  private void judgeNew(
-      WaitingOrder waiting, ConfigurationState state, long ifMatch, ByteBuffer digest, long now) {
+  private void evaluateNewChange(
+      QueuedRequest queued, ConfigurationState state, long ifMatch, ByteBuffer digest, long now) {
     if (ifMatch != state.edition()) {
-      refuse(waiting, OrderReplies.PRECONDITION_FAILED, state, "another edition is current");
+      reject(queued, OperatorResponses.PRECONDITION_FAILED, state, "another edition is current");
       return;
     }
     try {
-      write(waiting, state, digest, now);
+      write(queued, state, digest, now);
     } catch (InvalidConfigurationException invalid) {
-      refuse(waiting, OrderReplies.BAD_REQUEST, state, invalid.getMessage());
+      reject(queued, OperatorResponses.BAD_REQUEST, state, invalid.getMessage());
     }
   }
 
-  private void write(WaitingOrder waiting, ConfigurationState state, ByteBuffer digest, long now)
+  private void write(QueuedRequest queued, ConfigurationState state, ByteBuffer digest, long now)
       throws InvalidConfigurationException {
-    ConfigurationRules.CheckedDocument document = check(waiting.order(), state);
+    ConfigurationRules.CheckedDocument document = check(queued.request(), state);
     ShardVersion version = replica.write(state.after(document, digest).encode(), now);
-    inFlight = new WriteInFlight(waiting, version, state.edition(), digest);
+    inFlight = new WriteInFlight(queued, version, state.edition(), digest);
   }
 
-  private ConfigurationRules.CheckedDocument check(OrderForward order, ConfigurationState state)
+  private ConfigurationRules.CheckedDocument check(OrderForward request, ConfigurationState state)
       throws InvalidConfigurationException {
-    ByteBuffer buffer = order.getBody().duplicate();
+    ByteBuffer buffer = request.getBody().duplicate();
     byte[] body = new byte[buffer.remaining()];
     buffer.get(body);
-    if (order.getMethod().equals("PUT")) {
+    if (request.getMethod().equals("PUT")) {
       return rules.replacement(body, state.edition());
     }
     if (state.edition() == 0) {
@@ -229,10 +235,10 @@
     return rules.patched(state.documentBytes(), body, state.edition());
   }
 
-  private void refuse(WaitingOrder waiting, int status, ConfigurationState state, String reason) {
-    outbox.sendUntil(
-        waiting.address(),
-        OrderReplies.refused(waiting.order().getCall(), status, state.edition(), reason),
+  private void reject(QueuedRequest queued, int status, ConfigurationState state, String reason) {
+    actionQueue.sendUntil(
+        queued.address(),
+        OperatorResponses.rejected(queued.request().getCall(), status, state.edition(), reason),
         replica.leaseUntil());
   }
 
--- a/control/src/main/java/nettletrail/control/shard/ConfigurationState.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfigurationState.java
@@ -25,12 +25,12 @@
           new ConfigurationValue(0L, ByteBuffer.allocate(0), List.of()), new byte[0]);
 
   private final ConfigurationValue value;
-  private final OrderHistory history;
+  private final AppliedChanges appliedChanges;
   private byte[] text;
 
   private ConfigurationState(ConfigurationValue value, byte[] text) {
     this.value = value;
-    this.history = new OrderHistory(value.getChanges());
+    this.appliedChanges = new AppliedChanges(value.getChanges());
     this.text = text;
   }
 
@@ -89,13 +89,13 @@
   }
 
   /** The orders that were taken and are remembered. */
-  OrderHistory history() {
-    return history;
+  AppliedChanges appliedChanges() {
+    return appliedChanges;
   }
 
   /** The state after a document was taken. */
   ConfigurationState after(ConfigurationRules.CheckedDocument document, ByteBuffer digest) {
-    List<ConfigurationChange> changes = history.with(document.edition(), digest).orders();
+    List<ConfigurationChange> changes = appliedChanges.with(document.edition(), digest).changes();
     ByteBuffer stored = ByteBuffer.wrap(CompressedDocument.compress(document.json()));
     return new ConfigurationState(
         new ConfigurationValue(document.edition(), stored, changes), document.json());
--- a/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
@@ -16,28 +16,28 @@
 
   private final ShardReplica replica;
   private final Member self;
-  private final AddressBook addressBook;
+  private final PeerDirectory peerDirectory;
   private final ShardSettings settings;
-  private final Outbox outbox;
+  private final ActionQueue actionQueue;
   private final long startedAt;
-  private final Confirmation confirmation = new Confirmation();
+  private final QuorumReads quorumReads = new QuorumReads();
   private final VersionFetches fetches;
-  private long askDueAt;
+  private long nextRoundAt;
 
   ConfirmationRounds(
       ShardReplica replica,
       Member self,
-      AddressBook addressBook,
+      PeerDirectory peerDirectory,
       ShardSettings settings,
-      Outbox outbox,
+      ActionQueue actionQueue,
       long now) {
     this.replica = replica;
     this.self = self;
-    this.addressBook = addressBook;
+    this.peerDirectory = peerDirectory;
     this.settings = settings;
-    this.outbox = outbox;
+    this.actionQueue = actionQueue;
     this.startedAt = now;
-    this.askDueAt = now;
+    this.nextRoundAt = now;
     this.fetches = new VersionFetches(settings);
   }
 
@@ -46,21 +46,21 @@
    * known.
    */
   void tick(Iterable<String> knownAddresses, long now) {
-    if (now < askDueAt) {
+    if (now < nextRoundAt) {
       return;
     }
-    askDueAt = now + settings.confirm();
+    nextRoundAt = now + settings.confirm();
     ConfirmQuery query = new ConfirmQuery(self.getId(), CoreShards.CONFIGURATION_SHARD, now);
     ShardVersion committed = replica.committed();
     if (committed == null) {
-      knownAddresses.forEach(address -> outbox.send(address, query));
+      knownAddresses.forEach(address -> actionQueue.send(address, query));
       return;
     }
     ReplicaGroup group = new ReplicaGroup(committed.getMembers());
-    confirmation.retain(group);
+    quorumReads.retain(group);
     fetches.retain(group);
     for (Member member : group.members()) {
-      outbox.send(member.getAddress(), query);
+      actionQueue.send(member.getAddress(), query);
     }
   }
 
@@ -68,7 +68,7 @@
     ShardVersion accepted = replica.accepted();
     ShardVersion committed = replica.committed();
     ReplicaGroup group = replica.group();
-    outbox.send(
+    actionQueue.send(
         peer,
         new ConfirmReply(
             self.getId(),
@@ -87,25 +87,25 @@
     if (!sentInThisIncarnation) {
       return;
     }
-    addressBook.onConfirmReply(reply, now);
-    confirmation.onReply(reply);
+    peerDirectory.onConfirmReply(reply, now);
+    quorumReads.onReply(reply);
     ShardVersion accepted = replica.accepted();
-    if (accepted != null && confirmation.provesCommitted(accepted)) {
+    if (accepted != null && quorumReads.provesCommitted(accepted)) {
       replica.learnCommitted(accepted);
     }
     boolean behind = reply.getCommittedSequence() > committedSequence();
     if (behind && fetches.isDue(peer, reply.getSentAt(), now)) {
-      fetches.asked(peer, now);
-      outbox.send(peer, new VersionQuery(CoreShards.CONFIGURATION_SHARD));
+      fetches.onRequested(peer, now);
+      actionQueue.send(peer, new VersionQuery(CoreShards.CONFIGURATION_SHARD));
     }
   }
 
   void onVersionQuery(String peer) {
-    outbox.send(peer, new VersionReply(CoreShards.CONFIGURATION_SHARD, replica.committed()));
+    actionQueue.send(peer, new VersionReply(CoreShards.CONFIGURATION_SHARD, replica.committed()));
   }
 
   void onVersionReply(VersionReply reply) {
-    fetches.answered();
+    fetches.onVersionReceived();
     if (reply.getVersion() != null) {
       replica.learnCommitted(reply.getVersion());
     }
@@ -113,7 +113,7 @@
 
   /** Works out what is confirmed; after each event. */
   void update() {
-    confirmation.update(replica.committed());
+    quorumReads.update(replica.committed());
   }
 
   /** The sequence of the newest version that is known to be committed, or -1. */
@@ -123,6 +123,6 @@
   }
 
   long confirmedAt() {
-    return confirmation.confirmedAt();
+    return quorumReads.confirmedAt();
   }
 }
--- a/control/src/main/java/nettletrail/control/shard/CoreShards.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreShards.java
@@ -46,13 +46,13 @@
 
   private final ShardSettings settings;
   private final Member self;
-  private final Outbox outbox;
+  private final ActionQueue actionQueue;
   private final List<ShardReplica> replicas = new ArrayList<>();
   private final ShardReplica configurationReplica;
   private final ConfigurationRegister register;
-  private final OrderRouter orders;
+  private final OperatorRequestRouter requestRouter;
   private final ConfirmationRounds confirmations;
-  private final AddressBook addressBook;
+  private final PeerDirectory peerDirectory;
   private final long startedAt;
   private long heartbeatDueAt;
   private long joinDueAt;
@@ -91,26 +91,28 @@
     this.settings = settings;
     this.self = start.self();
     this.startedAt = now;
-    this.outbox = new Outbox(self.getAddress());
-    this.addressBook = new AddressBook(start.seedAddresses());
+    this.actionQueue = new ActionQueue(self.getAddress());
+    this.peerDirectory = new PeerDirectory(start.seedAddresses());
     SplittableRandom random = new SplittableRandom(seed);
     for (int shard = 0; shard < start.shardCount(); shard++) {
       replicas.add(startReplica(shard, start, random.split(), now));
     }
     this.configurationReplica = replicas.get(CONFIGURATION_SHARD);
-    this.register = new ConfigurationRegister(configurationReplica, rules, settings, outbox);
-    this.orders = new OrderRouter(settings, outbox, random.nextLong());
+    this.register = new ConfigurationRegister(configurationReplica, rules, settings, actionQueue);
+    this.requestRouter = new OperatorRequestRouter(settings, actionQueue, random.nextLong());
     this.confirmations =
-        new ConfirmationRounds(configurationReplica, self, addressBook, settings, outbox, now);
+        new ConfirmationRounds(
+            configurationReplica, self, peerDirectory, settings, actionQueue, now);
     this.heartbeatDueAt = now;
     this.joinDueAt = now + settings.join();
   }
 
   private ShardReplica startReplica(int shard, CoreStart start, SplittableRandom random, long now) {
     boolean founding = start.firstRun() && start.shard(shard).isEmpty();
-    long promisesFrom = founding ? now : now + settings.lease();
+    long votingStartsAt = founding ? now : now + settings.lease();
     ShardReplica replica =
-        new ShardReplica(shard, self, settings, start.shard(shard), outbox, random, promisesFrom);
+        new ShardReplica(
+            shard, self, settings, start.shard(shard), actionQueue, random, votingStartsAt);
     List<Member> founders = start.seedAddresses().stream().map(NodeIdentity::founding).toList();
     if (founding && founders.contains(self)) {
       ShardVersion initial =
@@ -137,12 +139,12 @@
       heartbeatDueAt = now + settings.heartbeat();
       sendHeartbeats(replicas, now);
     }
-    confirmations.tick(addressBook.addresses(replicas), now);
+    confirmations.tick(peerDirectory.addresses(replicas), now);
     if (now >= joinDueAt) {
       joinDueAt = now + settings.join();
       askToJoin(now);
     }
-    orders.tick(ownerAddress(CONFIGURATION_SHARD, now), now);
+    requestRouter.tick(ownerAddress(CONFIGURATION_SHARD, now), now);
     return finish(now);
   }
 
@@ -162,7 +164,7 @@
    */
   public List<CoreAction> submit(long call, String method, String ifMatch, byte[] body, long now) {
     String owner = ownerAddress(CONFIGURATION_SHARD, now);
-    orders.submit(call, method, ifMatch, body, owner, now);
+    requestRouter.submit(call, method, ifMatch, body, owner, now);
     return finish(now);
   }
 
@@ -194,15 +196,16 @@
   public String ownerAddress(int shard, long now) {
     String owner = replicas.get(shard).ownerAddress(now);
     boolean ask = owner.isEmpty() && shard == CONFIGURATION_SHARD;
-    return ask ? addressBook.reportedOwner(now, settings.lease()) : owner;
+    return ask ? peerDirectory.reportedOwner(now, settings.lease()) : owner;
   }
 
   /** The newest known group of the configuration shard: all core processes that have joined. */
   public List<Member> members() {
     ShardVersion accepted = configurationReplica.accepted();
     long ownSequence = accepted == null ? -1 : accepted.getSequence();
-    boolean reportedNewer = addressBook.reportedSequence() > ownSequence;
-    ReplicaGroup group = reportedNewer ? addressBook.reportedGroup() : configurationReplica.group();
+    boolean reportedNewer = peerDirectory.reportedSequence() > ownSequence;
+    ReplicaGroup group =
+        reportedNewer ? peerDirectory.reportedGroup() : configurationReplica.group();
     return group.members();
   }
 
@@ -289,9 +292,9 @@
     } else if (message instanceof VersionReply reply) {
       confirmations.onVersionReply(reply);
     } else if (message instanceof OrderForward order) {
-      register.onOrder(peer, order, now);
+      register.onRequest(peer, order, now);
     } else if (message instanceof OrderForwardReply reply) {
-      orders.onReply(peer, reply, CoreAction.ALWAYS);
+      requestRouter.onReply(peer, reply, CoreAction.ALWAYS);
     }
   }
 
@@ -305,7 +308,7 @@
       }
     }
     if (!replies.isEmpty()) {
-      outbox.send(peer, new OwnerHeartbeatReply(self.getId(), heartbeat.getSentAt(), replies));
+      actionQueue.send(peer, new OwnerHeartbeatReply(self.getId(), heartbeat.getSentAt(), replies));
     }
   }
 
@@ -337,7 +340,8 @@
       }
     }
     heartbeats.forEach(
-        (address, shards) -> outbox.send(address, new OwnerHeartbeat(self.getId(), now, shards)));
+        (address, shards) ->
+            actionQueue.send(address, new OwnerHeartbeat(self.getId(), now, shards)));
   }
 
   /**
@@ -353,9 +357,9 @@
         continue;
       }
       JoinRequest request = new JoinRequest(shard, self);
-      for (String address : addressBook.addresses(replicas)) {
+      for (String address : peerDirectory.addresses(replicas)) {
         if (!address.equals(self.getAddress())) {
-          outbox.send(address, request);
+          actionQueue.send(address, request);
         }
       }
     }
@@ -368,21 +372,21 @@
       deliverLoopback(now);
       register.advance(now);
       sendRequestedHeartbeats(now);
-    } while (outbox.hasLoopback());
+    } while (actionQueue.hasLoopback());
     confirmations.update();
     announceConfiguration();
-    return outbox.drain();
+    return actionQueue.drain();
   }
 
   private void deliverLoopback(long now) {
-    Outbox.Loopback own = outbox.pollLoopback();
+    ActionQueue.LoopbackMessage own = actionQueue.pollLoopback();
     while (own != null) {
       if (own.message() instanceof OrderForwardReply reply) {
-        orders.onReply(self.getAddress(), reply, own.validUntil());
+        requestRouter.onReply(self.getAddress(), reply, own.validUntil());
       } else {
         dispatch(self.getAddress(), own.message(), now);
       }
-      own = outbox.pollLoopback();
+      own = actionQueue.pollLoopback();
     }
   }
 
@@ -404,7 +408,7 @@
     announcedSequence = committed.getSequence();
     ConfigurationState state = register.state();
     if (state.edition() > 0) {
-      outbox.add(
+      actionQueue.add(
           new CoreAction.CommittedConfiguration(
               announcedSequence, state.edition(), state.documentBytes(), state.storedDocument()));
     }
--- a/control/src/main/java/nettletrail/control/shard/ElectionTimer.java
+++ b/control/src/main/java/nettletrail/control/shard/ElectionTimer.java
@@ -38,12 +38,12 @@
   }
 
   /** Stands in this replica's turn, without randomness: the owner has given its lease back. */
-  void expedite(ReplicaGroup group, long now) {
+  void advance(ReplicaGroup group, long now) {
     dueAt = now + stagger(group);
   }
 
   /** Leaves a candidate, to whom this replica has promised its vote, the time to win. */
-  void yieldToCandidate(ReplicaGroup group, long now) {
+  void deferToCandidate(ReplicaGroup group, long now) {
     dueAt = Math.max(dueAt, now + settings.electionTimeout() + stagger(group));
   }
 
--- a/control/src/main/java/nettletrail/control/shard/GroupChanges.java
+++ b/control/src/main/java/nettletrail/control/shard/GroupChanges.java
@@ -24,7 +24,7 @@
 final class GroupChanges {
 
   /** A process that asks to join, since when, and when it asked last. */
-  private record Joiner(Member member, long firstAskedAt, long askedAt) {
+  private record Joiner(Member member, long firstRequestAt, long lastRequestAt) {
     boolean isFounding() {
       return member.equals(NodeIdentity.founding(member.getAddress()));
     }
@@ -36,8 +36,8 @@
       return member.getId().equals(self.getId());
     }
 
-    long silence(Member member) {
-      return now - contacts.heardAt(member.getId());
+    long sinceLastContact(Member member) {
+      return now - contacts.lastContactAt(member.getId());
     }
   }
 
@@ -55,18 +55,18 @@
   void onJoinRequest(Member member, long now) {
     Joiner before = joiners.get(member.getAddress());
     boolean known = before != null && before.member().equals(member);
-    long firstAskedAt = known ? before.firstAskedAt() : now;
-    joiners.put(member.getAddress(), new Joiner(member, firstAskedAt, now));
+    long firstRequestAt = known ? before.firstRequestAt() : now;
+    joiners.put(member.getAddress(), new Joiner(member, firstRequestAt, now));
   }
 
   /** The group that should follow, or null if it should stay. */
   ReplicaGroup next(ReplicaGroup group, Member self, MemberContacts contacts, long now) {
-    joiners.values().removeIf(joiner -> now - joiner.askedAt() > settings.joinerFresh());
+    joiners.values().removeIf(joiner -> now - joiner.lastRequestAt() > settings.joinerFresh());
     joiners.values().removeIf(joiner -> group.contains(joiner.member().getId()));
     Situation situation = new Situation(group, self, contacts, now);
-    ReplicaGroup changed = wanted(situation);
-    boolean viable = changed != null && hasLiveMajority(changed, situation);
-    return viable ? changed : null;
+    ReplicaGroup proposed = proposedGroup(situation);
+    boolean viable = proposed != null && hasLiveMajority(proposed, situation);
+    return viable ? proposed : null;
   }
 
   /**
@@ -74,19 +74,19 @@
    * that is alive now. The joiner does not count: it may be lost before it has stored the version
    * that names it.
    */
-  private boolean hasLiveMajority(ReplicaGroup changed, Situation situation) {
-    long earliest = situation.now() - HEARTBEATS_TO_BE_ALIVE * settings.heartbeat();
+  private boolean hasLiveMajority(ReplicaGroup proposed, Situation situation) {
+    long aliveSince = situation.now() - HEARTBEATS_TO_BE_ALIVE * settings.heartbeat();
     Set<String> alive = new HashSet<>();
     for (Member member : situation.group().members()) {
-      boolean granted = situation.contacts().grantAskedAt(member.getId()) >= earliest;
+      boolean granted = situation.contacts().grantRequestedAt(member.getId()) >= aliveSince;
       if (granted || situation.isSelf(member)) {
         alive.add(member.getId());
       }
     }
-    return changed.hasMajority(alive);
+    return proposed.hasMajority(alive);
   }
 
-  private ReplicaGroup wanted(Situation situation) {
+  private ReplicaGroup proposedGroup(Situation situation) {
     ReplicaGroup group = situation.group();
     Member superseded = supersededMember(situation);
     if (superseded != null) {
@@ -95,7 +95,7 @@
     Joiner joiner = joiners.values().stream().findFirst().orElse(null);
     boolean odd = group.size() % 2 == 1;
     if (joiner == null) {
-      return odd ? null : withoutSilent(situation);
+      return odd ? null : withoutUnresponsive(situation);
     }
     if (!odd) {
       return group.with(joiner.member());
@@ -122,9 +122,9 @@
     return null;
   }
 
-  private ReplicaGroup withoutSilent(Situation situation) {
-    Member silent = longestSilent(situation, member -> settings.removeAfter());
-    return silent == null ? null : situation.group().without(silent.getId());
+  private ReplicaGroup withoutUnresponsive(Situation situation) {
+    Member unresponsive = longestUnresponsive(situation, member -> settings.removeAfter());
+    return unresponsive == null ? null : situation.group().without(unresponsive.getId());
   }
 
   /** The member of an odd group that makes way for a joiner, or null. */
@@ -135,7 +135,7 @@
         return member;
       }
     }
-    return longestSilent(situation, member -> replaceAfter(member, situation));
+    return longestUnresponsive(situation, member -> replaceAfter(member, situation));
   }
 
   /**
@@ -143,8 +143,8 @@
    * took belongs to its silence.
    */
   private long replaceAfter(Member member, Situation situation) {
-    boolean heard = situation.contacts().wasHeard(member.getId());
-    return heard ? settings.replaceAfter() : settings.replaceUnheardAfter();
+    boolean responded = situation.contacts().hasContact(member.getId());
+    return responded ? settings.replaceAfter() : settings.replaceUnheardAfter();
   }
 
   /**
@@ -154,16 +154,16 @@
    */
   private boolean mayGrow(Joiner joiner, Situation situation) {
     boolean firstStart = joiner.isFounding() && isFounding(situation.group());
-    long waited = situation.now() - joiner.firstAskedAt();
+    long waited = situation.now() - joiner.firstRequestAt();
     boolean waitedLongEnough = firstStart || waited >= settings.replaceAfter();
-    return waitedLongEnough && allHeard(situation);
+    return waitedLongEnough && allResponsive(situation);
   }
 
-  private boolean allHeard(Situation situation) {
+  private boolean allResponsive(Situation situation) {
     for (Member member : situation.group().members()) {
-      boolean heard = situation.contacts().wasHeard(member.getId());
-      boolean lately = situation.silence(member) <= settings.joinerFresh();
-      if (!situation.isSelf(member) && !(heard && lately)) {
+      boolean responded = situation.contacts().hasContact(member.getId());
+      boolean recent = situation.sinceLastContact(member) <= settings.joinerFresh();
+      if (!situation.isSelf(member) && !(responded && recent)) {
         return false;
       }
     }
@@ -176,12 +176,12 @@
   }
 
   /** Of the other members that were silent for longer than their limit, the one silent longest. */
-  private static Member longestSilent(Situation situation, ToLongFunction<Member> limit) {
+  private static Member longestUnresponsive(Situation situation, ToLongFunction<Member> limit) {
     Member longest = null;
     for (Member member : situation.group().members()) {
-      long silence = situation.silence(member);
-      boolean dead = !situation.isSelf(member) && silence > limit.applyAsLong(member);
-      if (dead && (longest == null || silence > situation.silence(longest))) {
+      long sinceLastContact = situation.sinceLastContact(member);
+      boolean dead = !situation.isSelf(member) && sinceLastContact > limit.applyAsLong(member);
+      if (dead && (longest == null || sinceLastContact > situation.sinceLastContact(longest))) {
         longest = member;
       }
     }
--- a/control/src/main/java/nettletrail/control/shard/MemberContacts.java
+++ b/control/src/main/java/nettletrail/control/shard/MemberContacts.java
@@ -4,14 +4,14 @@
 interface MemberContacts {
 
   /** When a member was last heard of; the start of the ownership, or earlier, if it never was. */
-  long heardAt(String id);
+  long lastContactAt(String id);
 
   /** True if a member has answered this owner, or was heard of as the former owner. */
-  boolean wasHeard(String id);
+  boolean hasContact(String id);
 
   /**
    * When the latest heartbeat that a member granted was sent; {@link ReplicaGroup#NEVER} if none
    * was.
    */
-  long grantAskedAt(String id);
+  long grantRequestedAt(String id);
 }
--- a/control/src/main/java/nettletrail/control/shard/OrderRouter.java
+++ b/control/src/main/java/nettletrail/control/shard/OperatorRequestRouter.java
@@ -18,66 +18,67 @@
  * was held up in this process or on its way is not given late; at the owner itself for no longer
  * than its lease.
  */
-final class OrderRouter {
+final class OperatorRequestRouter {
 
   /** A call that was not answered yet. */
   private static final class PendingCall {
     final long call;
-    final OrderForward order;
+    final OrderForward message;
     final long receivedAt;
 
     /** The process whose answer counts; empty while it was passed to none, or that was no owner. */
     String forwardedTo = "";
 
-    PendingCall(long call, OrderForward order, long receivedAt) {
+    PendingCall(long call, OrderForward message, long receivedAt) {
       this.call = call;
-      this.order = order;
+      this.message = message;
       this.receivedAt = receivedAt;
     }
 
     boolean isRead() {
-      return order.getMethod().equals("GET");
+      return message.getMethod().equals("GET");
     }
   }
 
   private final ShardSettings settings;
-  private final Outbox outbox;
+  private final ActionQueue actionQueue;
   private final Map<Long, PendingCall> pending = new HashMap<>();
-  private long lastForward;
+  private long lastForwardId;
 
   /**
    * Numbers its messages from firstForward, which differs between lives of a process so that late
    * answers find nobody.
    */
-  OrderRouter(ShardSettings settings, Outbox outbox, long firstForward) {
+  OperatorRequestRouter(ShardSettings settings, ActionQueue actionQueue, long firstForwardId) {
     this.settings = settings;
-    this.outbox = outbox;
-    this.lastForward = firstForward;
+    this.actionQueue = actionQueue;
+    this.lastForwardId = firstForwardId;
   }
 
   void submit(
       long call, String method, String ifMatch, byte[] body, String ownerAddress, long now) {
     if (!method.equals("GET") && !method.equals("PUT") && !method.equals("PATCH")) {
-      ByteBuffer error = OrderReplies.error("only GET, PUT and PATCH");
-      answer(call, OrderReplies.METHOD_NOT_ALLOWED, "", error, CoreAction.ALWAYS);
+      ByteBuffer error = OperatorResponses.error("only GET, PUT and PATCH");
+      respond(call, OperatorResponses.METHOD_NOT_ALLOWED, "", error, CoreAction.ALWAYS);
       return;
     }
     if (pending.size() >= settings.requestQueueCapacity()) {
       unavailable(call, "too many calls wait");
       return;
     }
-    lastForward++;
+    lastForwardId++;
     String condition = ifMatch == null ? "" : ifMatch;
-    OrderForward order = new OrderForward(lastForward, method, condition, ByteBuffer.wrap(body));
-    PendingCall added = new PendingCall(call, order, now);
-    pending.put(lastForward, added);
+    OrderForward message =
+        new OrderForward(lastForwardId, method, condition, ByteBuffer.wrap(body));
+    PendingCall added = new PendingCall(call, message, now);
+    pending.put(lastForwardId, added);
     forward(added, ownerAddress);
   }
 
   private void forward(PendingCall call, String ownerAddress) {
     if (!ownerAddress.isEmpty()) {
       call.forwardedTo = ownerAddress;
-      outbox.send(ownerAddress, call.order);
+      actionQueue.send(ownerAddress, call.message);
     }
   }
 
@@ -93,17 +94,17 @@
     if (call == null || !call.forwardedTo.equals(peer)) {
       return;
     }
-    if (reply.getStatus() == OrderReplies.NOT_OWNER) {
+    if (reply.getStatus() == OperatorResponses.NOT_OWNER) {
       call.forwardedTo = "";
       return;
     }
     pending.remove(reply.getCall());
-    boolean taken = reply.getStatus() == OrderReplies.OK && !call.isRead();
+    boolean applied = reply.getStatus() == OperatorResponses.OK && !call.isRead();
     long validUntil =
-        taken
+        applied
             ? CoreAction.ALWAYS
             : Math.min(sentUntil, call.receivedAt + settings.requestTimeout());
-    answer(call.call, reply.getStatus(), reply.getEdition(), reply.getBody(), validUntil);
+    respond(call.call, reply.getStatus(), reply.getEdition(), reply.getBody(), validUntil);
   }
 
   /** Passes on what waits for an owner and gives up on what took too long. */
@@ -112,29 +113,29 @@
     for (PendingCall call : calls) {
       long age = now - call.receivedAt;
       if (age >= settings.requestTimeout()) {
-        giveUp(call, "the owner does not answer");
+        timeOut(call, "the owner does not answer");
       } else if (call.forwardedTo.isEmpty() && age >= settings.ownerWait()) {
-        giveUp(call, "no owner is known");
+        timeOut(call, "no owner is known");
       } else if (call.forwardedTo.isEmpty()) {
         forward(call, ownerAddress);
       }
     }
   }
 
-  private void giveUp(PendingCall call, String reason) {
-    pending.remove(call.order.getCall());
+  private void timeOut(PendingCall call, String reason) {
+    pending.remove(call.message.getCall());
     unavailable(call.call, reason);
   }
 
   private void unavailable(long call, String reason) {
-    ByteBuffer error = OrderReplies.error(reason);
-    answer(call, OrderReplies.UNAVAILABLE, "", error, CoreAction.ALWAYS);
+    ByteBuffer error = OperatorResponses.error(reason);
+    respond(call, OperatorResponses.UNAVAILABLE, "", error, CoreAction.ALWAYS);
   }
 
-  private void answer(long call, int status, String edition, ByteBuffer body, long validUntil) {
+  private void respond(long call, int status, String edition, ByteBuffer body, long validUntil) {
     ByteBuffer copy = body.duplicate();
     byte[] bytes = new byte[copy.remaining()];
     copy.get(bytes);
-    outbox.add(new CoreAction.AnswerOperator(call, status, edition, bytes, validUntil));
+    actionQueue.add(new CoreAction.AnswerOperator(call, status, edition, bytes, validUntil));
   }
 }
--- a/control/src/main/java/nettletrail/control/shard/OrderReplies.java
+++ b/control/src/main/java/nettletrail/control/shard/OperatorResponses.java
@@ -5,7 +5,7 @@
 import nettletrail.protocol.OrderForwardReply;
 
 /** The answers to an operator's call: statuses and JSON bodies. */
-final class OrderReplies {
+final class OperatorResponses {
 
   static final int OK = 200;
   static final int BAD_REQUEST = 400;
@@ -17,9 +17,9 @@
   /** Between core processes only: the addressee is not the owner, and has done nothing. */
   static final int NOT_OWNER = 421;
 
-  private OrderReplies() {}
+  private OperatorResponses() {}
 
-  static OrderForwardReply taken(long call, long edition) {
+  static OrderForwardReply applied(long call, long edition) {
     return reply(call, OK, edition, json("{\"edition\":" + edition + "}"));
   }
 
@@ -27,7 +27,7 @@
     return reply(call, OK, edition, document.duplicate());
   }
 
-  static OrderForwardReply refused(long call, int status, long edition, String reason) {
+  static OrderForwardReply rejected(long call, int status, long edition, String reason) {
     return reply(call, status, edition, error(reason));
   }
 
--- a/control/src/main/java/nettletrail/control/shard/Ownership.java
+++ b/control/src/main/java/nettletrail/control/shard/OwnerState.java
@@ -23,33 +23,33 @@
  * <p>The lease holds until the majority-th latest grant, counted from before it was asked, plus the
  * lease, less the margin. While a change of the group is in flight, both groups must grant.
  */
-final class Ownership implements MemberContacts {
+final class OwnerState implements MemberContacts {
 
   /** The committed sequence that is told before anything is committed under the ballot. */
-  static final long NOTHING_COMMITTED = -1;
+  static final long NO_COMMITTED_SEQUENCE = -1;
 
   /** What the owner knows of one member. */
   private static final class Progress {
-    long grantAskedAt = ReplicaGroup.NEVER;
-    long heardAt;
-    boolean wasHeard;
+    long grantRequestedAt = ReplicaGroup.NEVER;
+    long lastContactAt;
+    boolean hasContact;
     final VersionTransfer transfer;
 
-    Progress(long heardAt, ShardSettings settings) {
-      this.heardAt = heardAt;
+    Progress(long lastContactAt, ShardSettings settings) {
+      this.lastContactAt = lastContactAt;
       this.transfer = new VersionTransfer(settings);
     }
 
     void heard(long at) {
-      heardAt = at;
-      wasHeard = true;
+      lastContactAt = at;
+      hasContact = true;
     }
   }
 
   private final int shard;
   private final ProposalNumber proposal;
   private final ShardSettings settings;
-  private final Outbox outbox;
+  private final ActionQueue actionQueue;
   private final long startedAt;
   private final Map<String, Progress> progressOf = new HashMap<>();
   private final Set<String> acknowledged = new HashSet<>();
@@ -57,17 +57,17 @@
   private ShardVersion inFlightVersion;
 
   /** Begins by writing the version found by the election again, under the own ballot. */
-  Ownership(
+  OwnerState(
       int shard,
       ProposalNumber proposal,
       ShardVersion found,
       ShardSettings settings,
-      Outbox outbox,
+      ActionQueue actionQueue,
       long now) {
     this.shard = shard;
     this.proposal = proposal;
     this.settings = settings;
-    this.outbox = outbox;
+    this.actionQueue = actionQueue;
     this.startedAt = now;
     propose(found.getSequence(), found, new ReplicaGroup(found.getMembers()), now);
   }
@@ -106,7 +106,7 @@
     if (!settled()) {
       throw new IllegalStateException("a write is in flight");
     }
-    welcomeJoiners(group, now);
+    startTrackingJoiners(group, now);
     ShardVersion changed =
         new ShardVersion(proposal, committed.getSequence(), group.members(), value);
     propose(committed.getSequence() + 1, changed, group, now);
@@ -118,7 +118,7 @@
    * start of the ownership as the last time that it was heard of, nor what an earlier membership
    * left.
    */
-  private void welcomeJoiners(ReplicaGroup group, long now) {
+  private void startTrackingJoiners(ReplicaGroup group, long now) {
     ReplicaGroup before = new ReplicaGroup(committed.getMembers());
     for (Member member : group.members()) {
       if (!before.contains(member.getId())) {
@@ -132,7 +132,7 @@
     inFlightVersion = new ShardVersion(proposal, sequence, group.members(), from.getValue());
     acknowledged.clear();
     for (Member member : group.members()) {
-      if (!progress(member.getId()).transfer.isUnderWay()) {
+      if (!progress(member.getId()).transfer.isInFlight()) {
         sendVersion(member, now);
       }
     }
@@ -140,7 +140,7 @@
 
   private void sendVersion(Member member, long now) {
     progress(member.getId()).transfer.start(VersionStamp.of(newest()), now);
-    outbox.send(member.getAddress(), new Accept(shard, member.getId(), proposal, newest()));
+    actionQueue.send(member.getAddress(), new Accept(shard, member.getId(), proposal, newest()));
   }
 
   /** Returns true if this committed the version in flight. */
@@ -151,9 +151,9 @@
       return false;
     }
     VersionStamp held = new VersionStamp(reply.getProposal(), reply.getSequence());
-    progress.transfer.onHeld(held);
+    progress.transfer.onAcknowledged(held);
     boolean behind = isBehind(reply.getSender(), held);
-    if (behind && !progress.transfer.isUnderWay()) {
+    if (behind && !progress.transfer.isInFlight()) {
       sendVersion(member(reply.getSender()), now);
     }
     return acknowledge(reply.getSender(), held);
@@ -166,9 +166,9 @@
     if (!reply.getGranted()) {
       return false;
     }
-    progress.grantAskedAt = Math.max(progress.grantAskedAt, askedAt);
+    progress.grantRequestedAt = Math.max(progress.grantRequestedAt, askedAt);
     VersionStamp held = new VersionStamp(reply.getAcceptedProposal(), reply.getAcceptedSequence());
-    progress.transfer.onHeld(held);
+    progress.transfer.onAcknowledged(held);
     if (isBehind(sender, held) && progress.transfer.isDue(askedAt, now)) {
       sendVersion(member(sender), now);
     }
@@ -200,8 +200,8 @@
   /**
    * Tells when the former owner was last heard of, which the silence of a member is counted from.
    */
-  void formerOwnerLastSeenAt(String id, long heardAt) {
-    progress(id).heard(heardAt);
+  void recordFormerOwnerContact(String id, long lastContactAt) {
+    progress(id).heard(lastContactAt);
   }
 
   /**
@@ -209,9 +209,9 @@
    * holds no lease.
    */
   long leaseUntil() {
-    long askedAt = leaseAskedAt(newest());
+    long askedAt = leaseRequestedAt(newest());
     if (inFlightVersion != null && committed != null) {
-      askedAt = Math.min(askedAt, leaseAskedAt(committed));
+      askedAt = Math.min(askedAt, leaseRequestedAt(committed));
     }
     if (askedAt == ReplicaGroup.NEVER) {
       return ReplicaGroup.NEVER;
@@ -219,29 +219,29 @@
     return askedAt + settings.lease() - settings.leaseMargin();
   }
 
-  private long leaseAskedAt(ShardVersion version) {
+  private long leaseRequestedAt(ShardVersion version) {
     return new ReplicaGroup(version.getMembers())
-        .majorityInstant(member -> grantAskedAt(member.getId()));
+        .majorityInstant(member -> grantRequestedAt(member.getId()));
   }
 
   @Override
-  public long heardAt(String id) {
-    return progress(id).heardAt;
+  public long lastContactAt(String id) {
+    return progress(id).lastContactAt;
   }
 
   @Override
-  public boolean wasHeard(String id) {
-    return progress(id).wasHeard;
+  public boolean hasContact(String id) {
+    return progress(id).hasContact;
   }
 
   @Override
-  public long grantAskedAt(String id) {
-    return progress(id).grantAskedAt;
+  public long grantRequestedAt(String id) {
+    return progress(id).grantRequestedAt;
   }
 
   /** This shard's part of a heartbeat, for one member. */
   ShardHeartbeat heartbeat(Member member) {
-    long sequence = committed == null ? NOTHING_COMMITTED : committed.getSequence();
+    long sequence = committed == null ? NO_COMMITTED_SEQUENCE : committed.getSequence();
     return new ShardHeartbeat(shard, member.getId(), proposal, sequence);
   }
 
--- a/control/src/main/java/nettletrail/control/shard/AddressBook.java
+++ b/control/src/main/java/nettletrail/control/shard/PeerDirectory.java
@@ -10,7 +10,7 @@
  * What a core process knows of the others beyond the groups that its own replicas hold: seeds, and
  * what answers to queries tell.
  */
-final class AddressBook {
+final class PeerDirectory {
 
   private final List<String> seeds;
   private List<Member> reportedMembers = List.of();
@@ -18,7 +18,7 @@
   private String reportedOwner = "";
   private long reportedOwnerAt;
 
-  AddressBook(List<String> seeds) {
+  PeerDirectory(List<String> seeds) {
     this.seeds = List.copyOf(seeds);
   }
 
--- a/control/src/main/java/nettletrail/control/shard/Confirmation.java
+++ b/control/src/main/java/nettletrail/control/shard/QuorumReads.java
@@ -17,23 +17,23 @@
  * of the group does not slip through. A higher version that is accepted but not committed holds
  * this up until the owner settles it.
  */
-final class Confirmation {
+final class QuorumReads {
 
-  private final Map<String, Report> latest = new HashMap<>();
+  private final Map<String, Report> latestReports = new HashMap<>();
   private long confirmedAt = ReplicaGroup.NEVER;
 
   /** What a member said last. */
-  private record Report(long askedAt, VersionStamp accepted) {}
+  private record Report(long requestedAt, VersionStamp accepted) {}
 
   /** Takes the answer of a member; answers to earlier rounds than one already heard are dropped. */
   void onReply(ConfirmReply reply) {
-    Report before = latest.get(reply.getSender());
-    if (before != null && before.askedAt() >= reply.getSentAt()) {
+    Report before = latestReports.get(reply.getSender());
+    if (before != null && before.requestedAt() >= reply.getSentAt()) {
       return;
     }
     VersionStamp accepted =
         new VersionStamp(reply.getAcceptedProposal(), reply.getAcceptedSequence());
-    latest.put(reply.getSender(), new Report(reply.getSentAt(), accepted));
+    latestReports.put(reply.getSender(), new Report(reply.getSentAt(), accepted));
   }
 
   /** Works out what is confirmed now for the newest committed version. */
@@ -48,9 +48,9 @@
   }
 
   private long instantOf(Member member, long sequence) {
-    Report report = latest.get(member.getId());
+    Report report = latestReports.get(member.getId());
     boolean nothingNewer = report != null && report.accepted().sequence() <= sequence;
-    return nothingNewer ? report.askedAt() : ReplicaGroup.NEVER;
+    return nothingNewer ? report.requestedAt() : ReplicaGroup.NEVER;
   }
 
   /** True if a majority reported exactly this version as accepted: then it is committed. */
@@ -59,7 +59,7 @@
     ReplicaGroup group = new ReplicaGroup(version.getMembers());
     long reports = 0;
     for (Member member : group.members()) {
-      Report report = latest.get(member.getId());
+      Report report = latestReports.get(member.getId());
       if (report != null && report.accepted().equals(stamp)) {
         reports++;
       }
@@ -69,7 +69,7 @@
 
   /** Keeps the reports of these members only, so that memory stays bounded. */
   void retain(ReplicaGroup group) {
-    latest.keySet().removeIf(id -> !group.contains(id));
+    latestReports.keySet().removeIf(id -> !group.contains(id));
   }
 
   /** The latest confirmed instant on the own steady clock, or {@link ReplicaGroup#NEVER}. */
--- a/control/src/main/java/nettletrail/control/shard/ShardReplica.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardReplica.java
@@ -30,13 +30,13 @@
   private final int shard;
   private final Member self;
   private final ShardSettings settings;
-  private final Outbox outbox;
+  private final ActionQueue actionQueue;
   private final Acceptor acceptor;
   private final GroupChanges groupChanges;
   private final ElectionTimer electionTimer;
 
-  private Election election;
-  private Ownership ownership;
+  private CandidateState election;
+  private OwnerState ownership;
   private ShardVersion knownCommitted;
   private ProposalNumber highestSeen = ProposalNumbers.ZERO;
   private String ownerId = "";
@@ -51,18 +51,18 @@
       Member self,
       ShardSettings settings,
       StoredShard stored,
-      Outbox outbox,
+      ActionQueue actionQueue,
       SplittableRandom random,
-      long promisesFrom) {
+      long votingStartsAt) {
     this.shard = shard;
     this.self = self;
     this.settings = settings;
-    this.outbox = outbox;
-    this.acceptor = new Acceptor(shard, self, settings, stored, outbox, promisesFrom);
+    this.actionQueue = actionQueue;
+    this.acceptor = new Acceptor(shard, self, settings, stored, actionQueue, votingStartsAt);
     this.groupChanges = new GroupChanges(settings);
     this.electionTimer = new ElectionTimer(shard, self.getAddress(), settings, random);
-    this.ownerLastSeenAt = promisesFrom - settings.lease();
-    electionTimer.postpone(group(), promisesFrom);
+    this.ownerLastSeenAt = votingStartsAt - settings.lease();
+    electionTimer.postpone(group(), votingStartsAt);
   }
 
   /** Gives the replica the version that the whole system starts from. */
@@ -166,7 +166,7 @@
 
   void onPrepare(String address, Prepare request, long now) {
     if (isForSelf(request.getRecipient()) && acceptor.onPrepare(address, request, now)) {
-      electionTimer.yieldToCandidate(group(), now);
+      electionTimer.deferToCandidate(group(), now);
       deposeBy(request.getProposal(), now);
     }
   }
@@ -185,12 +185,12 @@
     }
     ShardHeartbeatReply reply = acceptor.onHeartbeat(heartbeat, now);
     if (reply.getGranted()) {
-      followOwner(heartbeat, now);
+      onOwnerContact(heartbeat, now);
     }
     return reply;
   }
 
-  private void followOwner(ShardHeartbeat heartbeat, long now) {
+  private void onOwnerContact(ShardHeartbeat heartbeat, long now) {
     ownerId = heartbeat.getProposal().getNode();
     ownerLastSeenAt = now;
     electionTimer.postpone(group(), now + settings.lease());
@@ -207,7 +207,7 @@
   void onRelease(LeaseRelease release, long now) {
     if (isForSelf(release.getRecipient()) && acceptor.onRelease(release.getProposal(), now)) {
       ownerId = "";
-      electionTimer.expedite(group(), now);
+      electionTimer.advance(group(), now);
     }
   }
 
@@ -220,7 +220,7 @@
       return;
     }
     for (Member member : ownership.members()) {
-      outbox.send(
+      actionQueue.send(
           member.getAddress(), new LeaseRelease(shard, member.getId(), ownership.proposal()));
     }
     ownership = null;
@@ -264,24 +264,25 @@
 
   private void standForElection(long now) {
     boolean eligible =
-        !released && group().contains(self.getId()) && !acceptor.boundToOther(self.getId(), now);
+        !released && group().contains(self.getId()) && !acceptor.isLeasedToOther(self.getId(), now);
     if (!eligible) {
       electionTimer.postpone(group(), now);
       return;
     }
-    startElection(Election.Phase.PRE_VOTE, now);
+    startElection(CandidateState.Phase.PRE_VOTE, now);
   }
 
-  private void startElection(Election.Phase phase, long now) {
+  private void startElection(CandidateState.Phase phase, long now) {
     ProposalNumber above = ProposalNumbers.max(highestSeen, acceptor.promised());
     ProposalNumber proposal = ProposalNumbers.next(above, self.getId());
-    election = new Election(phase, proposal, acceptor.accepted(), now + settings.electionTimeout());
+    election =
+        new CandidateState(phase, proposal, acceptor.accepted(), now + settings.electionTimeout());
     askMembers();
   }
 
   private void askMembers() {
     for (Member member : election.takeUnasked()) {
-      outbox.send(member.getAddress(), election.request(shard, member));
+      actionQueue.send(member.getAddress(), election.request(shard, member));
     }
   }
 
@@ -290,7 +291,7 @@
       return;
     }
     election.onPreVoteReply(reply);
-    if (election.phase() == Election.Phase.PRE_VOTE && election.hasMajority()) {
+    if (election.phase() == CandidateState.Phase.PRE_VOTE && election.hasMajority()) {
       election.startPrepare(now + settings.electionTimeout());
       askMembers();
     } else if (election.isLost()) {
@@ -303,7 +304,7 @@
       return;
     }
     election.onPrepareReply(reply);
-    if (election.phase() != Election.Phase.PREPARE) {
+    if (election.phase() != CandidateState.Phase.PREPARE) {
       return;
     }
     askMembers();
@@ -315,9 +316,10 @@
   }
 
   private void takeOwnership(long now) {
-    ownership = new Ownership(shard, election.proposal(), election.newest(), settings, outbox, now);
+    ownership =
+        new OwnerState(shard, election.proposal(), election.newest(), settings, actionQueue, now);
     if (!ownerId.isEmpty() && !ownerId.equals(self.getId())) {
-      ownership.formerOwnerLastSeenAt(ownerId, ownerLastSeenAt);
+      ownership.recordFormerOwnerContact(ownerId, ownerLastSeenAt);
     }
     election = null;
     heartbeatRequested = true;
@@ -367,7 +369,7 @@
     ownership = null;
     heartbeatRequested = false;
     if (leaseRuns) {
-      startElection(Election.Phase.PREPARE, now);
+      startElection(CandidateState.Phase.PREPARE, now);
     } else {
       electionTimer.postpone(group(), now + settings.electionStagger());
     }
--- a/control/src/main/java/nettletrail/control/shard/ShardStatus.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardStatus.java
@@ -29,7 +29,7 @@
     List<Member> replicas,
     long acceptedSequence,
     long committedSequence) {
-  private static final long NANOS_A_MILLISECOND = 1_000_000L;
+  private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
   /** The status of one replica. */
   static ShardStatus of(int shard, ShardReplica replica, long now) {
@@ -40,8 +40,8 @@
         replica.ownerAddress(now),
         owned,
         owned ? replica.token() : null,
-        replica.leaseLeft(now) / NANOS_A_MILLISECOND,
-        ownerLastSeenAgo / NANOS_A_MILLISECOND,
+        replica.leaseLeft(now) / NANOS_PER_MILLISECOND,
+        ownerLastSeenAgo / NANOS_PER_MILLISECOND,
         replica.group().members(),
         sequenceOf(replica.accepted()),
         sequenceOf(replica.committed()));
--- a/control/src/main/java/nettletrail/control/shard/StoredConfiguration.java
+++ b/control/src/main/java/nettletrail/control/shard/StoredConfiguration.java
@@ -23,6 +23,9 @@
   public static StoredConfiguration of(ShardVersion version) {
     ConfigurationState state = ConfigurationState.decode(version.getValue());
     return new StoredConfiguration(
-        version.getSequence(), state.edition(), state.documentBytes(), state.history().orders());
+        version.getSequence(),
+        state.edition(),
+        state.documentBytes(),
+        state.appliedChanges().changes());
   }
 }
--- a/control/src/main/java/nettletrail/control/shard/VersionFetches.java
+++ b/control/src/main/java/nettletrail/control/shard/VersionFetches.java
@@ -17,9 +17,9 @@
   private static final int ROUNDS_UNTIL_SLOW = 4;
 
   private final ShardSettings settings;
-  private final Map<String, Long> askedAt = new HashMap<>();
-  private long latestAskedAt = ReplicaGroup.NEVER;
-  private String openAt = "";
+  private final Map<String, Long> requestedAt = new HashMap<>();
+  private long lastRequestedAt = ReplicaGroup.NEVER;
+  private String pendingPeer = "";
 
   VersionFetches(ShardSettings settings) {
     this.settings = settings;
@@ -31,32 +31,32 @@
    * @param querySentAt when the query was sent that it has just answered
    */
   boolean isDue(String peer, long querySentAt, long now) {
-    if (querySentAt <= askedAt.getOrDefault(peer, ReplicaGroup.NEVER)) {
+    if (querySentAt <= requestedAt.getOrDefault(peer, ReplicaGroup.NEVER)) {
       return false;
     }
-    if (latestAskedAt == ReplicaGroup.NEVER) {
+    if (lastRequestedAt == ReplicaGroup.NEVER) {
       return true;
     }
-    boolean openElsewhere = !openAt.isEmpty() && !openAt.equals(peer);
-    int rounds = openElsewhere ? ROUNDS_UNTIL_SLOW : 1;
-    return now - latestAskedAt >= rounds * settings.confirm();
+    boolean pendingElsewhere = !pendingPeer.isEmpty() && !pendingPeer.equals(peer);
+    int rounds = pendingElsewhere ? ROUNDS_UNTIL_SLOW : 1;
+    return now - lastRequestedAt >= rounds * settings.confirm();
   }
 
   /** The peer is asked now. */
-  void asked(String peer, long now) {
-    askedAt.put(peer, now);
-    latestAskedAt = now;
-    openAt = peer;
+  void onRequested(String peer, long now) {
+    requestedAt.put(peer, now);
+    lastRequestedAt = now;
+    pendingPeer = peer;
   }
 
   /** A version came, from whichever peer. */
-  void answered() {
-    openAt = "";
+  void onVersionReceived() {
+    pendingPeer = "";
   }
 
   /** Keeps what is known of members of the group only, so that memory stays bounded. */
   void retain(ReplicaGroup group) {
-    askedAt.keySet().removeIf(address -> !hasAddress(group, address));
+    requestedAt.keySet().removeIf(address -> !hasAddress(group, address));
   }
 
   private static boolean hasAddress(ReplicaGroup group, String address) {
--- a/control/src/main/java/nettletrail/control/shard/VersionTransfer.java
+++ b/control/src/main/java/nettletrail/control/shard/VersionTransfer.java
@@ -12,39 +12,39 @@
  */
 final class VersionTransfer {
 
-  private static final int LONGEST_RESEND_FACTOR = 4;
+  private static final int MAX_RESEND_FACTOR = 4;
 
-  private final long shortestResend;
+  private final long initialResendInterval;
   private VersionStamp sent;
   private long sentAt;
-  private boolean underWay;
-  private long resendAfter;
+  private boolean inFlight;
+  private long resendInterval;
 
   VersionTransfer(ShardSettings settings) {
-    this.shortestResend = settings.resend();
-    this.resendAfter = shortestResend;
+    this.initialResendInterval = settings.resend();
+    this.resendInterval = initialResendInterval;
   }
 
   /** True while a version was sent and neither acknowledged nor counted as lost. */
-  boolean isUnderWay() {
-    return underWay;
+  boolean isInFlight() {
+    return inFlight;
   }
 
   /** A version leaves for the replica now. */
   void start(VersionStamp version, long now) {
-    if (underWay) {
-      resendAfter = Math.min(2 * resendAfter, LONGEST_RESEND_FACTOR * shortestResend);
+    if (inFlight) {
+      resendInterval = Math.min(2 * resendInterval, MAX_RESEND_FACTOR * initialResendInterval);
     }
     sent = version;
     sentAt = now;
-    underWay = true;
+    inFlight = true;
   }
 
   /** The replica holds this version durably. */
-  void onHeld(VersionStamp held) {
-    if (underWay && held.compareTo(sent) >= 0) {
-      underWay = false;
-      resendAfter = shortestResend;
+  void onAcknowledged(VersionStamp acknowledged) {
+    if (inFlight && acknowledged.compareTo(sent) >= 0) {
+      inFlight = false;
+      resendInterval = initialResendInterval;
     }
   }
 
@@ -53,7 +53,7 @@
    * heartbeat that was sent at that instant.
    */
   boolean isDue(long heartbeatSentAt, long now) {
-    boolean passedOnTheLink = heartbeatSentAt > sentAt;
-    return !underWay || passedOnTheLink && now - sentAt >= resendAfter;
+    boolean deliveredByLink = heartbeatSentAt > sentAt;
+    return !inFlight || deliveredByLink && now - sentAt >= resendInterval;
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/AcceptorTest.java
+++ b/control/src/test/java/nettletrail/control/shard/AcceptorTest.java
@@ -32,11 +32,11 @@
   private static final Member CANDIDATE = new Member("c:1#0", "c:1");
   private static final long LEASE = SETTINGS.lease();
 
-  private final Outbox outbox = new Outbox(SELF.getAddress());
+  private final ActionQueue actionQueue = new ActionQueue(SELF.getAddress());
 
-  private Acceptor acceptor(long promisesFrom) {
+  private Acceptor acceptor(long votingStartsAt) {
     StoredShard nothing = new StoredShard(null, null, List.of());
-    return new Acceptor(0, SELF, SETTINGS, nothing, outbox, promisesFrom);
+    return new Acceptor(0, SELF, SETTINGS, nothing, actionQueue, votingStartsAt);
   }
 
   private static ProposalNumber proposal(long round, Member member) {
@@ -59,14 +59,14 @@
   }
 
   private <T extends SpecificRecord> T onlySent(Class<T> type) {
-    List<CoreAction> actions = outbox.drain();
+    List<CoreAction> actions = actionQueue.drain();
     assertEquals(1, actions.size(), actions.toString());
     CoreAction.Send send = assertInstanceOf(CoreAction.Send.class, actions.get(0));
     return assertInstanceOf(type, send.message());
   }
 
   private long onlyStored() {
-    List<CoreAction> actions = outbox.drain();
+    List<CoreAction> actions = actionQueue.drain();
     assertEquals(1, actions.size(), actions.toString());
     CoreAction action = actions.get(0);
     return action instanceof CoreAction.StorePromise promise
@@ -95,7 +95,7 @@
   void givenPromise_whenAcceptOfALowerBallotComes_thenRefused() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
-    outbox.drain();
+    actionQueue.drain();
     acceptor.onAccept("b:1", accept(proposal(4, OWNER), 1));
     AcceptReply reply = onlySent(AcceptReply.class);
     assertFalse(reply.getAccepted());
@@ -106,7 +106,7 @@
   void givenPromise_whenPreparedWithTheSameBallot_thenRefused() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
-    outbox.drain();
+    actionQueue.drain();
     acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
     assertFalse(onlySent(PrepareReply.class).getGranted());
   }
@@ -172,10 +172,10 @@
   void givenPromiseUnderWay_whenAnOlderOwnerBeats_thenNoLease() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
-    outbox.drain();
+    actionQueue.drain();
     ShardHeartbeatReply reply = acceptor.onHeartbeat(heartbeat(proposal(4, OWNER)), 1);
     assertFalse(reply.getGranted());
-    assertFalse(acceptor.boundToOther(CANDIDATE.getId(), 1));
+    assertFalse(acceptor.isLeasedToOther(CANDIDATE.getId(), 1));
   }
 
   @Test
@@ -184,9 +184,9 @@
     acceptor.onAccept("b:1", accept(proposal(1, OWNER), 3));
     long storingVersion = onlyStored();
     acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 0);
-    assertTrue(outbox.drain().isEmpty());
+    assertTrue(actionQueue.drain().isEmpty());
     acceptor.onStored(storingVersion, StoreOutcome.STORED);
-    List<CoreAction> actions = outbox.drain();
+    List<CoreAction> actions = actionQueue.drain();
     CoreAction.StorePromise promise =
         assertInstanceOf(CoreAction.StorePromise.class, actions.get(1));
     acceptor.onStored(promise.ticket(), StoreOutcome.STORED);
@@ -212,9 +212,9 @@
     acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 0);
     long ticket = onlyStored();
     acceptor.onAccept("b:1", accept(proposal(3, OWNER), 1));
-    assertTrue(outbox.drain().isEmpty());
+    assertTrue(actionQueue.drain().isEmpty());
     acceptor.onStored(ticket, StoreOutcome.STORED);
-    CoreAction.Send send = assertInstanceOf(CoreAction.Send.class, outbox.drain().get(0));
+    CoreAction.Send send = assertInstanceOf(CoreAction.Send.class, actionQueue.drain().get(0));
     assertFalse(((PrepareReply) send.message()).getGranted());
   }
 
@@ -225,7 +225,7 @@
       acceptor.onAccept("b:1", accept(proposal(1, OWNER), sequence));
     }
     acceptor.onStored(onlyStored(), StoreOutcome.STORED);
-    List<CoreAction> actions = outbox.drain();
+    List<CoreAction> actions = actionQueue.drain();
     CoreAction.StoreVersion next = assertInstanceOf(CoreAction.StoreVersion.class, actions.get(1));
     assertEquals(100, next.version().getSequence());
   }
@@ -234,7 +234,7 @@
   void givenStoredState_whenRestarted_thenPromiseIsTheHigherOfFileAndVersion() {
     ShardVersion version = accept(proposal(7, OWNER), 3).getVersion();
     StoredShard stored = new StoredShard(proposal(4, CANDIDATE), version, List.of());
-    Acceptor acceptor = new Acceptor(0, SELF, SETTINGS, stored, outbox, 0);
+    Acceptor acceptor = new Acceptor(0, SELF, SETTINGS, stored, actionQueue, 0);
     assertEquals(proposal(7, OWNER), acceptor.promised());
     acceptor.onPrepare("c:1", prepare(proposal(6, CANDIDATE)), 0);
     assertFalse(onlySent(PrepareReply.class).getGranted());
--- a/control/src/test/java/nettletrail/control/shard/OrderHistoryTest.java
+++ b/control/src/test/java/nettletrail/control/shard/AppliedChangesTest.java
@@ -8,24 +8,24 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.List;
-import nettletrail.control.shard.OrderHistory.Outcome;
+import nettletrail.control.shard.AppliedChanges.Outcome;
 import nettletrail.protocol.ConfigurationChange;
 import nettletrail.protocol.OrderForward;
 import org.junit.jupiter.api.Test;
 
 /** What is known of orders that come again, and what it costs to know it. */
-class OrderHistoryTest {
+class AppliedChangesTest {
 
   private static final int EDITION_STEP = 3;
 
   private static ByteBuffer digest(long ifMatch, String body) {
     ByteBuffer bytes = ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8));
-    return OrderHistory.digest(new OrderForward(1L, "PUT", "" + ifMatch, bytes), ifMatch);
+    return AppliedChanges.digest(new OrderForward(1L, "PUT", "" + ifMatch, bytes), ifMatch);
   }
 
   /** Orders with the editions 3, 6, 9 and so on, each on top of the one before. */
-  private static OrderHistory historyOf(int orders) {
-    OrderHistory history = new OrderHistory(List.of());
+  private static AppliedChanges historyOf(int orders) {
+    AppliedChanges history = new AppliedChanges(List.of());
     for (long number = 1; number <= orders; number++) {
       long ifMatch = (number - 1) * EDITION_STEP;
       history = history.with(ifMatch + EDITION_STEP, digest(ifMatch, "order " + number));
@@ -33,38 +33,38 @@
     return history;
   }
 
-  private static Outcome outcome(OrderHistory history, long ifMatch, String body) {
+  private static Outcome outcome(AppliedChanges history, long ifMatch, String body) {
     return history.outcomeOf(ifMatch, digest(ifMatch, body));
   }
 
   @Test
   void givenTakenOrders_whenTheyComeAgain_thenEachIsKnownByItsEdition() {
-    OrderHistory history = historyOf(1_100);
+    AppliedChanges history = historyOf(1_100);
     for (int number = 1; number <= 1_100; number++) {
       long ifMatch = (long) (number - 1) * EDITION_STEP;
-      assertEquals(Outcome.TAKEN, outcome(history, ifMatch, "order " + number));
+      assertEquals(Outcome.APPLIED, outcome(history, ifMatch, "order " + number));
       assertEquals(ifMatch + EDITION_STEP, history.editionAfter(ifMatch));
     }
   }
 
   @Test
   void givenTakenOrders_whenAnotherBuildsOnTheSameEdition_thenItWasNotTaken() {
-    OrderHistory history = historyOf(10);
-    assertEquals(Outcome.NOT_TAKEN, outcome(history, 0, "other"));
-    assertEquals(Outcome.NOT_TAKEN, outcome(history, 27, "other"));
-    assertEquals(Outcome.NOT_TAKEN, outcome(history, 30, "new"));
-    assertEquals(Outcome.NOT_TAKEN, outcome(history, 4, "on an edition that never was"));
-    assertEquals(Outcome.NOT_TAKEN, outcome(new OrderHistory(List.of()), 0, "first"));
+    AppliedChanges history = historyOf(10);
+    assertEquals(Outcome.NOT_APPLIED, outcome(history, 0, "other"));
+    assertEquals(Outcome.NOT_APPLIED, outcome(history, 27, "other"));
+    assertEquals(Outcome.NOT_APPLIED, outcome(history, 30, "new"));
+    assertEquals(Outcome.NOT_APPLIED, outcome(history, 4, "on an edition that never was"));
+    assertEquals(Outcome.NOT_APPLIED, outcome(new AppliedChanges(List.of()), 0, "first"));
   }
 
   @Test
   void givenMoreOrdersThanAreRemembered_whenOneOfTheFirstComesAgain_thenItIsNotSaidToBeNotTaken() {
-    OrderHistory history = historyOf(OrderHistory.MAX_ORDERS + 5);
-    assertEquals(OrderHistory.MAX_ORDERS, history.orders().size());
-    assertEquals(Outcome.FORGOTTEN, outcome(history, 0, "order 1"));
-    assertEquals(Outcome.FORGOTTEN, outcome(history, 12, "order 5"));
-    assertEquals(Outcome.TAKEN, outcome(history, 15, "order 6"));
-    assertEquals(Outcome.NOT_TAKEN, outcome(history, 18, "other"));
+    AppliedChanges history = historyOf(AppliedChanges.MAX_ORDERS + 5);
+    assertEquals(AppliedChanges.MAX_ORDERS, history.changes().size());
+    assertEquals(Outcome.UNKNOWN, outcome(history, 0, "order 1"));
+    assertEquals(Outcome.UNKNOWN, outcome(history, 12, "order 5"));
+    assertEquals(Outcome.APPLIED, outcome(history, 15, "order 6"));
+    assertEquals(Outcome.NOT_APPLIED, outcome(history, 18, "other"));
   }
 
   @Test
@@ -73,17 +73,19 @@
     MessageDigest complete = MessageDigest.getInstance("SHA-256");
     complete.update("PUT\n0\nbody".getBytes(StandardCharsets.UTF_8));
     ByteBuffer stored = ByteBuffer.wrap(complete.digest());
-    OrderHistory history = new OrderHistory(List.of(new ConfigurationChange(3L, stored)));
-    assertEquals(Outcome.TAKEN, outcome(history, 0, "body"));
-    assertEquals(Outcome.NOT_TAKEN, outcome(history, 0, "other"));
+    AppliedChanges history = new AppliedChanges(List.of(new ConfigurationChange(3L, stored)));
+    assertEquals(Outcome.APPLIED, outcome(history, 0, "body"));
+    assertEquals(Outcome.NOT_APPLIED, outcome(history, 0, "other"));
   }
 
   @Test
   void givenLongDay_whenEncoded_thenTheHistoryStaysSmall() {
     assertTrue(encodedBytes(1_100) <= 22_500, encodedBytes(1_100) + " bytes");
-    assertTrue(encodedBytes(OrderHistory.MAX_ORDERS) <= 84_000);
+    assertTrue(encodedBytes(AppliedChanges.MAX_ORDERS) <= 84_000);
     assertEquals(
-        encodedBytes(OrderHistory.MAX_ORDERS), encodedBytes(OrderHistory.MAX_ORDERS + 100), 200);
+        encodedBytes(AppliedChanges.MAX_ORDERS),
+        encodedBytes(AppliedChanges.MAX_ORDERS + 100),
+        200);
   }
 
   private static int encodedBytes(int orders) {
--- a/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
@@ -40,7 +40,7 @@
    */
   private static final class SteadyChanges {
     private final SimulatedCluster cluster;
-    private final OperatorCalls operator;
+    private final OperatorClient operator;
     private final SimulatedCore core;
     private final int changes;
     private long edition;
@@ -48,7 +48,7 @@
 
     SteadyChanges(SimulatedCluster cluster, SimulatedCore core, int changes) {
       this.cluster = cluster;
-      this.operator = new OperatorCalls(cluster);
+      this.operator = new OperatorClient(cluster);
       this.core = core;
       this.changes = changes;
     }
@@ -59,7 +59,7 @@
         long end = cluster.now() + CHANGE_PERIOD;
         long next = edition + 1;
         String document = next + " " + TEXT;
-        refused += operator.put(core, edition, document) == OrderReplies.OK ? 0 : 1;
+        refused += operator.put(core, edition, document) == OperatorResponses.OK ? 0 : 1;
         edition = next;
         cluster.runFor(Math.max(0, end - cluster.now()));
       }
@@ -101,8 +101,8 @@
 
   @Test
   void givenThinLinkToAReplica_whenLargeDocumentsChangeAllTheTime_thenNothingQueuesBehindAnother() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(31, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(31, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore thin = operator.followers().get(0);
     limitLinksTo(cluster, thin);
@@ -122,8 +122,8 @@
   }
 
   private static long bytesOfCatchUp(int changeCount) {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(32, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(32, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore away = operator.followers().get(0);
     away.crash();
@@ -140,8 +140,8 @@
 
   @Test
   void givenFullDiskThroughAllChanges_whenItHasRoomAgain_thenTheReplicaHoldsTheNewest() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(33, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(33, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore full = operator.followers().get(0);
     full.storageFails = true;
@@ -156,8 +156,8 @@
 
   @Test
   void givenStaleReplicaThatAloneStandsForElection_whenItWins_thenItLeadsWithTheNewestState() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(35, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(35, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore stale = operator.followers().get(0);
     stale.crash();
--- a/control/src/test/java/nettletrail/control/shard/ExploredShard.java
+++ b/control/src/test/java/nettletrail/control/shard/ExploredShard.java
@@ -47,7 +47,7 @@
   private int cutOff = NOBODY;
   private final List<Member> members = new ArrayList<>();
   private final ShardReplica[] replicas = new ShardReplica[REPLICAS];
-  private final Outbox[] outboxes = new Outbox[REPLICAS];
+  private final ActionQueue[] actionQueues = new ActionQueue[REPLICAS];
   private final SimulatedDisk[] disks = new SimulatedDisk[REPLICAS];
   private final int[] incarnations = new int[REPLICAS];
   private final boolean[] wrote = new boolean[REPLICAS];
@@ -84,8 +84,8 @@
     return committed.size();
   }
 
-  private void start(int index, long promisesFrom) {
-    outboxes[index] = new Outbox(members.get(index).getAddress());
+  private void start(int index, long votingStartsAt) {
+    actionQueues[index] = new ActionQueue(members.get(index).getAddress());
     StoredShard stored = disks[index].shards().get(SHARD);
     replicas[index] =
         new ShardReplica(
@@ -93,9 +93,9 @@
             members.get(index),
             SETTINGS,
             stored,
-            outboxes[index],
+            actionQueues[index],
             new SplittableRandom(index),
-            promisesFrom);
+            votingStartsAt);
     incarnations[index]++;
   }
 
@@ -182,7 +182,7 @@
     ShardHeartbeatReply reply = replica.onHeartbeat(heartbeat.getShards().get(0), now);
     if (reply != null) {
       String sender = members.get(index).getId();
-      outboxes[index].send(
+      actionQueues[index].send(
           owner.getAddress(),
           new OwnerHeartbeatReply(sender, heartbeat.getSentAt(), List.of(reply)));
     }
@@ -208,17 +208,17 @@
     for (Member member : replicas[index].heartbeatTargets()) {
       List<ShardHeartbeat> heartbeats = List.of(replicas[index].heartbeat(member));
       String sender = members.get(index).getId();
-      outboxes[index].send(member.getAddress(), new OwnerHeartbeat(sender, now, heartbeats));
+      actionQueues[index].send(member.getAddress(), new OwnerHeartbeat(sender, now, heartbeats));
     }
   }
 
   private void collect(int index) {
-    Outbox.Loopback own = outboxes[index].pollLoopback();
+    ActionQueue.LoopbackMessage own = actionQueues[index].pollLoopback();
     while (own != null) {
       pending.add(new Pending(index, index, incarnations[index], own.message(), null));
-      own = outboxes[index].pollLoopback();
+      own = actionQueues[index].pollLoopback();
     }
-    for (CoreAction action : outboxes[index].drain()) {
+    for (CoreAction action : actionQueues[index].drain()) {
       if (action instanceof CoreAction.Send send) {
         int to = Integer.parseInt(send.address().substring(1));
         pending.add(new Pending(index, to, incarnations[to], send.message(), null));
--- a/control/src/test/java/nettletrail/control/shard/GroupChangesTest.java
+++ b/control/src/test/java/nettletrail/control/shard/GroupChangesTest.java
@@ -33,18 +33,18 @@
     }
 
     @Override
-    public long heardAt(String id) {
+    public long lastContactAt(String id) {
       return lastHeard.getOrDefault(id, now);
     }
 
     @Override
-    public boolean wasHeard(String id) {
+    public boolean hasContact(String id) {
       return !neverHeard.contains(id);
     }
 
     @Override
-    public long grantAskedAt(String id) {
-      return wasHeard(id) ? heardAt(id) : ReplicaGroup.NEVER;
+    public long grantRequestedAt(String id) {
+      return hasContact(id) ? lastContactAt(id) : ReplicaGroup.NEVER;
     }
   }
 
--- a/control/src/test/java/nettletrail/control/shard/OperatorCalls.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorClient.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /** An operator's calls to the machines of a {@link SimulatedCluster}, one at a time or at once. */
-final class OperatorCalls {
+final class OperatorClient {
 
   /** Longer than the core takes to answer any call. */
   private static final long LONGEST_CALL = millis(1_500);
 
   private final SimulatedCluster cluster;
 
-  OperatorCalls(SimulatedCluster cluster) {
+  OperatorClient(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
@@ -52,7 +52,7 @@
   /** The document that a machine gives out, or the status of its refusal. */
   String read(SimulatedCore core) {
     CoreAction.AnswerOperator answer = await(send(core, "GET", "", ""));
-    boolean found = answer.status() == OrderReplies.OK;
+    boolean found = answer.status() == OperatorResponses.OK;
     return found ? ClusterInvariants.text(answer.body()) : String.valueOf(answer.status());
   }
 
--- a/control/src/test/java/nettletrail/control/shard/OrderOutcomeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorRequestOutcomeTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What two operators hear of their orders when the owner changes under them. */
-class OrderOutcomeTest {
+class OperatorRequestOutcomeTest {
 
   private static boolean isQuorumRead(SpecificRecord message) {
     return message instanceof ConfirmQuery
@@ -30,8 +30,8 @@
   void givenWriteOfAFormerOwner_whenItLearnsOfTheNextOwnersVersion_thenItConfirmsNothing() {
     int cases = 0;
     for (long seed = 1; seed <= 40; seed++) {
-      SimulatedCluster cluster = OperatorCalls.settledCluster(seed, 3);
-      OperatorCalls operator = new OperatorCalls(cluster);
+      SimulatedCluster cluster = OperatorClient.settledCluster(seed, 3);
+      OperatorClient operator = new OperatorClient(cluster);
       SimulatedCore former = operator.awaitOwner();
       SimulatedCore follower = operator.followers().get(0);
       assertEquals(200, operator.put(follower, 0, "3 first"));
@@ -54,7 +54,7 @@
   }
 
   /** Takes that many orders after edition 3, each at another machine; the last edition. */
-  private static long takeOrders(SimulatedCluster cluster, OperatorCalls operator, int orders) {
+  private static long takeOrders(SimulatedCluster cluster, OperatorClient operator, int orders) {
     for (long edition = 4; edition < 4 + orders; edition++) {
       SimulatedCore core = cluster.core((int) (edition % cluster.cores().size()));
       assertEquals(200, operator.put(core, edition - 1, edition + " later"));
@@ -64,8 +64,8 @@
 
   @Test
   void givenHundredsOfLaterChanges_whenAnOrderIsRepeated_thenTheWinnerIsTakenAndTheLoserRefused() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(21, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(21, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     assertEquals(200, operator.put(cluster.core(0), 0, "3 winner"));
     assertEquals(412, operator.put(cluster.core(1), 0, "3 loser"));
     long last = takeOrders(cluster, operator, 600);
@@ -82,8 +82,8 @@
 
   @Test
   void givenBothOperatorsSendTheSameBytes_whenAtOnce_thenBothHearOfTheOneChange() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(22, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(22, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     AtomicReference<CoreAction.AnswerOperator> one =
         operator.send(cluster.core(0), "PUT", "0", "3 a");
     AtomicReference<CoreAction.AnswerOperator> two =
@@ -97,8 +97,8 @@
 
   @Test
   void givenPatchAndPutThatLeadToTheSameDocument_whenOneIsTaken_thenTheOtherIsRefused() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(23, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(23, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     assertEquals(200, operator.put(cluster.core(0), 0, "3 first"));
     assertEquals(200, operator.patch(cluster.core(1), 3, "4 more"));
     assertEquals(412, operator.put(cluster.core(2), 3, "4 first more"));
@@ -109,8 +109,8 @@
 
   @Test
   void givenRepeatThatOvertakesItsFirstSending_whenTheFirstComesLast_thenItIsTakenOnce() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(24, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(24, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore slow = operator.followers().get(0);
     SimulatedCore fast = operator.followers().get(1);
@@ -125,8 +125,8 @@
 
   @Test
   void givenOwnerThatDiesBetweenCommitAndAnswer_whenTheOrderIsRepeated_thenItIsTakenAgain() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(25, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(25, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore other = operator.followers().get(0);
     cluster.lose(message -> message instanceof OrderForwardReply);
@@ -145,8 +145,8 @@
 
   @Test
   void givenAnswersThatAreLostAgainAndAgain_whenOneComesThrough_thenTheOrderWasTakenOnce() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(26, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(26, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     List<SimulatedCore> followers = operator.followers();
     cluster.lose(message -> message instanceof OrderForwardReply);
     for (int repeat = 0; repeat < 10; repeat++) {
@@ -159,8 +159,8 @@
 
   @Test
   void givenOrdersThatWaitBehindAWrite_whenItCommits_thenEachIsJudgedAnewAfterIt() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(27, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(27, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     List<AtomicReference<CoreAction.AnswerOperator>> answers = new ArrayList<>();
     answers.add(operator.send(owner, "PUT", "0", "3 first"));
@@ -179,8 +179,8 @@
 
   @Test
   void givenEightLargeOrdersAtOnce_whenRepeatedForAHundredChanges_thenOneIsTakenEachTime() {
-    SimulatedCluster cluster = OperatorCalls.settledCluster(28, 3);
-    OperatorCalls operator = new OperatorCalls(cluster);
+    SimulatedCluster cluster = OperatorClient.settledCluster(28, 3);
+    OperatorClient operator = new OperatorClient(cluster);
     String text = "x".repeat(100_000);
     for (long edition = 1; edition <= 100; edition++) {
       List<AtomicReference<CoreAction.AnswerOperator>> answers = new ArrayList<>();
--- a/control/src/test/java/nettletrail/control/shard/OrderRouterTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorRequestRouterTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which answer belongs to which call that was passed to another core process. */
-class OrderRouterTest {
+class OperatorRequestRouterTest {
   private static final String SELF = "10.0.0.1:7000";
   private static final String OWNER = "10.0.0.2:7000";
   private static final String NEXT_OWNER = "10.0.0.3:7000";
@@ -17,15 +17,16 @@
   private static final long EDITION = 5;
 
   private final ShardSettings settings = ShardSettings.defaults();
-  private final Outbox outbox = new Outbox(SELF);
-  private final OrderRouter router = new OrderRouter(settings, outbox, 100);
+  private final ActionQueue actionQueue = new ActionQueue(SELF);
+  private final OperatorRequestRouter router =
+      new OperatorRequestRouter(settings, actionQueue, 100);
 
   @Test
   void givenCallsInHand_whenAnswersCross_thenEachGoesToItsCall() {
     long first = forward(1, OWNER);
     long second = forward(2, OWNER);
-    router.onReply(OWNER, OrderReplies.taken(second, EDITION), CoreAction.ALWAYS);
-    router.onReply(OWNER, OrderReplies.unavailable(first, ""), CoreAction.ALWAYS);
+    router.onReply(OWNER, OperatorResponses.applied(second, EDITION), CoreAction.ALWAYS);
+    router.onReply(OWNER, OperatorResponses.unavailable(first, ""), CoreAction.ALWAYS);
     List<CoreAction.AnswerOperator> answers = answers();
     assertEquals(List.of(2L, 1L), answers.stream().map(CoreAction.AnswerOperator::call).toList());
     assertEquals(
@@ -35,24 +36,24 @@
   @Test
   void givenACall_whenAnotherProcessAnswersUnderItsNumber_thenThatIsLeft() {
     long number = forward(1, OWNER);
-    router.onReply(NEXT_OWNER, OrderReplies.taken(number, EDITION), CoreAction.ALWAYS);
+    router.onReply(NEXT_OWNER, OperatorResponses.applied(number, EDITION), CoreAction.ALWAYS);
     assertTrue(answers().isEmpty());
-    router.onReply(OWNER, OrderReplies.taken(number, EDITION), CoreAction.ALWAYS);
+    router.onReply(OWNER, OperatorResponses.applied(number, EDITION), CoreAction.ALWAYS);
     assertEquals(1, answers().size());
   }
 
   @Test
   void givenACallPassedOnAgain_whenTheFormerOwnerAnswersToo_thenOnlyTheNewOneCounts() {
     long number = forward(1, OWNER);
-    router.onReply(OWNER, OrderReplies.notOwner(number), CoreAction.ALWAYS);
+    router.onReply(OWNER, OperatorResponses.notOwner(number), CoreAction.ALWAYS);
     router.tick(NEXT_OWNER, 1);
     assertEquals(number, forwarded(NEXT_OWNER).getCall());
     router.onReply(
         OWNER,
-        OrderReplies.refused(number, OrderReplies.PRECONDITION_FAILED, EDITION, ""),
+        OperatorResponses.rejected(number, OperatorResponses.PRECONDITION_FAILED, EDITION, ""),
         CoreAction.ALWAYS);
     assertTrue(answers().isEmpty());
-    router.onReply(NEXT_OWNER, OrderReplies.taken(number, EDITION), CoreAction.ALWAYS);
+    router.onReply(NEXT_OWNER, OperatorResponses.applied(number, EDITION), CoreAction.ALWAYS);
     assertEquals(200, answers().get(0).status());
   }
 
@@ -62,19 +63,19 @@
     router.tick(OWNER, settings.requestTimeout());
     assertEquals(503, answers().get(0).status());
     long next = forward(2, OWNER);
-    router.onReply(OWNER, OrderReplies.taken(number, EDITION), CoreAction.ALWAYS);
+    router.onReply(OWNER, OperatorResponses.applied(number, EDITION), CoreAction.ALWAYS);
     assertTrue(answers().isEmpty());
-    router.onReply(OWNER, OrderReplies.taken(next, EDITION), CoreAction.ALWAYS);
+    router.onReply(OWNER, OperatorResponses.applied(next, EDITION), CoreAction.ALWAYS);
     assertEquals(2, answers().get(0).call());
   }
 
   @Test
   void givenARestart_whenAnAnswerOfTheFormerLifeComes_thenItsNumberIsNobodys() {
-    OrderRouter former = new OrderRouter(settings, outbox, 1 << 20);
+    OperatorRequestRouter former = new OperatorRequestRouter(settings, actionQueue, 1 << 20);
     former.submit(1, "PUT", "3", BODY, OWNER, 0);
     long late = forwarded(OWNER).getCall();
     forward(1, OWNER);
-    router.onReply(OWNER, OrderReplies.taken(late, EDITION), CoreAction.ALWAYS);
+    router.onReply(OWNER, OperatorResponses.applied(late, EDITION), CoreAction.ALWAYS);
     assertTrue(answers().isEmpty());
   }
 
@@ -85,7 +86,7 @@
 
   /** The one order that was passed on, to that process. */
   private OrderForward forwarded(String owner) {
-    List<CoreAction> actions = outbox.drain();
+    List<CoreAction> actions = actionQueue.drain();
     assertEquals(1, actions.size());
     CoreAction.Send send = (CoreAction.Send) actions.get(0);
     assertEquals(owner, send.address());
@@ -94,7 +95,7 @@
 
   private List<CoreAction.AnswerOperator> answers() {
     List<CoreAction.AnswerOperator> answers = new ArrayList<>();
-    outbox.drain().forEach(action -> answers.add((CoreAction.AnswerOperator) action));
+    actionQueue.drain().forEach(action -> answers.add((CoreAction.AnswerOperator) action));
     return answers;
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/OwnerFencingTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OwnerFencingTest.java
@@ -101,7 +101,7 @@
     process.now += ShardSettings.defaults().requestTimeout();
     process.receive(
         ScriptedOwner.PEER,
-        OrderReplies.refused(order.getCall(), PRECONDITION_FAILED, 3, "another edition"));
+        OperatorResponses.rejected(order.getCall(), PRECONDITION_FAILED, 3, "another edition"));
     assertTrue(process.answer(call).validUntil() <= process.now);
   }
 
@@ -127,7 +127,8 @@
     OrderForward order = new OrderForward(1L, "PUT", "3", ByteBuffer.wrap(json));
     ConfigurationState state =
         ConfigurationState.decode(before.getValue())
-            .after(new ConfigurationRules.CheckedDocument(5, json), OrderHistory.digest(order, 3));
+            .after(
+                new ConfigurationRules.CheckedDocument(5, json), AppliedChanges.digest(order, 3));
     return new VersionReply(
         CoreShards.CONFIGURATION_SHARD,
         new ShardVersion(
--- a/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
@@ -196,7 +196,7 @@
         ifMatch,
         body,
         answer -> {
-          assertEquals(OrderReplies.OK, answer.status());
+          assertEquals(OperatorResponses.OK, answer.status());
           sendNext(cluster, owner, last);
         });
   }
@@ -274,7 +274,7 @@
           "0",
           body,
           answer -> {
-            if (answer.status() == OrderReplies.OK) {
+            if (answer.status() == OperatorResponses.OK) {
               acknowledged.add(answer);
             }
           });
--- a/control/src/test/java/nettletrail/control/shard/SimulatedOperator.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedOperator.java
@@ -67,7 +67,7 @@
 
   private void onChangeAnswer(
       long sentRound, long ifMatch, String document, CoreAction.AnswerOperator answer) {
-    if (answer.status() == OrderReplies.OK) {
+    if (answer.status() == OperatorResponses.OK) {
       invariants.onAcknowledged(ifMatch, Long.parseLong(answer.edition()), document);
     } else if (answer.status() < 500) {
       invariants.onRefused(document);
@@ -76,7 +76,7 @@
       return;
     }
     round++;
-    if (answer.status() == OrderReplies.OK) {
+    if (answer.status() == OperatorResponses.OK) {
       current = Math.max(current, Long.parseLong(answer.edition()));
       pause(this::nextChange);
     } else if (answer.status() < 500) {
@@ -106,7 +106,7 @@
             return;
           }
           round++;
-          if (answer.status() == OrderReplies.OK) {
+          if (answer.status() == OperatorResponses.OK) {
             current = Long.parseLong(answer.edition());
           }
           pause(answer.status() < 500 ? this::nextChange : this::readCurrent);
