--- a/control/src/main/java/nettletrail/control/shard/Acceptor.java
+++ b/control/src/main/java/nettletrail/control/shard/Acceptor.java
@@ -1,5 +1,6 @@
 package nettletrail.control.shard;
 
+import java.util.List;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.AcceptReply;
 import nettletrail.protocol.Member;
@@ -76,6 +77,11 @@
     return accepted;
   }
 
+  /** The group that the newest durable version names; empty where there is none. */
+  ReplicaGroup group() {
+    return new ReplicaGroup(accepted == null ? List.of() : accepted.getMembers());
+  }
+
   /**
    * True while it is bound to an owner other than the node given, or does not know whether it is.
    */
--- a/control/src/main/java/nettletrail/control/shard/CandidateState.java
+++ b/control/src/main/java/nettletrail/control/shard/CandidateState.java
@@ -14,35 +14,54 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * One candidacy for one shard: a PreVote round, which changes nothing, then a Prepare round. It is
- * won with promises of a majority of the group that the newest version among the answers names.
+ * A replica that runs an election: a pre-vote, which changes nothing at the voters, then phase 1 of
+ * Paxos under the same proposal number.
+ *
+ * <p>The election is won with promises of a majority of the group that the newest version among the
+ * replies names. A reply may name a newer version with a new group, whose members then have to be
+ * asked too.
  */
-final class CandidateState {
+final class CandidateState implements ReplicaState {
 
-  /** Which round is under way. */
+  /** The phase in progress. */
   enum Phase {
+    /** Asks voters whether they would promise, without any effect (Ongaro, 9.6). */
     PRE_VOTE,
+    /** Asks voters for promises (Paxos, phase 1). */
     PREPARE
   }
 
+  private final int shard;
   private final ProposalNumber proposal;
-  private long deadline;
   private final Set<String> grants = new HashSet<>();
-  private final Set<String> refusals = new HashSet<>();
-  private final Set<String> asked = new HashSet<>();
+  private final Set<String> rejections = new HashSet<>();
+  private final Set<String> requested = new HashSet<>();
   private Phase phase;
-  private ShardVersion newest;
+  private long deadline;
+  private ShardVersion newestVersion;
   private ProposalNumber highestSeen;
 
-  /** Starts from the newest version that the candidate itself accepted. */
-  CandidateState(Phase phase, ProposalNumber proposal, ShardVersion ownAccepted, long deadline) {
+  /**
+   * Starts an election.
+   *
+   * @param accepted the newest version that the candidate itself has accepted
+   * @param deadline when the first phase times out
+   */
+  CandidateState(
+      int shard, Phase phase, ProposalNumber proposal, ShardVersion accepted, long deadline) {
+    this.shard = shard;
     this.phase = phase;
     this.proposal = proposal;
-    this.newest = ownAccepted;
+    this.newestVersion = accepted;
     this.highestSeen = proposal;
     this.deadline = deadline;
   }
 
+  @Override
+  public String role() {
+    return "candidate";
+  }
+
   Phase phase() {
     return phase;
   }
@@ -51,79 +70,92 @@
     return proposal;
   }
 
-  long deadline() {
-    return deadline;
+  /** True if the phase in progress has timed out. */
+  boolean isExpired(long now) {
+    return now >= deadline;
   }
 
-  /** The highest ballot that any answer named. */
+  /** The highest proposal number that any reply named. */
   ProposalNumber highestSeen() {
     return highestSeen;
   }
 
-  /** The newest accepted version among the answers and the candidate's own. */
-  ShardVersion newest() {
-    return newest;
+  /** The newest accepted version among the replies and the candidate's own. */
+  ShardVersion newestVersion() {
+    return newestVersion;
   }
 
+  /** The group whose majority decides the election. */
   ReplicaGroup group() {
-    return new ReplicaGroup(newest.getMembers());
+    return new ReplicaGroup(newestVersion.getMembers());
   }
 
-  /** The members that were not asked in this phase; they count as asked from now on. */
-  List<Member> takeUnasked() {
-    List<Member> unasked = new ArrayList<>();
-    for (Member member : newest.getMembers()) {
-      if (asked.add(member.getId())) {
-        unasked.add(member);
+  /** Sends the request of the phase in progress to each member that has not got it yet. */
+  void sendRequests(ActionQueue actionQueue) {
+    for (Member member : addUnrequestedMembers()) {
+      actionQueue.send(member.getAddress(), request(member));
+    }
+  }
+
+  private List<Member> addUnrequestedMembers() {
+    List<Member> unrequested = new ArrayList<>();
+    for (Member member : newestVersion.getMembers()) {
+      if (requested.add(member.getId())) {
+        unrequested.add(member);
       }
     }
-    return unasked;
+    return unrequested;
   }
 
-  /** What a member is asked in this phase. */
-  SpecificRecord request(int shard, Member member) {
+  private SpecificRecord request(Member member) {
     return phase == Phase.PRE_VOTE
         ? new PreVote(shard, member.getId(), proposal)
         : new Prepare(shard, member.getId(), proposal);
   }
 
+  /** Counts a reply if it belongs to the pre-vote in progress. */
   void onPreVoteReply(PreVoteReply reply) {
     highestSeen = ProposalNumbers.max(highestSeen, reply.getPromised());
     if (phase == Phase.PRE_VOTE && reply.getProposal().equals(proposal)) {
-      (reply.getGranted() ? grants : refusals).add(reply.getSender());
+      countVote(reply.getSender(), reply.getGranted());
     }
   }
 
+  /** Counts a reply if it belongs to the prepare phase in progress. */
   void onPrepareReply(PrepareReply reply) {
     highestSeen = ProposalNumbers.max(highestSeen, reply.getPromised());
     if (phase != Phase.PREPARE || !reply.getProposal().equals(proposal)) {
       return;
     }
-    (reply.getGranted() ? grants : refusals).add(reply.getSender());
-    if (reply.getGranted() && VersionStamp.compare(reply.getAccepted(), newest) > 0) {
-      newest = reply.getAccepted();
+    countVote(reply.getSender(), reply.getGranted());
+    if (reply.getGranted() && VersionStamp.compare(reply.getAccepted(), newestVersion) > 0) {
+      newestVersion = reply.getAccepted();
     }
   }
 
-  /** True when a majority granted the phase under way. */
+  private void countVote(String sender, boolean granted) {
+    (granted ? grants : rejections).add(sender);
+  }
+
+  /** True if a majority has granted the phase in progress. */
   boolean hasMajority() {
     return group().hasMajority(grants);
   }
 
-  /** True when those that did not refuse are no majority any more. */
+  /** True if the members that have not rejected the request are no majority any more. */
   boolean isLost() {
-    Set<String> open = new HashSet<>();
-    newest.getMembers().forEach(member -> open.add(member.getId()));
-    open.removeAll(refusals);
-    return !group().hasMajority(open);
+    Set<String> remaining = new HashSet<>();
+    newestVersion.getMembers().forEach(member -> remaining.add(member.getId()));
+    remaining.removeAll(rejections);
+    return !group().hasMajority(remaining);
   }
 
-  /** Goes from PreVote to Prepare, which has a deadline of its own. */
+  /** Goes from pre-vote to prepare, which has its own deadline. */
   void startPrepare(long deadline) {
     this.deadline = deadline;
     phase = Phase.PREPARE;
     grants.clear();
-    refusals.clear();
-    asked.clear();
+    rejections.clear();
+    requested.clear();
   }
 }
--- a/control/src/main/java/nettletrail/control/shard/CoreShards.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreShards.java
@@ -393,7 +393,7 @@
   private void sendRequestedHeartbeats(long now) {
     List<ShardReplica> requested = new ArrayList<>();
     for (ShardReplica replica : replicas) {
-      if (replica.takeHeartbeatRequest()) {
+      if (replica.pollHeartbeatRequest()) {
         requested.add(replica);
       }
     }
--- a/control/src/main/java/nettletrail/control/shard/OwnerState.java
+++ b/control/src/main/java/nettletrail/control/shard/OwnerState.java
@@ -1,7 +1,6 @@
 package nettletrail.control.shard;
 
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -16,47 +15,30 @@
 import nettletrail.protocol.ShardVersion;
 
 /**
- * The owner's half of a replica, for as long as it writes under one ballot: first it writes again
- * the version that its election found, then one new version at a time. A version is committed once
- * a majority of the group that it names has it durably.
+ * A replica that owns its shard, for as long as it writes under one proposal number (phase 2 of
+ * Paxos). It first writes the version that its election found again, then one new version at a
+ * time. A version is committed once a majority of the group that it names has it durably.
  *
- * <p>The lease holds until the majority-th latest grant, counted from before it was asked, plus the
- * lease, less the margin. While a change of the group is in flight, both groups must grant.
+ * <p>The owner's lease runs from the latest instant at which heartbeats were sent that a majority
+ * has granted, for the length of a lease less a margin for clock drift. While a change of the group
+ * is in flight, majorities of both groups must have granted.
  */
-final class OwnerState implements MemberContacts {
+final class OwnerState implements ReplicaState, MemberContacts {
 
-  /** The committed sequence that is told before anything is committed under the ballot. */
+  /** The committed sequence in heartbeats before anything is committed under the proposal. */
   static final long NO_COMMITTED_SEQUENCE = -1;
 
-  /** What the owner knows of one member. */
-  private static final class Progress {
-    long grantRequestedAt = ReplicaGroup.NEVER;
-    long lastContactAt;
-    boolean hasContact;
-    final VersionTransfer transfer;
-
-    Progress(long lastContactAt, ShardSettings settings) {
-      this.lastContactAt = lastContactAt;
-      this.transfer = new VersionTransfer(settings);
-    }
-
-    void heard(long at) {
-      lastContactAt = at;
-      hasContact = true;
-    }
-  }
-
   private final int shard;
   private final ProposalNumber proposal;
   private final ShardSettings settings;
   private final ActionQueue actionQueue;
   private final long startedAt;
-  private final Map<String, Progress> progressOf = new HashMap<>();
+  private final Map<String, MemberProgress> progressByMember = new HashMap<>();
   private final Set<String> acknowledged = new HashSet<>();
   private ShardVersion committed;
-  private ShardVersion inFlightVersion;
+  private ShardVersion inFlight;
 
-  /** Begins by writing the version found by the election again, under the own ballot. */
+  /** Starts to write the version that the election found again, under the new proposal number. */
   OwnerState(
       int shard,
       ProposalNumber proposal,
@@ -69,193 +51,200 @@
     this.settings = settings;
     this.actionQueue = actionQueue;
     this.startedAt = now;
-    propose(found.getSequence(), found, new ReplicaGroup(found.getMembers()), now);
+    propose(found.getSequence(), found.getValue(), new ReplicaGroup(found.getMembers()), now);
+  }
+
+  @Override
+  public String role() {
+    return "owner";
+  }
+
+  @Override
+  public ProposalNumber fencingToken() {
+    return proposal;
+  }
+
+  @Override
+  public boolean holdsLease(long now) {
+    return committed != null && now < leaseUntil();
   }
 
   ProposalNumber proposal() {
     return proposal;
   }
 
-  /** The newest version committed under the own ballot, or null. */
+  /** The newest version committed under the own proposal number, or null. */
   ShardVersion committed() {
     return committed;
   }
 
-  /** The version in flight, or null. */
-  ShardVersion inFlightVersion() {
-    return inFlightVersion;
+  /** The group of the newest committed version; only if there is one. */
+  ReplicaGroup committedGroup() {
+    return new ReplicaGroup(committed.getMembers());
   }
 
-  /** True when something was committed under the own ballot and no write is in flight. */
-  boolean settled() {
-    return committed != null && inFlightVersion == null;
+  /** True if a version was committed under the own proposal number and no write is in flight. */
+  boolean isReadyToWrite() {
+    return committed != null && inFlight == null;
   }
 
-  /** The newest version, committed or in flight. */
-  ShardVersion newest() {
-    return inFlightVersion != null ? inFlightVersion : committed;
+  /** The members of the newest group, committed or in flight. */
+  List<Member> members() {
+    return newestVersion().getMembers();
   }
 
-  /** The members of the newest group. */
-  List<Member> members() {
-    return newest().getMembers();
+  private ShardVersion newestVersion() {
+    return inFlight != null ? inFlight : committed;
   }
 
-  /** Writes a new version; only when {@link #settled}. */
+  // Writes
+
+  /** Writes a new version and returns it; only if {@link #isReadyToWrite}. */
   ShardVersion write(ByteBuffer value, ReplicaGroup group, long now) {
-    if (!settled()) {
+    if (!isReadyToWrite()) {
       throw new IllegalStateException("a write is in flight");
     }
-    startTrackingJoiners(group, now);
-    ShardVersion changed =
-        new ShardVersion(proposal, committed.getSequence(), group.members(), value);
-    propose(committed.getSequence() + 1, changed, group, now);
-    return inFlightVersion;
+    resetProgressOfJoiners(group, now);
+    propose(committed.getSequence() + 1, value, group, now);
+    return inFlight;
   }
 
   /**
-   * A member that is new to the group has just asked to join. Nothing older counts: neither the
-   * start of the ownership as the last time that it was heard of, nor what an earlier membership
-   * left.
+   * A member that is new to the group has just asked to join, which counts as contact. Progress
+   * that an earlier membership of it has left doesn't count.
    */
-  private void startTrackingJoiners(ReplicaGroup group, long now) {
-    ReplicaGroup before = new ReplicaGroup(committed.getMembers());
+  private void resetProgressOfJoiners(ReplicaGroup group, long now) {
+    ReplicaGroup before = committedGroup();
     for (Member member : group.members()) {
       if (!before.contains(member.getId())) {
-        progressOf.remove(member.getId());
-        progress(member.getId()).heard(now);
+        progressByMember.remove(member.getId());
+        progress(member.getId()).onContact(now);
       }
     }
   }
 
-  private void propose(long sequence, ShardVersion from, ReplicaGroup group, long now) {
-    inFlightVersion = new ShardVersion(proposal, sequence, group.members(), from.getValue());
+  private void propose(long sequence, ByteBuffer value, ReplicaGroup group, long now) {
+    inFlight = new ShardVersion(proposal, sequence, group.members(), value);
     acknowledged.clear();
     for (Member member : group.members()) {
-      if (!progress(member.getId()).transfer.isInFlight()) {
-        sendVersion(member, now);
+      if (!progress(member.getId()).transfer().isInFlight()) {
+        sendNewestVersion(member, now);
       }
     }
   }
 
-  private void sendVersion(Member member, long now) {
-    progress(member.getId()).transfer.start(VersionStamp.of(newest()), now);
-    actionQueue.send(member.getAddress(), new Accept(shard, member.getId(), proposal, newest()));
+  private void sendNewestVersion(Member member, long now) {
+    ShardVersion version = newestVersion();
+    progress(member.getId()).transfer().start(VersionStamp.of(version), now);
+    actionQueue.send(member.getAddress(), new Accept(shard, member.getId(), proposal, version));
   }
 
-  /** Returns true if this committed the version in flight. */
+  /** Takes a member's vote for a version; true if this committed the version in flight. */
   boolean onAcceptReply(AcceptReply reply, long now) {
-    Progress progress = progress(reply.getSender());
-    progress.heard(now);
+    MemberProgress progress = progress(reply.getSender());
+    progress.onContact(now);
     if (!reply.getAccepted()) {
       return false;
     }
-    VersionStamp held = new VersionStamp(reply.getProposal(), reply.getSequence());
-    progress.transfer.onAcknowledged(held);
-    boolean behind = isBehind(reply.getSender(), held);
-    if (behind && !progress.transfer.isInFlight()) {
-      sendVersion(member(reply.getSender()), now);
+    VersionStamp stored = new VersionStamp(reply.getProposal(), reply.getSequence());
+    progress.transfer().onAcknowledged(stored);
+    if (isBehind(reply.getSender(), stored) && !progress.transfer().isInFlight()) {
+      sendNewestVersion(member(reply.getSender()), now);
     }
-    return acknowledge(reply.getSender(), held);
+    return acknowledge(reply.getSender(), stored);
   }
 
-  /** Returns true if this committed the version in flight. */
-  boolean onHeartbeatReply(String sender, long askedAt, ShardHeartbeatReply reply, long now) {
-    Progress progress = progress(sender);
-    progress.heard(now);
+  /**
+   * Takes a member's answer to a heartbeat; true if this committed the version in flight.
+   *
+   * @param sentAt when this process sent the heartbeat
+   */
+  boolean onHeartbeatReply(String sender, long sentAt, ShardHeartbeatReply reply, long now) {
+    MemberProgress progress = progress(sender);
+    progress.onContact(now);
     if (!reply.getGranted()) {
       return false;
     }
-    progress.grantRequestedAt = Math.max(progress.grantRequestedAt, askedAt);
-    VersionStamp held = new VersionStamp(reply.getAcceptedProposal(), reply.getAcceptedSequence());
-    progress.transfer.onAcknowledged(held);
-    if (isBehind(sender, held) && progress.transfer.isDue(askedAt, now)) {
-      sendVersion(member(sender), now);
+    progress.onGrant(sentAt);
+    VersionStamp stored =
+        new VersionStamp(reply.getAcceptedProposal(), reply.getAcceptedSequence());
+    progress.transfer().onAcknowledged(stored);
+    if (isBehind(sender, stored) && progress.transfer().isDue(sentAt, now)) {
+      sendNewestVersion(member(sender), now);
     }
-    return acknowledge(sender, held);
+    return acknowledge(sender, stored);
   }
 
-  /** True for a member of the newest group that holds less than the newest version. */
-  private boolean isBehind(String id, VersionStamp held) {
-    return member(id) != null && held.compareTo(VersionStamp.of(newest())) < 0;
+  /** True for a member of the newest group that has stored less than the newest version. */
+  private boolean isBehind(String id, VersionStamp stored) {
+    return member(id) != null && stored.compareTo(VersionStamp.of(newestVersion())) < 0;
   }
 
   private Member member(String id) {
     return new ReplicaGroup(members()).find(id);
   }
 
-  private boolean acknowledge(String sender, VersionStamp held) {
-    if (inFlightVersion == null || !VersionStamp.of(inFlightVersion).equals(held)) {
+  private boolean acknowledge(String sender, VersionStamp stored) {
+    if (inFlight == null || !VersionStamp.of(inFlight).equals(stored)) {
       return false;
     }
     acknowledged.add(sender);
-    if (!new ReplicaGroup(inFlightVersion.getMembers()).hasMajority(acknowledged)) {
+    if (!new ReplicaGroup(inFlight.getMembers()).hasMajority(acknowledged)) {
       return false;
     }
-    committed = inFlightVersion;
-    inFlightVersion = null;
+    committed = inFlight;
+    inFlight = null;
     return true;
   }
 
-  /**
-   * Tells when the former owner was last heard of, which the silence of a member is counted from.
-   */
-  void recordFormerOwnerContact(String id, long lastContactAt) {
-    progress(id).heard(lastContactAt);
-  }
+  // Lease
 
-  /**
-   * The instant up to which no other replica can own the shard; {@link ReplicaGroup#NEVER} if it
-   * holds no lease.
-   */
+  /** The instant until which no other replica can own the shard; NEVER if it holds no lease. */
   long leaseUntil() {
-    long askedAt = leaseRequestedAt(newest());
-    if (inFlightVersion != null && committed != null) {
-      askedAt = Math.min(askedAt, leaseRequestedAt(committed));
+    long requestedAt = majorityGrantRequestedAt(newestVersion());
+    if (inFlight != null && committed != null) {
+      requestedAt = Math.min(requestedAt, majorityGrantRequestedAt(committed));
     }
-    if (askedAt == ReplicaGroup.NEVER) {
+    if (requestedAt == ReplicaGroup.NEVER) {
       return ReplicaGroup.NEVER;
     }
-    return askedAt + settings.lease() - settings.leaseMargin();
+    return requestedAt + settings.lease() - settings.leaseMargin();
   }
 
-  private long leaseRequestedAt(ShardVersion version) {
+  private long majorityGrantRequestedAt(ShardVersion version) {
     return new ReplicaGroup(version.getMembers())
         .majorityInstant(member -> grantRequestedAt(member.getId()));
   }
 
+  /** This shard's part of a heartbeat to one member. */
+  ShardHeartbeat heartbeat(Member member) {
+    long sequence = committed == null ? NO_COMMITTED_SEQUENCE : committed.getSequence();
+    return new ShardHeartbeat(shard, member.getId(), proposal, sequence);
+  }
+
+  // Contacts
+
+  /** The former owner was last seen at that instant, before this replica became the owner. */
+  void recordFormerOwnerContact(String id, long lastSeenAt) {
+    progress(id).onContact(lastSeenAt);
+  }
+
   @Override
   public long lastContactAt(String id) {
-    return progress(id).lastContactAt;
+    return progress(id).lastContactAt();
   }
 
   @Override
   public boolean hasContact(String id) {
-    return progress(id).hasContact;
+    return progress(id).hasContact();
   }
 
   @Override
   public long grantRequestedAt(String id) {
-    return progress(id).grantRequestedAt;
-  }
-
-  /** This shard's part of a heartbeat, for one member. */
-  ShardHeartbeat heartbeat(Member member) {
-    long sequence = committed == null ? NO_COMMITTED_SEQUENCE : committed.getSequence();
-    return new ShardHeartbeat(shard, member.getId(), proposal, sequence);
+    return progress(id).grantRequestedAt();
   }
 
-  /** The members that heartbeats go to. */
-  List<Member> heartbeatTargets() {
-    return new ArrayList<>(members());
-  }
-
-  private Progress progress(String id) {
-    Progress progress = progressOf.get(id);
-    if (progress == null) {
-      progress = new Progress(startedAt, settings);
-      progressOf.put(id, progress);
-    }
-    return progress;
+  private MemberProgress progress(String id) {
+    return progressByMember.computeIfAbsent(id, key -> new MemberProgress(startedAt, settings));
   }
 }
--- a/control/src/main/java/nettletrail/control/shard/ShardReplica.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardReplica.java
@@ -1,6 +1,5 @@
 package nettletrail.control.shard;
 
-import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.SplittableRandom;
 import nettletrail.protocol.Accept;
@@ -18,34 +17,25 @@
 import nettletrail.store.StoredShard;
 
 /**
- * One process' part in one shard: voter, candidate and owner.
- *
- * <p>States: follower (neither election nor ownership), candidate, owner. A follower that has heard
- * no owner for a lease, plus a stagger by its rank for the shard, becomes a candidate; a candidate
- * that finds a majority becomes owner; an owner that meets a higher ballot prepares anew if its
- * lease still runs, else it becomes a follower.
+ * This process' replica of one shard. Routes the shard's messages to the {@link Acceptor}, which
+ * votes, and to the {@link ReplicaStateMachine}, which proposes; knows the newest committed
+ * version.
  */
 final class ShardReplica {
 
-  private final int shard;
   private final Member self;
   private final ShardSettings settings;
-  private final ActionQueue actionQueue;
   private final Acceptor acceptor;
-  private final GroupChanges groupChanges;
-  private final ElectionTimer electionTimer;
-
-  private CandidateState election;
-  private OwnerState ownership;
-  private ShardVersion knownCommitted;
-  private ProposalNumber highestSeen = ProposalNumbers.ZERO;
-  private String ownerId = "";
-  private long ownerLastSeenAt;
-  private boolean heartbeatRequested;
-  private boolean released;
-  private long bootstrapWaitUntil = Long.MIN_VALUE;
-
-  /** Starts as a follower; promisesFrom is the instant before which it promises nothing. */
+  private final ReplicaStateMachine stateMachine;
+  private final OwnerWrites ownerWrites;
+  private ShardVersion committed;
+
+  /**
+   * Starts as a follower.
+   *
+   * @param stored the replica's state on disk
+   * @param votingStartsAt before this instant the replica promises nothing
+   */
   ShardReplica(
       int shard,
       Member self,
@@ -54,44 +44,43 @@
       ActionQueue actionQueue,
       SplittableRandom random,
       long votingStartsAt) {
-    this.shard = shard;
     this.self = self;
     this.settings = settings;
-    this.actionQueue = actionQueue;
     this.acceptor = new Acceptor(shard, self, settings, stored, actionQueue, votingStartsAt);
-    this.groupChanges = new GroupChanges(settings);
-    this.electionTimer = new ElectionTimer(shard, self.getAddress(), settings, random);
-    this.ownerLastSeenAt = votingStartsAt - settings.lease();
-    electionTimer.postpone(group(), votingStartsAt);
+    ElectionTimer electionTimer = new ElectionTimer(shard, self.getAddress(), settings, random);
+    this.stateMachine =
+        new ReplicaStateMachine(
+            shard, self, settings, actionQueue, acceptor, electionTimer, votingStartsAt);
+    this.ownerWrites = new OwnerWrites(stateMachine, self, settings);
   }
 
-  /** Gives the replica the version that the whole system starts from. */
+  /** Accepts the version that the system starts from, at the first start of the system. */
   void bootstrap(ShardVersion initial, long now) {
     acceptor.bootstrap(initial);
-    electionTimer.postpone(group(), now);
-    bootstrapWaitUntil = now + settings.bootstrapWait();
+    stateMachine.onBootstrap(now);
+    ownerWrites.awaitFullGroup(now);
   }
 
   // Views
 
-  /** True while this process holds the owner's lease and has committed under its ballot. */
+  /** True while this process holds the owner's lease and has committed a version under it. */
   boolean owns(long now) {
-    return ownership != null && ownership.committed() != null && now < ownership.leaseUntil();
+    return stateMachine.state().holdsLease(now);
   }
 
-  /** The fencing token: the own ballot, or null when this process is not the owner. */
+  /** The fencing token, or null if this process is not the owner. */
   ProposalNumber token() {
-    return ownership == null ? null : ownership.proposal();
+    return stateMachine.state().fencingToken();
   }
 
   /** The end of the lease; only while {@link #owns}. */
   long leaseUntil() {
-    return ownership.leaseUntil();
+    return stateMachine.owner().leaseUntil();
   }
 
   /** How long the lease as owner still runs, in nanoseconds; 0 if there is none. */
   long leaseLeft(long now) {
-    return owns(now) ? ownership.leaseUntil() - now : 0;
+    return owns(now) ? leaseUntil() - now : 0;
   }
 
   /** The owner's address as far as known, else empty. */
@@ -99,20 +88,20 @@
     if (owns(now)) {
       return self.getAddress();
     }
-    boolean fresh = now - ownerLastSeenAt <= settings.lease();
-    Member owner = fresh ? group().find(ownerId) : null;
-    return owner == null || ownerId.equals(self.getId()) ? "" : owner.getAddress();
+    OwnerContact contact = stateMachine.ownerContact();
+    boolean recent = now - contact.lastSeenAt() <= settings.lease();
+    Member owner = recent ? group().find(contact.ownerId()) : null;
+    return owner == null || owner.getId().equals(self.getId()) ? "" : owner.getAddress();
   }
 
   /** When an owner's heartbeat was last granted. */
   long ownerLastSeenAt() {
-    return ownerLastSeenAt;
+    return stateMachine.ownerContact().lastSeenAt();
   }
 
   /** The group that the newest accepted version names; empty where there is none. */
   ReplicaGroup group() {
-    ShardVersion accepted = acceptor.accepted();
-    return new ReplicaGroup(accepted == null ? List.of() : accepted.getMembers());
+    return acceptor.group();
   }
 
   /** The newest durable version here, or null. */
@@ -122,41 +111,36 @@
 
   /** The newest version that is known to be committed, or null. */
   ShardVersion committed() {
-    return knownCommitted;
-  }
-
-  /**
-   * True when the owner may write a value: its lease holds, no write is in flight, and the group is
-   * large enough. After the first start of the whole system a group that is still to grow is waited
-   * for, but not for long: there may be fewer machines.
-   */
-  boolean writable(long now) {
-    return settled(now) && (now >= bootstrapWaitUntil || hasFullGroup());
+    return committed;
   }
 
-  private boolean hasFullGroup() {
-    return ownership.committed().getMembers().size() >= settings.fullGroup();
-  }
-
-  private boolean settled(long now) {
-    return owns(now) && ownership.settled();
+  /** A one-line description of the state, for tests and logs. */
+  String describe(long now) {
+    ShardVersion accepted = acceptor.accepted();
+    return stateMachine.state().role()
+        + (owns(now) ? " with lease" : "")
+        + ", accepted "
+        + (accepted == null ? "nothing" : VersionStamp.of(accepted))
+        + ", promised "
+        + acceptor.promised()
+        + ", group "
+        + group().members().stream().map(Member::getId).toList();
   }
 
-  // The owner's writes
+  // Time and storage
 
-  /** Writes a value as the next version; only while {@link #writable}. */
-  ShardVersion write(byte[] value, long now) {
-    ReplicaGroup group = new ReplicaGroup(ownership.committed().getMembers());
-    return ownership.write(ByteBuffer.wrap(value), group, now);
+  /** Ends and starts elections that are due, and changes the group where it should. */
+  void tick(long now) {
+    stateMachine.tick(now);
+    ownerWrites.changeGroup(now);
   }
 
-  void onJoinRequest(Member joiner, long now) {
-    if (ownership != null) {
-      groupChanges.onJoinRequest(joiner, now);
-    }
+  /** Takes the outcome of a storage operation; false if the ticket belongs to another replica. */
+  boolean onStored(long ticket, StoreOutcome outcome) {
+    return acceptor.onStored(ticket, outcome);
   }
 
-  // Voting
+  // Requests of other processes; each names the identity that it is meant for
 
   void onPreVote(String address, PreVote request, long now) {
     if (isForSelf(request.getRecipient())) {
@@ -166,35 +150,31 @@
 
   void onPrepare(String address, Prepare request, long now) {
     if (isForSelf(request.getRecipient()) && acceptor.onPrepare(address, request, now)) {
-      electionTimer.deferToCandidate(group(), now);
-      deposeBy(request.getProposal(), now);
+      stateMachine.onPromised(request.getProposal(), now);
     }
   }
 
   void onAccept(String address, Accept request, long now) {
     if (isForSelf(request.getRecipient())) {
       acceptor.onAccept(address, request);
-      deposeBy(request.getProposal(), now);
+      stateMachine.onProposalSeen(request.getProposal(), now);
     }
   }
 
-  /** Answers a heartbeat, or null if it is meant for another identity. */
+  /** Answers a heartbeat, or returns null if it is meant for another identity. */
   ShardHeartbeatReply onHeartbeat(ShardHeartbeat heartbeat, long now) {
     if (!isForSelf(heartbeat.getRecipient())) {
       return null;
     }
     ShardHeartbeatReply reply = acceptor.onHeartbeat(heartbeat, now);
     if (reply.getGranted()) {
-      onOwnerContact(heartbeat, now);
+      stateMachine.onOwnerHeartbeat(heartbeat.getProposal(), now);
+      learnCommittedFrom(heartbeat);
     }
     return reply;
   }
 
-  private void onOwnerContact(ShardHeartbeat heartbeat, long now) {
-    ownerId = heartbeat.getProposal().getNode();
-    ownerLastSeenAt = now;
-    electionTimer.postpone(group(), now + settings.lease());
-    deposeBy(heartbeat.getProposal(), now);
+  private void learnCommittedFrom(ShardHeartbeat heartbeat) {
     ShardVersion accepted = acceptor.accepted();
     if (accepted != null
         && accepted.getProposal().equals(heartbeat.getProposal())
@@ -203,216 +183,97 @@
     }
   }
 
-  /** The owner ends in good order: another may be elected at once. */
   void onRelease(LeaseRelease release, long now) {
     if (isForSelf(release.getRecipient()) && acceptor.onRelease(release.getProposal(), now)) {
-      ownerId = "";
-      electionTimer.advance(group(), now);
-    }
-  }
-
-  /** Gives back the lease, if this process owns the shard, and stands for no election any more. */
-  void release() {
-    released = true;
-    election = null;
-    heartbeatRequested = false;
-    if (ownership == null) {
-      return;
-    }
-    for (Member member : ownership.members()) {
-      actionQueue.send(
-          member.getAddress(), new LeaseRelease(shard, member.getId(), ownership.proposal()));
+      stateMachine.onOwnerRelease(now);
     }
-    ownership = null;
   }
 
-  boolean onStored(long ticket, StoreOutcome outcome) {
-    return acceptor.onStored(ticket, outcome);
-  }
-
-  /** Takes a version that is committed, as learnt from any process. */
-  void learnCommitted(ShardVersion version) {
-    if (knownCommitted == null || version.getSequence() > knownCommitted.getSequence()) {
-      knownCommitted = version;
-    }
+  /** A process asks to join the group; only the owner takes note. */
+  void onJoinRequest(Member joiner, long now) {
+    ownerWrites.onJoinRequest(joiner, now);
   }
 
   private boolean isForSelf(String recipient) {
     return recipient.equals(self.getId());
   }
 
-  // Candidacy
-
-  /** Starts, ends and advances whatever is due. */
-  void tick(long now) {
-    if (election != null && now >= election.deadline()) {
-      endElection(now);
-    }
-    if (ownership != null) {
-      changeGroup(now);
-    } else if (election == null && electionTimer.isDue(now)) {
-      standForElection(now);
-    }
-  }
-
-  /** Tries again after a while that differs between candidates. */
-  private void endElection(long now) {
-    highestSeen = ProposalNumbers.max(highestSeen, election.highestSeen());
-    election = null;
-    electionTimer.retry(group(), now);
-  }
-
-  private void standForElection(long now) {
-    boolean eligible =
-        !released && group().contains(self.getId()) && !acceptor.isLeasedToOther(self.getId(), now);
-    if (!eligible) {
-      electionTimer.postpone(group(), now);
-      return;
-    }
-    startElection(CandidateState.Phase.PRE_VOTE, now);
-  }
-
-  private void startElection(CandidateState.Phase phase, long now) {
-    ProposalNumber above = ProposalNumbers.max(highestSeen, acceptor.promised());
-    ProposalNumber proposal = ProposalNumbers.next(above, self.getId());
-    election =
-        new CandidateState(phase, proposal, acceptor.accepted(), now + settings.electionTimeout());
-    askMembers();
-  }
-
-  private void askMembers() {
-    for (Member member : election.takeUnasked()) {
-      actionQueue.send(member.getAddress(), election.request(shard, member));
-    }
-  }
+  // Replies to this process
 
   void onPreVoteReply(PreVoteReply reply, long now) {
-    if (election == null) {
-      return;
-    }
-    election.onPreVoteReply(reply);
-    if (election.phase() == CandidateState.Phase.PRE_VOTE && election.hasMajority()) {
-      election.startPrepare(now + settings.electionTimeout());
-      askMembers();
-    } else if (election.isLost()) {
-      endElection(now);
-    }
+    stateMachine.onPreVoteReply(reply, now);
   }
 
   void onPrepareReply(PrepareReply reply, long now) {
-    if (election == null) {
-      return;
-    }
-    election.onPrepareReply(reply);
-    if (election.phase() != CandidateState.Phase.PREPARE) {
-      return;
-    }
-    askMembers();
-    if (election.hasMajority() && election.group().contains(self.getId())) {
-      takeOwnership(now);
-    } else if (election.isLost()) {
-      endElection(now);
-    }
-  }
-
-  private void takeOwnership(long now) {
-    ownership =
-        new OwnerState(shard, election.proposal(), election.newest(), settings, actionQueue, now);
-    if (!ownerId.isEmpty() && !ownerId.equals(self.getId())) {
-      ownership.recordFormerOwnerContact(ownerId, ownerLastSeenAt);
-    }
-    election = null;
-    heartbeatRequested = true;
+    stateMachine.onPrepareReply(reply, now);
   }
 
-  // Ownership
-
   void onAcceptReply(AcceptReply reply, long now) {
-    if (ownership == null) {
+    OwnerState owner = stateMachine.owner();
+    if (owner == null) {
       return;
     }
-    if (ownership.onAcceptReply(reply, now)) {
-      onCommit(now);
+    if (owner.onAcceptReply(reply, now)) {
+      onCommit(owner, now);
     }
-    deposeBy(reply.getPromised(), now);
+    stateMachine.onProposalSeen(reply.getPromised(), now);
   }
 
-  void onHeartbeatReply(String sender, long askedAt, ShardHeartbeatReply reply, long now) {
-    if (ownership == null) {
+  /** Takes the answer to a heartbeat that this process sent at that instant. */
+  void onHeartbeatReply(String sender, long sentAt, ShardHeartbeatReply reply, long now) {
+    OwnerState owner = stateMachine.owner();
+    if (owner == null) {
       return;
     }
-    if (ownership.onHeartbeatReply(sender, askedAt, reply, now)) {
-      onCommit(now);
+    if (owner.onHeartbeatReply(sender, sentAt, reply, now)) {
+      onCommit(owner, now);
     }
-    deposeBy(reply.getPromised(), now);
+    stateMachine.onProposalSeen(reply.getPromised(), now);
   }
 
-  /**
-   * A change of the group that is due goes before the next value, so that values can't delay it.
-   */
-  private void onCommit(long now) {
-    learnCommitted(ownership.committed());
-    heartbeatRequested = true;
-    changeGroup(now);
+  private void onCommit(OwnerState owner, long now) {
+    learnCommitted(owner.committed());
+    stateMachine.requestHeartbeat();
+    ownerWrites.changeGroup(now);
   }
 
-  /**
-   * Ends the ownership if a higher ballot is known; takes a new ballot at once while the lease
-   * still runs.
-   */
-  private void deposeBy(ProposalNumber proposal, long now) {
-    highestSeen = ProposalNumbers.max(highestSeen, proposal);
-    if (ownership == null || !ProposalNumbers.above(proposal, ownership.proposal())) {
-      return;
-    }
-    boolean leaseRuns = now < ownership.leaseUntil();
-    ownership = null;
-    heartbeatRequested = false;
-    if (leaseRuns) {
-      startElection(CandidateState.Phase.PREPARE, now);
-    } else {
-      electionTimer.postpone(group(), now + settings.electionStagger());
+  /** Takes a version that is committed, from whichever process it came. */
+  void learnCommitted(ShardVersion version) {
+    if (committed == null || version.getSequence() > committed.getSequence()) {
+      committed = version;
     }
   }
 
-  private void changeGroup(long now) {
-    if (!settled(now)) {
-      return;
-    }
-    ReplicaGroup current = new ReplicaGroup(ownership.committed().getMembers());
-    ReplicaGroup changed = groupChanges.next(current, self, ownership, now);
-    if (changed != null) {
-      ownership.write(ownership.committed().getValue(), changed, now);
-    }
+  // The owner's writes and heartbeats
+
+  /** True if the owner may write a value, see {@link OwnerWrites#isWritable}. */
+  boolean writable(long now) {
+    return ownerWrites.isWritable(now);
   }
 
-  /** The state in words, for tests and logs. */
-  String describe(long now) {
-    ShardVersion accepted = acceptor.accepted();
-    String role = ownership != null ? "owner" : election != null ? "candidate" : "follower";
-    return role
-        + (owns(now) ? " with lease" : "")
-        + ", accepted "
-        + (accepted == null ? "nothing" : VersionStamp.of(accepted))
-        + ", promised "
-        + acceptor.promised()
-        + ", group "
-        + group().members().stream().map(Member::getId).toList();
+  /** Writes a value as the next version; only while {@link #writable}. */
+  ShardVersion write(byte[] value, long now) {
+    return ownerWrites.write(value, now);
+  }
+
+  /** Releases the lease, if this process is the owner, and starts no election from now on. */
+  void release() {
+    stateMachine.release();
   }
 
-  /** The members that heartbeats go to; empty unless this process writes as owner. */
+  /** The members that heartbeats go to; empty unless this process is the owner. */
   List<Member> heartbeatTargets() {
-    return ownership == null ? List.of() : ownership.heartbeatTargets();
+    OwnerState owner = stateMachine.owner();
+    return owner == null ? List.of() : owner.members();
   }
 
+  /** This shard's part of a heartbeat to one of the {@link #heartbeatTargets}. */
   ShardHeartbeat heartbeat(Member member) {
-    return ownership.heartbeat(member);
+    return stateMachine.owner().heartbeat(member);
   }
 
-  /** True once after something that the members should hear at once. */
-  boolean takeHeartbeatRequest() {
-    boolean requested = heartbeatRequested;
-    heartbeatRequested = false;
-    return requested;
+  /** True, once, if members should get a heartbeat at once instead of in turn. */
+  boolean pollHeartbeatRequest() {
+    return stateMachine.pollHeartbeatRequest();
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/ExploredShard.java
+++ b/control/src/test/java/nettletrail/control/shard/ExploredShard.java
@@ -190,7 +190,7 @@
 
   private void afterEvent(int index) {
     write(index);
-    if (replicas[index].takeHeartbeatRequest()) {
+    if (replicas[index].pollHeartbeatRequest()) {
       heartbeat(index);
     }
     collect(index);
