--- a/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
@@ -19,7 +19,7 @@
   private final PeerDirectory peerDirectory;
   private final ShardSettings settings;
   private final ActionQueue actionQueue;
-  private final long startedAt;
+  private final Incarnation incarnation;
   private final QuorumReads quorumReads = new QuorumReads();
   private final VersionFetches fetches;
   private long nextRoundAt;
@@ -30,14 +30,14 @@
       PeerDirectory peerDirectory,
       ShardSettings settings,
       ActionQueue actionQueue,
-      long now) {
+      Incarnation incarnation) {
     this.replica = replica;
     this.self = self;
     this.peerDirectory = peerDirectory;
     this.settings = settings;
     this.actionQueue = actionQueue;
-    this.startedAt = now;
-    this.nextRoundAt = now;
+    this.incarnation = incarnation;
+    this.nextRoundAt = incarnation.startedAt();
     this.fetches = new VersionFetches(settings);
   }
 
@@ -83,8 +83,7 @@
   }
 
   void onReply(String peer, ConfirmReply reply, long now) {
-    boolean sentInThisIncarnation = reply.getSentAt() >= startedAt && reply.getSentAt() <= now;
-    if (!sentInThisIncarnation) {
+    if (!incarnation.hasSent(reply.getSentAt(), now)) {
       return;
     }
     peerDirectory.onConfirmReply(reply, now);
--- a/control/src/main/java/nettletrail/control/shard/CoreShards.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreShards.java
@@ -2,31 +2,12 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import nettletrail.protocol.Accept;
-import nettletrail.protocol.AcceptReply;
-import nettletrail.protocol.ConfirmQuery;
-import nettletrail.protocol.ConfirmReply;
-import nettletrail.protocol.JoinRequest;
-import nettletrail.protocol.LeaseRelease;
 import nettletrail.protocol.Member;
-import nettletrail.protocol.OrderForward;
-import nettletrail.protocol.OrderForwardReply;
-import nettletrail.protocol.OwnerHeartbeat;
-import nettletrail.protocol.OwnerHeartbeatReply;
-import nettletrail.protocol.PreVote;
-import nettletrail.protocol.PreVoteReply;
-import nettletrail.protocol.Prepare;
-import nettletrail.protocol.PrepareReply;
 import nettletrail.protocol.ProposalNumber;
-import nettletrail.protocol.ShardHeartbeat;
-import nettletrail.protocol.ShardHeartbeatReply;
 import nettletrail.protocol.ShardVersion;
-import nettletrail.protocol.VersionQuery;
-import nettletrail.protocol.VersionReply;
 import nettletrail.store.NodeIdentity;
 import nettletrail.store.StoredShard;
 import org.apache.avro.specific.SpecificRecord;
@@ -47,16 +28,16 @@
   private final ShardSettings settings;
   private final Member self;
   private final ActionQueue actionQueue;
+  private final PeerDirectory peerDirectory;
   private final List<ShardReplica> replicas = new ArrayList<>();
   private final ShardReplica configurationReplica;
   private final ConfigurationRegister register;
   private final OperatorRequestRouter requestRouter;
-  private final ConfirmationRounds confirmations;
-  private final PeerDirectory peerDirectory;
-  private final long startedAt;
-  private long heartbeatDueAt;
-  private long joinDueAt;
-  private long announcedSequence;
+  private final ConfirmationRounds confirmationRounds;
+  private final OwnerHeartbeats heartbeats;
+  private final JoinRequests joinRequests;
+  private final ConfigurationAnnouncer announcer;
+  private final MessageDispatcher dispatcher;
 
   /**
    * Starts the process' shards.
@@ -90,21 +71,24 @@
       ShardSettings settings, CoreStart start, long seed, long now, ConfigurationRules rules) {
     this.settings = settings;
     this.self = start.self();
-    this.startedAt = now;
     this.actionQueue = new ActionQueue(self.getAddress());
     this.peerDirectory = new PeerDirectory(start.seedAddresses());
     SplittableRandom random = new SplittableRandom(seed);
     for (int shard = 0; shard < start.shardCount(); shard++) {
       replicas.add(startReplica(shard, start, random.split(), now));
     }
+    Incarnation incarnation = new Incarnation(now);
     this.configurationReplica = replicas.get(CONFIGURATION_SHARD);
     this.register = new ConfigurationRegister(configurationReplica, rules, settings, actionQueue);
     this.requestRouter = new OperatorRequestRouter(settings, actionQueue, random.nextLong());
-    this.confirmations =
+    this.confirmationRounds =
         new ConfirmationRounds(
-            configurationReplica, self, peerDirectory, settings, actionQueue, now);
-    this.heartbeatDueAt = now;
-    this.joinDueAt = now + settings.join();
+            configurationReplica, self, peerDirectory, settings, actionQueue, incarnation);
+    this.heartbeats = new OwnerHeartbeats(replicas, self, settings, actionQueue, incarnation);
+    this.joinRequests = new JoinRequests(replicas, self, peerDirectory, settings, actionQueue, now);
+    this.announcer = new ConfigurationAnnouncer(configurationReplica, register, actionQueue);
+    this.dispatcher =
+        new MessageDispatcher(replicas, heartbeats, confirmationRounds, register, requestRouter);
   }
 
   private ShardReplica startReplica(int shard, CoreStart start, SplittableRandom random, long now) {
@@ -126,7 +110,7 @@
 
   /** Takes a message that the core process at that address sent. */
   public List<CoreAction> receive(String peerAddress, SpecificRecord message, long now) {
-    dispatch(peerAddress, message, now);
+    dispatcher.dispatch(peerAddress, message, CoreAction.ALWAYS, now);
     return finish(now);
   }
 
@@ -135,15 +119,9 @@
     for (ShardReplica replica : replicas) {
       replica.tick(now);
     }
-    if (now >= heartbeatDueAt) {
-      heartbeatDueAt = now + settings.heartbeat();
-      sendHeartbeats(replicas, now);
-    }
-    confirmations.tick(peerDirectory.addresses(replicas), now);
-    if (now >= joinDueAt) {
-      joinDueAt = now + settings.join();
-      askToJoin(now);
-    }
+    heartbeats.tick(now);
+    confirmationRounds.tick(peerDirectory.addresses(replicas), now);
+    joinRequests.tick(now);
     requestRouter.tick(ownerAddress(CONFIGURATION_SHARD, now), now);
     return finish(now);
   }
@@ -243,7 +221,7 @@
    * none is known.
    */
   public long confirmedAt() {
-    return confirmations.confirmedAt();
+    return confirmationRounds.confirmedAt();
   }
 
   /**
@@ -251,118 +229,7 @@
    * -1.
    */
   public long committedSequence() {
-    return confirmations.committedSequence();
-  }
-
-  // Messages
-
-  private void dispatch(String peer, SpecificRecord message, long now) {
-    if (message instanceof OwnerHeartbeat heartbeat) {
-      onHeartbeat(peer, heartbeat, now);
-    } else if (message instanceof OwnerHeartbeatReply reply) {
-      onHeartbeatReply(reply, now);
-    } else if (message instanceof PreVote request) {
-      replicas.get(request.getShard()).onPreVote(peer, request, now);
-    } else if (message instanceof PreVoteReply reply) {
-      replicas.get(reply.getShard()).onPreVoteReply(reply, now);
-    } else if (message instanceof Prepare request) {
-      replicas.get(request.getShard()).onPrepare(peer, request, now);
-    } else if (message instanceof PrepareReply reply) {
-      replicas.get(reply.getShard()).onPrepareReply(reply, now);
-    } else if (message instanceof Accept request) {
-      replicas.get(request.getShard()).onAccept(peer, request, now);
-    } else if (message instanceof AcceptReply reply) {
-      replicas.get(reply.getShard()).onAcceptReply(reply, now);
-    } else if (message instanceof LeaseRelease release) {
-      replicas.get(release.getShard()).onRelease(release, now);
-    } else if (message instanceof JoinRequest request) {
-      replicas.get(request.getShard()).onJoinRequest(request.getMember(), now);
-    } else {
-      dispatchConfiguration(peer, message, now);
-    }
-  }
-
-  private void dispatchConfiguration(String peer, SpecificRecord message, long now) {
-    if (message instanceof ConfirmQuery query) {
-      confirmations.onQuery(peer, query, now);
-    } else if (message instanceof ConfirmReply reply) {
-      confirmations.onReply(peer, reply, now);
-    } else if (message instanceof VersionQuery) {
-      confirmations.onVersionQuery(peer);
-    } else if (message instanceof VersionReply reply) {
-      confirmations.onVersionReply(reply);
-    } else if (message instanceof OrderForward order) {
-      register.onRequest(peer, order, now);
-    } else if (message instanceof OrderForwardReply reply) {
-      requestRouter.onReply(peer, reply, CoreAction.ALWAYS);
-    }
-  }
-
-  private void onHeartbeat(String peer, OwnerHeartbeat heartbeat, long now) {
-    List<ShardHeartbeatReply> replies = new ArrayList<>();
-    for (ShardHeartbeat shardHeartbeat : heartbeat.getShards()) {
-      ShardHeartbeatReply reply =
-          replicas.get(shardHeartbeat.getShard()).onHeartbeat(shardHeartbeat, now);
-      if (reply != null) {
-        replies.add(reply);
-      }
-    }
-    if (!replies.isEmpty()) {
-      actionQueue.send(peer, new OwnerHeartbeatReply(self.getId(), heartbeat.getSentAt(), replies));
-    }
-  }
-
-  private void onHeartbeatReply(OwnerHeartbeatReply reply, long now) {
-    if (!sentInThisIncarnation(reply.getSentAt(), now)) {
-      return;
-    }
-    for (ShardHeartbeatReply shardReply : reply.getShards()) {
-      replicas
-          .get(shardReply.getShard())
-          .onHeartbeatReply(reply.getSender(), reply.getSentAt(), shardReply, now);
-    }
-  }
-
-  /** An answer to a former life of this process must not count: its clock may have been another. */
-  private boolean sentInThisIncarnation(long sentAt, long now) {
-    return sentAt >= startedAt && sentAt <= now;
-  }
-
-  // Periodic work
-
-  private void sendHeartbeats(List<ShardReplica> owned, long now) {
-    Map<String, List<ShardHeartbeat>> heartbeats = new LinkedHashMap<>();
-    for (ShardReplica replica : owned) {
-      for (Member member : replica.heartbeatTargets()) {
-        heartbeats
-            .computeIfAbsent(member.getAddress(), address -> new ArrayList<>())
-            .add(replica.heartbeat(member));
-      }
-    }
-    heartbeats.forEach(
-        (address, shards) ->
-            actionQueue.send(address, new OwnerHeartbeat(self.getId(), now, shards)));
-  }
-
-  /**
-   * A process that is no member of a shard, or has heard no owner for long, asks to be a member;
-   * owners ignore members.
-   */
-  private void askToJoin(long now) {
-    for (int shard = 0; shard < replicas.size(); shard++) {
-      ShardReplica replica = replicas.get(shard);
-      boolean member = replica.group().contains(self.getId());
-      boolean heard = now - replica.ownerLastSeenAt() <= 2 * settings.lease();
-      if (member && heard) {
-        continue;
-      }
-      JoinRequest request = new JoinRequest(shard, self);
-      for (String address : peerDirectory.addresses(replicas)) {
-        if (!address.equals(self.getAddress())) {
-          actionQueue.send(address, request);
-        }
-      }
-    }
+    return confirmationRounds.committedSequence();
   }
 
   // After each event
@@ -371,46 +238,18 @@
     do {
       deliverLoopback(now);
       register.advance(now);
-      sendRequestedHeartbeats(now);
+      heartbeats.sendRequested(now);
     } while (actionQueue.hasLoopback());
-    confirmations.update();
-    announceConfiguration();
+    confirmationRounds.update();
+    announcer.announceIfNewer();
     return actionQueue.drain();
   }
 
   private void deliverLoopback(long now) {
-    ActionQueue.LoopbackMessage own = actionQueue.pollLoopback();
-    while (own != null) {
-      if (own.message() instanceof OrderForwardReply reply) {
-        requestRouter.onReply(self.getAddress(), reply, own.validUntil());
-      } else {
-        dispatch(self.getAddress(), own.message(), now);
-      }
-      own = actionQueue.pollLoopback();
-    }
-  }
-
-  private void sendRequestedHeartbeats(long now) {
-    List<ShardReplica> requested = new ArrayList<>();
-    for (ShardReplica replica : replicas) {
-      if (replica.pollHeartbeatRequest()) {
-        requested.add(replica);
-      }
-    }
-    sendHeartbeats(requested, now);
-  }
-
-  private void announceConfiguration() {
-    ShardVersion committed = configurationReplica.committed();
-    if (committed == null || committed.getSequence() <= announcedSequence) {
-      return;
-    }
-    announcedSequence = committed.getSequence();
-    ConfigurationState state = register.state();
-    if (state.edition() > 0) {
-      actionQueue.add(
-          new CoreAction.CommittedConfiguration(
-              announcedSequence, state.edition(), state.documentBytes(), state.storedDocument()));
+    ActionQueue.LoopbackMessage next = actionQueue.pollLoopback();
+    while (next != null) {
+      dispatcher.dispatch(self.getAddress(), next.message(), next.validUntil(), now);
+      next = actionQueue.pollLoopback();
     }
   }
 }
