--- a/control/src/main/java/nettletrail/control/shard/Acceptor.java
+++ b/control/src/main/java/nettletrail/control/shard/Acceptor.java
@@ -15,19 +15,28 @@
 import nettletrail.store.StoredShard;
 
 /**
- * The voting half of a replica: what it promised, what it accepted, and to whom its lease runs.
+ * The acceptor of Paxos for one replica: the highest proposal number that it promised, the newest
+ * version that it accepted, and the lease that it granted.
  *
- * <p>A ballot is promised only if it is above all promised before, no other owner's lease runs, and
- * a whole lease has passed since the process started (a lease given in a former life is not on
- * disk). Promises and versions are answered once they are durable. One storage operation is under
- * way at a time; a version that waits goes before a promise that waits, so that the answer to a
- * Prepare names every version that this replica acknowledged or will acknowledge below that ballot.
+ * <p>A proposal number is promised only if it is above all promised before, no other owner's lease
+ * runs, and a full lease has passed since the process started: leases are not on disk, so one that
+ * an earlier incarnation granted may still run. Replies to prepare and accept requests are sent
+ * once their content is durable.
+ *
+ * <p>One storage operation is in flight at a time. A pending version is stored before a pending
+ * promise, so that the promise names every version below its proposal number that this replica has
+ * acknowledged or will acknowledge.
  */
 final class Acceptor {
 
-  /** A message that is answered once its content is durable. */
+  /** A prepare request that is answered once the promise is durable. */
   private record PendingPrepare(String address, ProposalNumber proposal) {}
 
+  /**
+   * A version that is acknowledged once it is durable.
+   *
+   * @param address the proposer's, or null if nobody waits for a reply
+   */
   private record PendingAccept(String address, ShardVersion version) {}
 
   private static final long NO_TICKET = -1;
@@ -67,7 +76,7 @@
         ProposalNumbers.max(stored.promised(), accepted == null ? null : accepted.getProposal());
   }
 
-  /** The highest ballot that it promised, durable or about to be. */
+  /** The highest proposal number that it promised, durable or being stored. */
   ProposalNumber promised() {
     return promised;
   }
@@ -83,7 +92,8 @@
   }
 
   /**
-   * True while it is bound to an owner other than the node given, or does not know whether it is.
+   * True while a lease that was granted to another node runs, or may run from an earlier
+   * incarnation.
    */
   boolean isLeasedToOther(String node, long now) {
     if (now < votingStartsAt) {
@@ -92,20 +102,21 @@
     return now < leaseUntil && !leaseProposal.getNode().equals(node);
   }
 
-  /** Stores the version that the whole system starts from. */
+  /** Accepts the version that the system starts from, without a proposer. */
   void bootstrap(ShardVersion initial) {
     accepted = initial;
     pendingAccept = new PendingAccept(null, initial);
     startStoring();
   }
 
+  /** Answers a pre-vote, which promises nothing. */
   void onPreVote(String address, PreVote request, long now) {
     boolean granted = canPromise(request.getProposal(), now);
     actionQueue.send(
         address, new PreVoteReply(shard, self.getId(), request.getProposal(), granted, promised));
   }
 
-  /** Returns true if the ballot is promised as soon as that is durable. */
+  /** Returns true if the proposal number is promised; the reply follows once it is durable. */
   boolean onPrepare(String address, Prepare request, long now) {
     ProposalNumber proposal = request.getProposal();
     if (!canPromise(proposal, now)) {
@@ -123,6 +134,7 @@
     return ProposalNumbers.above(proposal, promised) && !isLeasedToOther(proposal.getNode(), now);
   }
 
+  /** Accepts a version unless a higher proposal number is promised. */
   void onAccept(String address, Accept request) {
     ShardVersion version = request.getVersion();
     if (ProposalNumbers.above(promised, version.getProposal())) {
@@ -133,7 +145,7 @@
     if (order == 0) {
       replyAccept(address, version, true, "");
     }
-    if (order <= 0 || isInFlight(version)) {
+    if (order <= 0 || isSuperseded(version)) {
       return;
     }
     promised = ProposalNumbers.max(promised, version.getProposal());
@@ -141,15 +153,16 @@
     startStoring();
   }
 
-  private boolean isInFlight(ShardVersion version) {
+  /** True if this version or a newer one is being stored or is to be stored next. */
+  private boolean isSuperseded(ShardVersion version) {
     boolean storing =
         storingAccept != null && VersionStamp.compare(version, storingAccept.version()) <= 0;
-    boolean waiting =
+    boolean pending =
         pendingAccept != null && VersionStamp.compare(version, pendingAccept.version()) <= 0;
-    return storing || waiting;
+    return storing || pending;
   }
 
-  /** Renews the owner's lease unless a higher ballot is promised. */
+  /** Grants or renews the owner's lease unless a higher proposal number is promised. */
   ShardHeartbeatReply onHeartbeat(ShardHeartbeat heartbeat, long now) {
     boolean granted = !ProposalNumbers.above(promised, heartbeat.getProposal());
     if (granted) {
@@ -164,7 +177,7 @@
         accepted == null ? 0L : accepted.getSequence());
   }
 
-  /** Ends the lease that was granted under this ballot; false if another one runs. */
+  /** Ends the lease that was granted under this proposal number; false if another one runs. */
   boolean onRelease(ProposalNumber proposal, long now) {
     if (!leaseProposal.equals(proposal)) {
       return false;
@@ -174,7 +187,7 @@
   }
 
   /**
-   * Takes the outcome of the storage operation under way; false if the ticket is not of this
+   * Takes the outcome of the storage operation in flight; false if the ticket belongs to another
    * replica.
    */
   boolean onStored(long ticket, StoreOutcome outcome) {
--- a/control/src/main/java/nettletrail/control/shard/ActionQueue.java
+++ b/control/src/main/java/nettletrail/control/shard/ActionQueue.java
@@ -9,8 +9,8 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * Collects the actions of one event. Messages to this process itself are kept apart and handled
- * within the same event.
+ * Collects the {@link CoreAction}s of one event, in order. Messages to this process itself go to a
+ * loopback queue instead and are handled within the same event.
  */
 final class ActionQueue {
 
@@ -26,15 +26,12 @@
     this.selfAddress = selfAddress;
   }
 
-  String selfAddress() {
-    return selfAddress;
-  }
-
+  /** Sends a message that holds however late it leaves. */
   void send(String address, SpecificRecord message) {
     sendUntil(address, message, CoreAction.ALWAYS);
   }
 
-  /** Sends a message that must not leave from an instant on. */
+  /** Sends a message that must not leave at or after an instant. */
   void sendUntil(String address, SpecificRecord message, long validUntil) {
     if (address.equals(selfAddress)) {
       loopback.add(new LoopbackMessage(message, validUntil));
@@ -43,20 +40,21 @@
     }
   }
 
-  /** Returns the ticket with which the outcome comes back. */
+  /** Stores a promise; returns the ticket with which its outcome is reported. */
   long storePromise(int shard, ProposalNumber proposal) {
     lastTicket++;
     actions.add(new CoreAction.StorePromise(lastTicket, shard, proposal));
     return lastTicket;
   }
 
-  /** Returns the ticket with which the outcome comes back. */
+  /** Stores a version; returns the ticket with which its outcome is reported. */
   long storeVersion(int shard, ShardVersion version) {
     lastTicket++;
     actions.add(new CoreAction.StoreVersion(lastTicket, shard, version));
     return lastTicket;
   }
 
+  /** Adds an action that is neither a message nor a storage operation. */
   void add(CoreAction action) {
     actions.add(action);
   }
@@ -70,7 +68,7 @@
     return !loopback.isEmpty();
   }
 
-  /** Hands over what was collected. */
+  /** Removes and returns the collected actions; loopback messages stay. */
   List<CoreAction> drain() {
     List<CoreAction> drained = actions;
     actions = new ArrayList<>();
--- a/control/src/main/java/nettletrail/control/shard/AppliedChanges.java
+++ b/control/src/main/java/nettletrail/control/shard/AppliedChanges.java
@@ -11,30 +11,33 @@
 import nettletrail.protocol.OrderForward;
 
 /**
- * The orders that were taken, the oldest first, each with the edition that it made. Immutable.
+ * The configuration changes that were applied, the oldest first, each with the edition that it
+ * made. Makes operators' requests idempotent: a request that is sent again is recognised by the
+ * edition that it builds on and by its digest. Immutable.
  *
- * <p>Editions only rise, and each order builds on the edition of the one before, the first on 0. So
- * at most one order was taken on top of an edition, and whether a given order was is a fact that
- * later changes don't touch. The history is stored with every version of the configuration, so it
- * is bounded: at {@value #DIGEST_BYTES} bytes and some three to five for edition and length, an
- * order takes about 20 bytes, {@value #MAX_ORDERS} of them some 80 KB. An order that may have been
- * dropped from it is neither taken nor refused: {@link Outcome#UNKNOWN}.
+ * <p>Editions only rise, and each change builds on the edition of the one before, the first on 0.
+ * So at most one change was applied to an edition, and whether a given request was that change is a
+ * fact that later changes don't affect. The list is stored with every version of the configuration,
+ * so it is bounded: with {@value #DIGEST_BYTES} bytes of digest and three to five for edition and
+ * length, a change takes about 20 bytes, {@value #MAX_CHANGES} of them about 80 KB. A request that
+ * may have been dropped from the list is neither acknowledged nor rejected: {@link
+ * Outcome#UNKNOWN}.
  */
 final class AppliedChanges {
 
-  /** How many orders that were taken are remembered. */
-  static final int MAX_ORDERS = 4_096;
+  /** How many changes are remembered. */
+  static final int MAX_CHANGES = 4_096;
 
-  /** How much of an order's SHA-256 is stored; earlier versions stored the whole of it. */
+  /** The stored prefix of a request's SHA-256, in bytes; earlier releases stored all of it. */
   static final int DIGEST_BYTES = 16;
 
-  /** What is known of an order. */
+  /** What is known of a request. */
   enum Outcome {
-    /** Exactly this order was taken. */
+    /** Exactly this request was applied. */
     APPLIED,
-    /** It was not taken on top of the edition that it names. */
+    /** It was not applied to the edition that it names. */
     NOT_APPLIED,
-    /** It builds on an edition from before the history: nobody knows whether it was taken. */
+    /** It builds on an edition older than the remembered ones: it may have been applied. */
     UNKNOWN
   }
 
@@ -44,12 +47,12 @@
     this.changes = List.copyOf(changes);
   }
 
-  /** The orders, the oldest first. */
+  /** The changes, the oldest first. */
   List<ConfigurationChange> changes() {
     return changes;
   }
 
-  /** What is known of the order with this digest, which builds on this edition. */
+  /** What is known of the request with this digest, which builds on the edition ifMatch. */
   Outcome outcomeOf(long ifMatch, ByteBuffer digest) {
     int next = indexAfter(ifMatch);
     if (next == changes.size()) {
@@ -58,24 +61,24 @@
     if (sameDigest(changes.get(next).getDigest(), digest)) {
       return Outcome.APPLIED;
     }
-    boolean dropped = next == 0 && changes.size() >= MAX_ORDERS;
+    boolean dropped = next == 0 && changes.size() >= MAX_CHANGES;
     return dropped ? Outcome.UNKNOWN : Outcome.NOT_APPLIED;
   }
 
-  /** The edition that the order which was taken on top of this one made. */
+  /** The edition made by the change that was applied to this one; only if there is one. */
   long editionAfter(long ifMatch) {
     return changes.get(indexAfter(ifMatch)).getEdition();
   }
 
-  /** The history with one order more; the oldest is dropped beyond the bound. */
+  /** The list with one more change; the oldest is dropped beyond the bound. */
   AppliedChanges with(long edition, ByteBuffer digest) {
-    int first = Math.max(0, changes.size() + 1 - MAX_ORDERS);
+    int first = Math.max(0, changes.size() + 1 - MAX_CHANGES);
     List<ConfigurationChange> longer = new ArrayList<>(changes.subList(first, changes.size()));
     longer.add(new ConfigurationChange(edition, digest));
     return new AppliedChanges(longer);
   }
 
-  /** The index of the first order that made a higher edition, or the count if there is none. */
+  /** The index of the first change that made a higher edition, or the count if there is none. */
   private int indexAfter(long edition) {
     int from = 0;
     int to = changes.size();
@@ -95,7 +98,7 @@
         && stored.slice(stored.position(), DIGEST_BYTES).equals(digest);
   }
 
-  /** Tells orders apart: method, the edition that they build on, and body. */
+  /** The digest by which a request is recognised: of method, edition that it builds on, body. */
   static ByteBuffer digest(OrderForward request, long ifMatch) {
     MessageDigest digest;
     try {
--- a/control/src/main/java/nettletrail/control/shard/ConfigurationRegister.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfigurationRegister.java
@@ -4,28 +4,28 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Iterator;
+import java.util.OptionalLong;
 import nettletrail.protocol.OrderForward;
 import nettletrail.protocol.OrderForwardReply;
 import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
 /**
- * Judges the operator's orders at the owner of the configuration shard, one at a time.
+ * The configuration as a replicated register: evaluates operators' requests at the owner of the
+ * configuration shard, one at a time.
  *
- * <p>An order that was taken before is acknowledged again; one that builds on another edition than
- * the current one gets 412; an invalid one 400; any other is written and acknowledged once
- * committed. Reads and refusals are given only while the lease holds and no write is in flight, so
- * they rest on the newest committed value, and leave the process before the lease ends. A write
- * whose outcome is unknown gets 503.
+ * <p>A change that was applied before is acknowledged again; one that builds on another edition
+ * than the current one gets 412; an invalid one 400; any other is written and acknowledged once it
+ * is committed. Reads and rejections are evaluated only while the lease holds and no write is in
+ * flight, so they rely on the newest committed value, and they are sent before the lease ends. A
+ * write of unknown outcome gets 503.
  */
 final class ConfigurationRegister {
 
-  private static final long NO_EDITION = -1;
-
-  /** An order and where its answer goes. */
+  /** A request, and the address that its answer goes to. */
   private record QueuedRequest(String address, OrderForward request, long receivedAt) {}
 
-  /** The order that is being written. */
+  /** The change that is being written. */
   private static final class WriteInFlight {
     final QueuedRequest queued;
     final ProposalNumber proposal;
@@ -63,7 +63,7 @@
     this.actionQueue = actionQueue;
   }
 
-  /** The newest committed state that this process knows. */
+  /** The newest committed state that this process knows; decoded once for each version. */
   ConfigurationState state() {
     ShardVersion committed = replica.committed();
     if (committed != decodedVersion) {
@@ -74,9 +74,9 @@
   }
 
   /**
-   * Takes an order that some core process passed on. A read waits behind the write in flight like
-   * any other order: another process may have learnt from a majority that the write is committed,
-   * and pushed it to the doors, before its owner did.
+   * Takes a request that a core process forwarded. A read is queued behind the write in flight like
+   * any other request: another process may have learnt from a quorum read that the write is
+   * committed, and sent it to the doors, before the owner did.
    */
   void onRequest(String address, OrderForward request, long now) {
     if (!replica.owns(now)) {
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Settles the write in flight and judges what waits; after each event. */
+  /** Completes the write in flight and evaluates queued requests; called after each event. */
   void advance(long now) {
     completeWrite(now);
     if (replica.token() == null) {
@@ -113,9 +113,9 @@
   }
 
   /**
-   * That a version with the number of the write is committed does not prove that it is this write:
-   * another owner may have used the number. The order is confirmed only if the committed value
-   * names it.
+   * Answers the write in flight if its outcome is known or it has timed out. A committed version
+   * with the sequence of the write need not be this write: another owner may have used the sequence
+   * number. The change is acknowledged only if the committed value names it.
    */
   private void completeWrite(long now) {
     if (inFlight == null) {
@@ -180,11 +180,17 @@
       return;
     }
     ConfigurationState state = state();
-    long ifMatch = parseIfMatch(request.getIfMatch());
-    if (ifMatch == NO_EDITION) {
+    OptionalLong ifMatch = IfMatchHeader.edition(request.getIfMatch());
+    if (ifMatch.isEmpty()) {
       reject(queued, OperatorResponses.BAD_REQUEST, state, "If-Match must name an edition");
       return;
     }
+    evaluateChange(queued, state, ifMatch.getAsLong(), now);
+  }
+
+  private void evaluateChange(
+      QueuedRequest queued, ConfigurationState state, long ifMatch, long now) {
+    OrderForward request = queued.request();
     ByteBuffer digest = AppliedChanges.digest(request, ifMatch);
     switch (state.appliedChanges().outcomeOf(ifMatch, digest)) {
       case APPLIED -> {
@@ -200,7 +206,7 @@
     }
   }
 
-  /** Judges an order that was not taken before. */
+  /** Evaluates a change that was not applied before. */
   private void evaluateNewChange(
       QueuedRequest queued, ConfigurationState state, long ifMatch, ByteBuffer digest, long now) {
     if (ifMatch != state.edition()) {
@@ -241,22 +247,4 @@
         OperatorResponses.rejected(queued.request().getCall(), status, state.edition(), reason),
         replica.leaseUntil());
   }
-
-  /** Reads {@code 5}, {@code "5"} or {@code W/"5"}. */
-  private static long parseIfMatch(String header) {
-    String text = header == null ? "" : header.trim();
-    if (text.startsWith("W/")) {
-      text = text.substring(2);
-    }
-    boolean quoted = text.length() >= 2 && text.startsWith("\"") && text.endsWith("\"");
-    if (quoted) {
-      text = text.substring(1, text.length() - 1);
-    }
-    try {
-      long edition = Long.parseLong(text);
-      return edition < 0 ? NO_EDITION : edition;
-    } catch (NumberFormatException notANumber) {
-      return NO_EDITION;
-    }
-  }
 }
--- a/control/src/main/java/nettletrail/control/shard/ConfigurationState.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfigurationState.java
@@ -15,8 +15,8 @@
 import org.apache.avro.specific.SpecificDatumWriter;
 
 /**
- * A value of the configuration shard: the document in force and the orders that led to it.
- * Immutable to its callers; the document's text is restored when it is first asked for. One thread.
+ * A value of the configuration shard: the active document and the changes that led to it. Immutable
+ * to its callers; the document is decompressed on first use. For one thread.
  */
 final class ConfigurationState {
 
@@ -51,6 +51,7 @@
     }
   }
 
+  /** The value as it is stored in a version of the shard. */
   byte[] encode() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(bytes, null);
@@ -63,6 +64,7 @@
     return bytes.toByteArray();
   }
 
+  /** The document's edition; 0 before the first change. */
   long edition() {
     return value.getEdition();
   }
@@ -75,12 +77,12 @@
   /** The document's JSON; empty at edition 0. Not to be changed. */
   byte[] documentBytes() {
     if (text == null) {
-      text = restoredText();
+      text = decompressedText();
     }
     return text;
   }
 
-  private byte[] restoredText() {
+  private byte[] decompressedText() {
     try {
       return CompressedDocument.decompress(storedDocument());
     } catch (ConfigurationException damaged) {
@@ -88,12 +90,12 @@
     }
   }
 
-  /** The orders that were taken and are remembered. */
+  /** The changes that were applied and are remembered. */
   AppliedChanges appliedChanges() {
     return appliedChanges;
   }
 
-  /** The state after a document was taken. */
+  /** The state after the change with that digest, which made the document, is applied. */
   ConfigurationState after(ConfigurationRules.CheckedDocument document, ByteBuffer digest) {
     List<ConfigurationChange> changes = appliedChanges.with(document.edition(), digest).changes();
     ByteBuffer stored = ByteBuffer.wrap(CompressedDocument.compress(document.json()));
--- a/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
@@ -8,9 +8,10 @@
 import nettletrail.protocol.VersionReply;
 
 /**
- * Asks the configuration shard's replicas, several times a second, for the newest version that they
- * accepted, and fetches the newest committed one where this process is behind. Works without an
- * owner, and for a process that is no replica.
+ * Quorum reads of the configuration shard, several times a second: asks its replicas for the newest
+ * version that they accepted, and fetches the newest committed version if this process is behind.
+ * Works without an owner, and in a process that is no replica. {@link QuorumReads} evaluates the
+ * replies.
  */
 final class ConfirmationRounds {
 
@@ -42,8 +43,8 @@
   }
 
   /**
-   * Starts the next round when it is due; asks every known address while no committed version is
-   * known.
+   * Starts the next round when it is due. While no committed version is known, the query goes to
+   * every known address instead of the group.
    */
   void tick(Iterable<String> knownAddresses, long now) {
     if (now < nextRoundAt) {
@@ -64,6 +65,7 @@
     }
   }
 
+  /** Answers another process' query with the state of the replica here. */
   void onQuery(String peer, ConfirmQuery query, long now) {
     ShardVersion accepted = replica.accepted();
     ShardVersion committed = replica.committed();
@@ -82,6 +84,7 @@
             group.members()));
   }
 
+  /** Takes an answer; one to an earlier incarnation's query is ignored. */
   void onReply(String peer, ConfirmReply reply, long now) {
     if (!incarnation.hasSent(reply.getSentAt(), now)) {
       return;
@@ -99,10 +102,12 @@
     }
   }
 
+  /** Sends the newest committed version that is known here. */
   void onVersionQuery(String peer) {
     actionQueue.send(peer, new VersionReply(CoreShards.CONFIGURATION_SHARD, replica.committed()));
   }
 
+  /** Takes a committed version, or none, from a peer that was asked for it. */
   void onVersionReply(VersionReply reply) {
     fetches.onVersionReceived();
     if (reply.getVersion() != null) {
@@ -110,7 +115,7 @@
     }
   }
 
-  /** Works out what is confirmed; after each event. */
+  /** Recomputes the confirmed instant; called after each event. */
   void update() {
     quorumReads.update(replica.committed());
   }
@@ -121,6 +126,7 @@
     return committed == null ? -1 : committed.getSequence();
   }
 
+  /** See {@link QuorumReads#confirmedAt}. */
   long confirmedAt() {
     return quorumReads.confirmedAt();
   }
--- a/control/src/main/java/nettletrail/control/shard/CoreAction.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreAction.java
@@ -8,18 +8,18 @@
 /** What {@link CoreShards} asks its process to do. */
 public sealed interface CoreAction {
 
-  /** The {@code validUntil} of what stays true however late it is said. */
+  /** The {@code validUntil} of a message or answer that holds however late it is sent. */
   long ALWAYS = Long.MAX_VALUE;
 
   /**
-   * Send a message to the core process at that address; it may be lost, not reordered within one
-   * connection.
+   * Send a message to the core process at that address. It may be lost; messages to one address are
+   * not reordered within a connection.
    *
-   * @param validUntil steady instant from which on it is dropped instead: what it rests on, as the
-   *     owner's lease, has ended by then
+   * @param validUntil steady instant from which on the message is to be dropped, in nanoseconds:
+   *     what it relies on, such as the owner's lease, has ended by then
    */
   record Send(String address, SpecificRecord message, long validUntil) implements CoreAction {
-    /** A message that may leave at any time. */
+    /** A message that holds however late it is sent. */
     Send(String address, SpecificRecord message) {
       this(address, message, ALWAYS);
     }
@@ -42,17 +42,17 @@
    *
    * @param call as given to {@link CoreShards#submit}
    * @param status the HTTP status
-   * @param edition the edition in force, empty if unknown
+   * @param edition the active edition, empty if unknown
    * @param body JSON
-   * @param validUntil steady instant from which on the call is answered with 503 instead: what the
-   *     answer rests on, as the owner's lease, has ended by then
+   * @param validUntil steady instant from which on the call is answered with 503 instead, in
+   *     nanoseconds: what the answer relies on, such as the owner's lease, has ended by then
    */
   record AnswerOperator(long call, int status, String edition, byte[] body, long validUntil)
       implements CoreAction {}
 
   /**
-   * A newer configuration is known to be committed; the sequence grows for the whole life of the
-   * process.
+   * A newer configuration is known to be committed; the sequence only grows within one incarnation
+   * of the process.
    *
    * @param document the JSON text; not to be changed
    * @param storedDocument the same as it is stored and sent to doors; to be read only
--- a/control/src/main/java/nettletrail/control/shard/CoreShards.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreShards.java
@@ -13,12 +13,13 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * All replicated shards of one core process: shard {@value #CONFIGURATION_SHARD} holds the
- * configuration, the others only decide who owns them.
+ * All replicated shards of one core process: shard {@value #CONFIGURATION_SHARD} stores the
+ * configuration, the others only elect an owner. Routes events to the parts that handle them.
  *
- * <p>Pure and confined to one thread: each event returns the actions that follow from it. Times are
- * nanoseconds of this process' steady clock. {@link #tick} is due about every 50 ms; timers are no
- * finer than that.
+ * <p>Does no I/O and reads no clock; for one thread. Each event returns the actions that follow
+ * from it, which the caller performs in their order. {@code now} is the caller's reading of the
+ * process' steady clock in nanoseconds and must not decrease. {@link #tick} should be called about
+ * every 50 ms; timers are no finer than that.
  */
 public final class CoreShards {
 
@@ -43,11 +44,11 @@
    * Starts the process' shards.
    *
    * @param self identity and address of this process
-   * @param seedAddresses where other core processes may be found; at the first run the founding
+   * @param seedAddresses addresses of core processes to contact; at the first run the founding
    *     group
    * @param firstRun true only at the first start of the whole system
-   * @param stored what the disk holds, by shard; a shard that is missing has nothing
-   * @param seed of the random numbers; should differ between processes and lives
+   * @param stored the replicas' states on disk by shard; a missing shard has none
+   * @param seed of the random numbers; should differ between processes and incarnations
    */
   public CoreShards(
       ShardSettings settings,
@@ -66,7 +67,7 @@
         new DocumentRules());
   }
 
-  /** As the other constructor, with other rules for documents. */
+  /** As the public constructor, with other rules for documents. */
   CoreShards(
       ShardSettings settings, CoreStart start, long seed, long now, ConfigurationRules rules) {
     this.settings = settings;
@@ -92,11 +93,11 @@
   }
 
   private ShardReplica startReplica(int shard, CoreStart start, SplittableRandom random, long now) {
-    boolean founding = start.firstRun() && start.shard(shard).isEmpty();
+    boolean founding = start.firstRun() && start.storedShard(shard).isEmpty();
     long votingStartsAt = founding ? now : now + settings.lease();
     ShardReplica replica =
         new ShardReplica(
-            shard, self, settings, start.shard(shard), actionQueue, random, votingStartsAt);
+            shard, self, settings, start.storedShard(shard), actionQueue, random, votingStartsAt);
     List<Member> founders = start.seedAddresses().stream().map(NodeIdentity::founding).toList();
     if (founding && founders.contains(self)) {
       ShardVersion initial =
@@ -114,7 +115,7 @@
     return finish(now);
   }
 
-  /** Does what time makes due. */
+  /** Runs all timers. */
   public List<CoreAction> tick(long now) {
     for (ShardReplica replica : replicas) {
       replica.tick(now);
@@ -147,8 +148,8 @@
   }
 
   /**
-   * Gives back all leases before the process ends, so that others own the shards without waiting
-   * for them to run out.
+   * Releases all leases before a graceful shutdown, so that other processes can own the shards
+   * without waiting for the leases to expire. The process starts no election afterwards.
    */
   public List<CoreAction> release(long now) {
     replicas.forEach(ShardReplica::release);
@@ -158,8 +159,8 @@
   // Views
 
   /**
-   * True while this process holds the lease of a shard: no other process can own it before that
-   * runs out.
+   * True while this process holds the owner's lease of a shard: no other process can own the shard
+   * before the lease expires.
    */
   public boolean owns(int shard, long now) {
     return replicas.get(shard).owns(now);
@@ -170,11 +171,11 @@
     return replicas.get(shard).token();
   }
 
-  /** The address of a shard's owner as far as known, else empty. */
+  /** The address of a shard's owner, or empty if none is known. */
   public String ownerAddress(int shard, long now) {
     String owner = replicas.get(shard).ownerAddress(now);
-    boolean ask = owner.isEmpty() && shard == CONFIGURATION_SHARD;
-    return ask ? peerDirectory.reportedOwner(now, settings.lease()) : owner;
+    boolean mayBeReported = owner.isEmpty() && shard == CONFIGURATION_SHARD;
+    return mayBeReported ? peerDirectory.reportedOwner(now, settings.lease()) : owner;
   }
 
   /** The newest known group of the configuration shard: all core processes that have joined. */
@@ -205,20 +206,20 @@
     return committed == null ? null : StoredConfiguration.of(committed);
   }
 
-  /** One shard's state in words, for tests and logs. */
+  /** A one-line description of a shard's replica, for tests and logs. */
   String describe(int shard, long now) {
     return replicas.get(shard).describe(now);
   }
 
-  /** The group that this process' own replica of a shard holds. */
+  /** The group that this process' replica of a shard has accepted. */
   ReplicaGroup group(int shard) {
     return replicas.get(shard).group();
   }
 
   /**
-   * The latest instant, on this process' steady clock and before the majority was asked, at which
-   * no newer configuration than the one announced here was committed; {@link ReplicaGroup#NEVER} if
-   * none is known.
+   * The latest instant on this process' steady clock at which, by a quorum read, no newer
+   * configuration than the one announced here was committed; {@link ReplicaGroup#NEVER} if none is
+   * known.
    */
   public long confirmedAt() {
     return confirmationRounds.confirmedAt();
@@ -234,6 +235,7 @@
 
   // After each event
 
+  /** Handles the messages of this process to itself, and what they lead to, within the event. */
   private List<CoreAction> finish(long now) {
     do {
       deliverLoopback(now);
--- a/control/src/main/java/nettletrail/control/shard/DocumentRules.java
+++ b/control/src/main/java/nettletrail/control/shard/DocumentRules.java
@@ -4,8 +4,8 @@
 import nettletrail.configuration.ConfigurationException;
 
 /**
- * The rules of the operator's documents, as module {@code configuration} has them. Each document is
- * read beside the one before, since they mostly have nearly everything in common. One thread.
+ * The rules of module {@code configuration} for operators' documents. Each document is parsed with
+ * the one before at hand, since most changes are small. For one thread.
  */
 public final class DocumentRules implements ConfigurationRules {
   private ConfigurationDocument newest;
--- a/control/src/main/java/nettletrail/control/shard/ElectionTimer.java
+++ b/control/src/main/java/nettletrail/control/shard/ElectionTimer.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * When a replica stands for election next. Replicas stand one after the other, in the order of
- * their ranks for the shard, with some randomness so that two that collided don't collide again.
+ * When a replica may start its next election. Replicas start one after the other, staggered by
+ * their ranks for the shard, with a random delay so that two candidates don't collide repeatedly.
  */
 final class ElectionTimer {
 
@@ -21,28 +21,29 @@
     this.random = random;
   }
 
+  /** True if the replica should start an election, unless it is no follower. */
   boolean isDue(long now) {
     return now >= dueAt;
   }
 
-  /** Stands in this replica's turn after an instant. */
+  /** Sets the timer to this replica's turn after an instant, plus a random delay. */
   void postpone(ReplicaGroup group, long from) {
     dueAt = from + stagger(group) + random.nextLong(settings.electionStagger() / 2);
   }
 
   /**
-   * As {@link #postpone}, after a lost election: later by a while that differs between candidates.
+   * Sets the timer as {@link #postpone} does, after a lost election: with a further random backoff.
    */
   void retry(ReplicaGroup group, long now) {
     postpone(group, now + random.nextLong(2 * settings.electionStagger()));
   }
 
-  /** Stands in this replica's turn, without randomness: the owner has given its lease back. */
+  /** Sets the timer to this replica's turn, without a random delay: the lease was released. */
   void advance(ReplicaGroup group, long now) {
     dueAt = now + stagger(group);
   }
 
-  /** Leaves a candidate, to whom this replica has promised its vote, the time to win. */
+  /** Delays the timer so that a candidate with this replica's promise has the time to win. */
   void deferToCandidate(ReplicaGroup group, long now) {
     dueAt = Math.max(dueAt, now + settings.electionTimeout() + stagger(group));
   }
--- a/control/src/main/java/nettletrail/control/shard/GroupChanges.java
+++ b/control/src/main/java/nettletrail/control/shard/GroupChanges.java
@@ -12,25 +12,26 @@
 /**
  * Decides how the owner of a shard changes its group, by one member at a time.
  *
- * <p>A group of 2k + 1 and one of 2k both need k + 1 members, so taking a dead member out of an odd
- * group and taking a joiner into an even one cost nothing. A group that is odd takes a joiner only
- * in place of a dead member or when all its members are alive. Dead is a member whose address a
- * joiner has taken over with a fresh disk, or one silent for some seconds.
+ * <p>Groups of 2k + 1 and of 2k members both have majorities of at least k + 1, so removing a
+ * failed member from an odd group and adding a joiner to an even one don't reduce availability. A
+ * joiner enters an odd group only in place of a failed member, or if all members are responsive. A
+ * member has failed if a joiner has its address with a new identity, that is with a new disk, or if
+ * there was no contact with it for some seconds.
  *
- * <p>Order of the changes: a member whose disk is known to be lost leaves; a joiner enters an even
- * group; a dead member makes way for a joiner in an odd group; a joiner enlarges an odd group; a
- * member that is silent for long leaves an even group.
+ * <p>Precedence of the changes: remove a member whose identity was replaced at its address; add a
+ * joiner to an even group; remove a failed member from an odd group for a joiner; add a joiner to
+ * an odd group; remove a member without contact for long from an even group.
  */
 final class GroupChanges {
 
-  /** A process that asks to join, since when, and when it asked last. */
+  /** A process that asks to join, with the instants of its first and latest request. */
   private record Joiner(Member member, long firstRequestAt, long lastRequestAt) {
     boolean isFounding() {
       return member.equals(NodeIdentity.founding(member.getAddress()));
     }
   }
 
-  /** What one decision rests on. */
+  /** The input of one decision. */
   private record Situation(ReplicaGroup group, Member self, MemberContacts contacts, long now) {
     boolean isSelf(Member member) {
       return member.getId().equals(self.getId());
@@ -41,17 +42,18 @@
     }
   }
 
-  private static final int HEARTBEATS_TO_BE_ALIVE = 2;
+  private static final int MAX_HEARTBEATS_SINCE_GRANT = 2;
 
   private final ShardSettings settings;
 
-  /** By address, since a process that asks with a fresh disk replaces the former one there. */
+  /** By address, since a new identity there, with a new disk, replaces the former one. */
   private final Map<String, Joiner> joiners = new TreeMap<>();
 
   GroupChanges(ShardSettings settings) {
     this.settings = settings;
   }
 
+  /** A process asks to join. */
   void onJoinRequest(Member member, long now) {
     Joiner before = joiners.get(member.getAddress());
     boolean known = before != null && before.member().equals(member);
@@ -59,31 +61,31 @@
     joiners.put(member.getAddress(), new Joiner(member, firstRequestAt, now));
   }
 
-  /** The group that should follow, or null if it should stay. */
+  /** The next group, or null if the group should stay. */
   ReplicaGroup next(ReplicaGroup group, Member self, MemberContacts contacts, long now) {
     joiners.values().removeIf(joiner -> now - joiner.lastRequestAt() > settings.joinerFresh());
     joiners.values().removeIf(joiner -> group.contains(joiner.member().getId()));
     Situation situation = new Situation(group, self, contacts, now);
     ReplicaGroup proposed = proposedGroup(situation);
-    boolean viable = proposed != null && hasLiveMajority(proposed, situation);
+    boolean viable = proposed != null && hasResponsiveMajority(proposed, situation);
     return viable ? proposed : null;
   }
 
   /**
-   * A change that cannot be committed would block the shard, so the new group must have a majority
-   * that is alive now. The joiner does not count: it may be lost before it has stored the version
-   * that names it.
+   * A change that can't be committed would block the shard, so a majority of the new group must
+   * have granted the lease recently. The joiner doesn't count: it may fail before it has stored the
+   * version that names it.
    */
-  private boolean hasLiveMajority(ReplicaGroup proposed, Situation situation) {
-    long aliveSince = situation.now() - HEARTBEATS_TO_BE_ALIVE * settings.heartbeat();
-    Set<String> alive = new HashSet<>();
+  private boolean hasResponsiveMajority(ReplicaGroup proposed, Situation situation) {
+    long oldestGrant = situation.now() - MAX_HEARTBEATS_SINCE_GRANT * settings.heartbeat();
+    Set<String> responsive = new HashSet<>();
     for (Member member : situation.group().members()) {
-      boolean granted = situation.contacts().grantRequestedAt(member.getId()) >= aliveSince;
+      boolean granted = situation.contacts().grantRequestedAt(member.getId()) >= oldestGrant;
       if (granted || situation.isSelf(member)) {
-        alive.add(member.getId());
+        responsive.add(member.getId());
       }
     }
-    return proposed.hasMajority(alive);
+    return proposed.hasMajority(responsive);
   }
 
   private ReplicaGroup proposedGroup(Situation situation) {
@@ -108,8 +110,8 @@
   }
 
   /**
-   * Of two members at one address, the one that joined first: its disk was lost, or its machine is
-   * gone and the address is used again.
+   * Of two members with one address, the one that joined first: its disk was lost, or its machine
+   * was removed and the address assigned again. Null if there are none.
    */
   private static Member supersededMember(Situation situation) {
     Map<String, Member> earlier = new HashMap<>();
@@ -127,7 +129,7 @@
     return unresponsive == null ? null : situation.group().without(unresponsive.getId());
   }
 
-  /** The member of an odd group that makes way for a joiner, or null. */
+  /** The failed member of an odd group that a joiner replaces, or null. */
   private Member replacedBy(Joiner joiner, Situation situation) {
     for (Member member : situation.group().members()) {
       boolean sameAddress = member.getAddress().equals(joiner.member().getAddress());
@@ -139,8 +141,8 @@
   }
 
   /**
-   * A member that never answered this owner is replaced sooner: the time that the owner's election
-   * took belongs to its silence.
+   * A member that has never answered this owner is replaced sooner, since it has been unresponsive
+   * during the owner's election too.
    */
   private long replaceAfter(Member member, Situation situation) {
     boolean responded = situation.contacts().hasContact(member.getId());
@@ -148,9 +150,9 @@
   }
 
   /**
-   * A joiner mostly takes the place of a member that has just died. It waits until that one would
-   * be known dead and leaves first: beside it, it would make the group even with one member dead.
-   * At the first start of the whole system nobody is replaced, and the group grows at once.
+   * A joiner usually replaces a member that has just failed. It waits until that member would be
+   * detected and removed first; otherwise the group would be even, with a failed member. At the
+   * first start of the system no member is replaced, and the group grows at once.
    */
   private boolean mayGrow(Joiner joiner, Situation situation) {
     boolean firstStart = joiner.isFounding() && isFounding(situation.group());
@@ -175,13 +177,13 @@
         .allMatch(member -> member.equals(NodeIdentity.founding(member.getAddress())));
   }
 
-  /** Of the other members that were silent for longer than their limit, the one silent longest. */
+  /** Of the other members without contact for longer than their limit, the longest one, or null. */
   private static Member longestUnresponsive(Situation situation, ToLongFunction<Member> limit) {
     Member longest = null;
     for (Member member : situation.group().members()) {
       long sinceLastContact = situation.sinceLastContact(member);
-      boolean dead = !situation.isSelf(member) && sinceLastContact > limit.applyAsLong(member);
-      if (dead && (longest == null || sinceLastContact > situation.sinceLastContact(longest))) {
+      boolean failed = !situation.isSelf(member) && sinceLastContact > limit.applyAsLong(member);
+      if (failed && (longest == null || sinceLastContact > situation.sinceLastContact(longest))) {
         longest = member;
       }
     }
--- a/control/src/main/java/nettletrail/control/shard/InvalidConfigurationException.java
+++ b/control/src/main/java/nettletrail/control/shard/InvalidConfigurationException.java
@@ -1,11 +1,16 @@
 package nettletrail.control.shard;
 
-/** A document or a patch that must not come into force; the message says why, for the operator. */
+/** A document or a patch that can't be applied; the message tells the operator why. */
 public final class InvalidConfigurationException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
-  /** Says what is wrong. */
+  /**
+   * Rejects a document or a patch.
+   *
+   * @param reason for the operator
+   * @param cause the error behind it, or null
+   */
   public InvalidConfigurationException(String reason, Throwable cause) {
     super(reason, cause);
   }
--- a/control/src/main/java/nettletrail/control/shard/MemberContacts.java
+++ b/control/src/main/java/nettletrail/control/shard/MemberContacts.java
@@ -1,17 +1,17 @@
 package nettletrail.control.shard;
 
-/** What an owner knows of the members' life. Instants of its own steady clock. */
+/** When the members of a group last answered its owner. Instants of the owner's steady clock. */
 interface MemberContacts {
 
-  /** When a member was last heard of; the start of the ownership, or earlier, if it never was. */
+  /** When there was last contact with a member; if never, when the owner began to count. */
   long lastContactAt(String id);
 
-  /** True if a member has answered this owner, or was heard of as the former owner. */
+  /** True if a member has answered this owner, or was seen before as the former owner. */
   boolean hasContact(String id);
 
   /**
-   * When the latest heartbeat that a member granted was sent; {@link ReplicaGroup#NEVER} if none
-   * was.
+   * When the owner sent the latest heartbeat that a member granted; {@link ReplicaGroup#NEVER} if
+   * it granted none.
    */
   long grantRequestedAt(String id);
 }
--- a/control/src/main/java/nettletrail/control/shard/OperatorRequestRouter.java
+++ b/control/src/main/java/nettletrail/control/shard/OperatorRequestRouter.java
@@ -9,24 +9,24 @@
 import nettletrail.protocol.OrderForwardReply;
 
 /**
- * Passes the operator's calls that arrived at this process to the owner of the configuration shard,
- * which may be this process, and relays the answers. A call waits some time for an owner to be
- * known; one without an answer in time gets 503.
+ * Forwards operators' calls that arrived at this process to the owner of the configuration shard,
+ * which may be this process, and relays the answers. While no owner is known a call is kept for a
+ * limited time; a call without an answer in time gets 503.
  *
- * <p>An answer that rests on the owner's lease is true of an instant between the arrival of the
- * call and its own arrival here. It is valid for no longer than a call may take, so that one that
- * was held up in this process or on its way is not given late; at the owner itself for no longer
- * than its lease.
+ * <p>An answer that relies on the owner's lease is linearizable: it holds at some instant between
+ * the arrival of the call and its own arrival here. It is valid for no longer than the time-out of
+ * a call, so that an answer that was delayed here or on its way isn't given late; at the owner
+ * itself it is valid for no longer than the lease.
  */
 final class OperatorRequestRouter {
 
-  /** A call that was not answered yet. */
+  /** A call without an answer so far. */
   private static final class PendingCall {
     final long call;
     final OrderForward message;
     final long receivedAt;
 
-    /** The process whose answer counts; empty while it was passed to none, or that was no owner. */
+    /** The process whose answer counts; empty if there is none, or it was not the owner. */
     String forwardedTo = "";
 
     PendingCall(long call, OrderForward message, long receivedAt) {
@@ -46,8 +46,10 @@
   private long lastForwardId;
 
   /**
-   * Numbers its messages from firstForward, which differs between lives of a process so that late
-   * answers find nobody.
+   * Creates a router.
+   *
+   * @param firstForwardId the forwarded messages are numbered from here; differs between
+   *     incarnations of a process, so that late answers to an earlier one match no call
    */
   OperatorRequestRouter(ShardSettings settings, ActionQueue actionQueue, long firstForwardId) {
     this.settings = settings;
@@ -55,6 +57,7 @@
     this.lastForwardId = firstForwardId;
   }
 
+  /** Takes an operator's call; ownerAddress is empty if no owner is known. */
   void submit(
       long call, String method, String ifMatch, byte[] body, String ownerAddress, long now) {
     if (!method.equals("GET") && !method.equals("PUT") && !method.equals("PATCH")) {
@@ -83,9 +86,10 @@
   }
 
   /**
-   * Takes an owner's answer, and leaves one of a process that the call was not passed to last.
+   * Takes an owner's answer; ignored unless it comes from the process that the call was last
+   * forwarded to.
    *
-   * @param peer who sent it
+   * @param peer the sender's address
    * @param sentUntil the end of the owner's lease if that is this process, or {@link
    *     CoreAction#ALWAYS}
    */
@@ -107,7 +111,7 @@
     respond(call.call, reply.getStatus(), reply.getEdition(), reply.getBody(), validUntil);
   }
 
-  /** Passes on what waits for an owner and gives up on what took too long. */
+  /** Forwards calls that had no owner, and answers calls that have timed out. */
   void tick(String ownerAddress, long now) {
     List<PendingCall> calls = new ArrayList<>(pending.values());
     for (PendingCall call : calls) {
--- a/control/src/main/java/nettletrail/control/shard/PeerDirectory.java
+++ b/control/src/main/java/nettletrail/control/shard/PeerDirectory.java
@@ -7,8 +7,8 @@
 import nettletrail.protocol.Member;
 
 /**
- * What a core process knows of the others beyond the groups that its own replicas hold: seeds, and
- * what answers to queries tell.
+ * The addresses of other core processes: the seeds, the members that confirmation replies report,
+ * and the groups of this process' own replicas.
  */
 final class PeerDirectory {
 
@@ -22,6 +22,7 @@
     this.seeds = List.copyOf(seeds);
   }
 
+  /** Takes the members and the owner that another process reports. */
   void onConfirmReply(ConfirmReply reply, long now) {
     if (reply.getAcceptedSequence() >= reportedSequence && !reply.getMembers().isEmpty()) {
       reportedSequence = reply.getAcceptedSequence();
@@ -34,12 +35,12 @@
   }
 
   /**
-   * The owner of the configuration shard as another process named it at most maximumAge ago, else
-   * empty.
+   * The address of the configuration shard's owner, if another process reported one at most maxAge
+   * nanoseconds ago, else empty.
    */
-  String reportedOwner(long now, long maximumAge) {
-    boolean fresh = now - reportedOwnerAt <= maximumAge;
-    return fresh ? reportedOwner : "";
+  String reportedOwner(long now, long maxAge) {
+    boolean recent = now - reportedOwnerAt <= maxAge;
+    return recent ? reportedOwner : "";
   }
 
   /** The accepted sequence that came with {@link #reportedGroup}, or -1. */
@@ -52,7 +53,7 @@
     return new ReplicaGroup(reportedMembers);
   }
 
-  /** Every address that may lead to the owner of a shard. */
+  /** All known addresses, the seeds first. */
   Set<String> addresses(List<ShardReplica> replicas) {
     Set<String> addresses = new LinkedHashSet<>(seeds);
     addAll(addresses, reportedMembers);
--- a/control/src/main/java/nettletrail/control/shard/ProposalNumbers.java
+++ b/control/src/main/java/nettletrail/control/shard/ProposalNumbers.java
@@ -2,10 +2,10 @@
 
 import nettletrail.protocol.ProposalNumber;
 
-/** Order of ballots: by round, then node. A missing ballot is below all others. */
+/** The total order of proposal numbers: by term, then node. Null is below all others. */
 public final class ProposalNumbers {
 
-  /** Below every ballot that a candidate uses. */
+  /** Below every proposal number that a candidate uses. */
   public static final ProposalNumber ZERO = new ProposalNumber(0L, "");
 
   private ProposalNumbers() {}
@@ -14,21 +14,23 @@
   public static int compare(ProposalNumber left, ProposalNumber right) {
     ProposalNumber first = orZero(left);
     ProposalNumber second = orZero(right);
-    int byRound = Long.compare(first.getTerm(), second.getTerm());
-    return byRound != 0 ? byRound : first.getNode().compareTo(second.getNode());
+    int byTerm = Long.compare(first.getTerm(), second.getTerm());
+    return byTerm != 0 ? byTerm : first.getNode().compareTo(second.getNode());
   }
 
-  /** True when the left one is strictly above the right one. */
+  /** True if the left one is strictly above the right one; null counts as {@link #ZERO}. */
   public static boolean above(ProposalNumber left, ProposalNumber right) {
     return compare(left, right) > 0;
   }
 
-  /** The higher one. */
+  /** The higher one; never null. */
   public static ProposalNumber max(ProposalNumber left, ProposalNumber right) {
     return compare(left, right) >= 0 ? orZero(left) : orZero(right);
   }
 
-  /** The lowest ballot of a node that is above the given one. */
+  /**
+   * A proposal number of a node, with the term after the given one's; the given one may be null.
+   */
   public static ProposalNumber next(ProposalNumber seen, String node) {
     return new ProposalNumber(orZero(seen).getTerm() + 1, node);
   }
--- a/control/src/main/java/nettletrail/control/shard/QuorumReads.java
+++ b/control/src/main/java/nettletrail/control/shard/QuorumReads.java
@@ -7,25 +7,25 @@
 import nettletrail.protocol.ShardVersion;
 
 /**
- * Quorum reads of one shard: up to which instant is it certain that no version was committed beyond
- * the one this process knows?
+ * Evaluates quorum reads of one shard: until which instant is it certain that no version newer than
+ * the one that this process knows was committed?
  *
- * <p>A replica that reported an accepted sequence of at most s, when asked at t or later, had not
- * accepted any committed version above s before t. So the majority-th latest instant at which
- * members of the known version's group were asked and reported no more than the known sequence is
- * confirmed. The next version's group shares a member with each majority of this one, so a change
- * of the group does not slip through. A higher version that is accepted but not committed holds
- * this up until the owner settles it.
+ * <p>A replica that reports an accepted sequence of at most s, in answer to a query sent at t, had
+ * not accepted any committed version above s before t. The confirmed instant is the latest one such
+ * that queries sent at it or later were answered so by a majority of the known version's group,
+ * with the known sequence as s. Every majority of the next version's group shares a member with
+ * each majority of this one, so a change of the group is not missed. A newer version that is
+ * accepted but not committed delays confirmation until the owner commits it.
  */
 final class QuorumReads {
 
   private final Map<String, Report> latestReports = new HashMap<>();
   private long confirmedAt = ReplicaGroup.NEVER;
 
-  /** What a member said last. */
+  /** A member's latest report. */
   private record Report(long requestedAt, VersionStamp accepted) {}
 
-  /** Takes the answer of a member; answers to earlier rounds than one already heard are dropped. */
+  /** Takes a member's answer; ignored if a later round's answer has come already. */
   void onReply(ConfirmReply reply) {
     Report before = latestReports.get(reply.getSender());
     if (before != null && before.requestedAt() >= reply.getSentAt()) {
@@ -36,7 +36,7 @@
     latestReports.put(reply.getSender(), new Report(reply.getSentAt(), accepted));
   }
 
-  /** Works out what is confirmed now for the newest committed version. */
+  /** Recomputes the confirmed instant for the newest committed version, which may be null. */
   void update(ShardVersion committed) {
     if (committed == null) {
       return;
@@ -67,7 +67,7 @@
     return reports >= group.majority();
   }
 
-  /** Keeps the reports of these members only, so that memory stays bounded. */
+  /** Drops the reports of processes that are no members, so that memory stays bounded. */
   void retain(ReplicaGroup group) {
     latestReports.keySet().removeIf(id -> !group.contains(id));
   }
--- a/control/src/main/java/nettletrail/control/shard/ReplicaGroup.java
+++ b/control/src/main/java/nettletrail/control/shard/ReplicaGroup.java
@@ -8,10 +8,12 @@
 import nettletrail.control.RendezvousHash;
 import nettletrail.protocol.Member;
 
-/** The replicas that decide about a version of a shard. Immutable. */
+/**
+ * The members whose majorities commit a version of a shard, as the version names them. Immutable.
+ */
 public final class ReplicaGroup {
 
-  /** Returned where no majority has an instant. */
+  /** In place of an instant that there is none of; before all instants. */
   public static final long NEVER = Long.MIN_VALUE;
 
   private final List<Member> members;
@@ -51,7 +53,7 @@
     return null;
   }
 
-  /** True if the identities given hold more than half of the group; strangers don't count. */
+  /** True if more than half of the members are among the identities; others don't count. */
   public boolean hasMajority(Set<String> ids) {
     int count = 0;
     for (Member member : members) {
@@ -63,8 +65,8 @@
   }
 
   /**
-   * The latest instant that a majority has reached, or {@link #NEVER}; members without an instant
-   * give {@link #NEVER}.
+   * The latest instant that the instants of a majority are not before, or {@link #NEVER}; a member
+   * without an instant has {@link #NEVER}.
    */
   public long majorityInstant(ToLongFunction<Member> instantOf) {
     if (members.isEmpty()) {
@@ -93,8 +95,9 @@
   }
 
   /**
-   * The rank of an address among the group's for a shard, by rendezvous hashing: 0 for the member
-   * that should stand first for its election. Each shard orders the members differently.
+   * The rank of an address among the members' for a shard, by rendezvous hashing; the member of
+   * rank 0 is the first to start an election. Shards rank the members differently, which spreads
+   * the owners.
    */
   int rendezvousRank(int shard, String address) {
     long own = RendezvousHash.weight(shard, address);
--- a/control/src/main/java/nettletrail/control/shard/ShardSettings.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardSettings.java
@@ -5,24 +5,24 @@
 /**
  * Times and bounds of the replicated shards. All times are nanoseconds.
  *
- * @param lease how long a replica that answered a heartbeat promises itself to no other owner
- * @param leaseMargin what the holder takes off for clocks that run at different rates
+ * @param lease how long a replica that granted a heartbeat promises nothing to other candidates
+ * @param leaseMargin by how much the owner shortens its lease, for clocks of different rates
  * @param heartbeat period of the owner's heartbeats
- * @param electionStagger how much later each further replica stands for election
- * @param electionTimeout how long a candidate waits for a majority in each of its two rounds
- * @param resend how long an owner waits before it sends a version to a replica once more
- * @param confirm period of the rounds that confirm the newest version with a majority
- * @param join period at which a process that is no member asks to be one
- * @param joinerFresh how long a request to join counts
- * @param replaceAfter silence after which a member makes way for a joiner
+ * @param electionStagger delay between the elections of replicas of successive ranks
+ * @param electionTimeout how long a candidate waits for a majority in each phase
+ * @param resend after what time an owner may first send a version to a replica again
+ * @param confirm period of the confirmation rounds
+ * @param join period of the join requests of a process that is no member
+ * @param joinerFresh how long a join request is valid
+ * @param replaceAfter time without contact after which a joiner replaces a member
  * @param replaceUnheardAfter as replaceAfter, for a member that has never answered this owner
- * @param removeAfter silence after which a member leaves a group of an even size
- * @param fullGroup how many members a group needs to bear the losses that the system withstands
- * @param bootstrapWait how long after the first start of the whole system the owner holds orders
- *     until the group is full
- * @param ownerWait how long an operator's call waits for an owner to be known
- * @param requestTimeout how long an operator's call may take before its outcome counts as unknown
- * @param requestQueueCapacity how many calls may wait for a write in progress
+ * @param removeAfter time without contact after which a member leaves an even group
+ * @param fullGroup how many members a group needs to tolerate the configured losses
+ * @param bootstrapWait how long after the first start of the system the owner delays writes while
+ *     the group is not full
+ * @param ownerWait how long an operator's call is kept while no owner is known
+ * @param requestTimeout time-out of an operator's call; its outcome is unknown afterwards
+ * @param requestQueueCapacity how many calls may be queued behind the write in flight
  */
 public record ShardSettings(
     long lease,
@@ -61,17 +61,22 @@
   private static final long REQUEST_TIMEOUT_MS = 900;
   private static final int REQUEST_QUEUE_CAPACITY = 64;
 
-  /** Checks that a lease outlasts some heartbeats and its margin. */
+  /**
+   * Checks the settings against each other.
+   *
+   * @throws IllegalArgumentException if the lease does not outlast two heartbeats and its margin,
+   *     or ownerWait exceeds requestTimeout
+   */
   public ShardSettings {
     if (heartbeat <= 0 || lease < 2 * heartbeat || leaseMargin < 0 || leaseMargin >= lease / 2) {
       throw new IllegalArgumentException("lease must outlast two heartbeats and its margin");
     }
     if (ownerWait > requestTimeout) {
-      throw new IllegalArgumentException("orderHold must not exceed orderTimeout");
+      throw new IllegalArgumentException("ownerWait must not exceed requestTimeout");
     }
   }
 
-  /** The values that the design note names. */
+  /** The values of the design note. */
   public static ShardSettings defaults() {
     return new ShardSettings(
         millis(LEASE_MS),
@@ -93,7 +98,7 @@
         REQUEST_QUEUE_CAPACITY);
   }
 
-  /** The same for a system that withstands the loss of so many core machines at once. */
+  /** These settings for a system that tolerates the loss of so many core machines at once. */
   public ShardSettings withstanding(int machines) {
     return new ShardSettings(
         lease,
--- a/control/src/main/java/nettletrail/control/shard/ShardStatus.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardStatus.java
@@ -6,11 +6,11 @@
 import nettletrail.protocol.ShardVersion;
 
 /**
- * What one core process knows of a shard, for operators; decides nothing.
+ * The state of a shard as one core process knows it, for operators. Immutable.
  *
  * @param shard its number
- * @param ownerAddress where the owner is dialled; empty if none is known
- * @param owned whether this process holds the owner's lease
+ * @param ownerAddress the owner's address; empty if none is known
+ * @param owned true if this process holds the owner's lease
  * @param token the fencing token of this process, null unless it is the owner
  * @param leaseLeftMs how long this process's lease as owner still runs; 0 unless it owns the shard
  * @param ownerLastSeenAgoMs how long ago an owner's heartbeat was granted here; 0 for the owner
--- a/control/src/main/java/nettletrail/control/shard/StoredConfiguration.java
+++ b/control/src/main/java/nettletrail/control/shard/StoredConfiguration.java
@@ -5,12 +5,12 @@
 import nettletrail.protocol.ShardVersion;
 
 /**
- * What a version of the configuration shard holds, for operators and tools; decides nothing.
+ * The content of a version of the configuration shard, for operators and tools. Immutable.
  *
  * @param sequence the version's number
- * @param edition the document's edition; 0 if nothing was taken yet
+ * @param edition the document's edition; 0 before the first change
  * @param document the document's JSON; empty at edition 0
- * @param changes the orders that were taken, the oldest first
+ * @param changes the changes that were applied and are remembered, the oldest first
  */
 public record StoredConfiguration(
     long sequence, long edition, byte[] document, List<ConfigurationChange> changes) {
--- a/control/src/main/java/nettletrail/control/shard/VersionFetches.java
+++ b/control/src/main/java/nettletrail/control/shard/VersionFetches.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * Which peer a process that is behind may ask for the newest committed version.
+ * Decides which peer a process that is behind may request the newest committed version from.
  *
- * <p>A peer that was asked is asked again only once it has answered a query that was sent after the
- * request: a link keeps the order, so the version has arrived before that answer or is lost.
- * Another peer is asked meanwhile only after some time. So on a thin link no version queues behind
- * another one from the same peer.
+ * <p>A request to the same peer is repeated only once the peer has answered a query that was sent
+ * after the request: links are ordered, so the version has arrived before that answer or is lost.
+ * Until then another peer gets a request only after some time. So on a slow link no version queues
+ * behind another one from the same peer.
  */
 final class VersionFetches {
 
-  /** After how many rounds of queries a peer counts as slow, and another is asked too. */
+  /** After how many confirmation rounds a request may go to another peer too. */
   private static final int ROUNDS_UNTIL_SLOW = 4;
 
   private final ShardSettings settings;
@@ -26,9 +26,9 @@
   }
 
   /**
-   * True if a peer that is ahead should be asked now.
+   * True if a peer that is ahead should get a request now.
    *
-   * @param querySentAt when the query was sent that it has just answered
+   * @param querySentAt when the query that it has just answered was sent
    */
   boolean isDue(String peer, long querySentAt, long now) {
     if (querySentAt <= requestedAt.getOrDefault(peer, ReplicaGroup.NEVER)) {
@@ -42,19 +42,19 @@
     return now - lastRequestedAt >= rounds * settings.confirm();
   }
 
-  /** The peer is asked now. */
+  /** A request is sent to the peer. */
   void onRequested(String peer, long now) {
     requestedAt.put(peer, now);
     lastRequestedAt = now;
     pendingPeer = peer;
   }
 
-  /** A version came, from whichever peer. */
+  /** A version has arrived, from whichever peer. */
   void onVersionReceived() {
     pendingPeer = "";
   }
 
-  /** Keeps what is known of members of the group only, so that memory stays bounded. */
+  /** Drops requests to processes that are no members, so that memory stays bounded. */
   void retain(ReplicaGroup group) {
     requestedAt.keySet().removeIf(address -> !hasAddress(group, address));
   }
--- a/control/src/main/java/nettletrail/control/shard/VersionStamp.java
+++ b/control/src/main/java/nettletrail/control/shard/VersionStamp.java
@@ -4,10 +4,10 @@
 import nettletrail.protocol.ShardVersion;
 
 /**
- * What orders the versions of one shard: the ballot under which a version was written, then its
- * sequence number.
+ * The position of a version in the total order of one shard's versions: by the proposal number
+ * under which it was written, then by its sequence number.
  *
- * @param proposal the owner's ballot
+ * @param proposal the owner's proposal number
  * @param sequence counts the values of the register, from 0
  */
 record VersionStamp(ProposalNumber proposal, long sequence) implements Comparable<VersionStamp> {
--- a/control/src/main/java/nettletrail/control/shard/VersionTransfer.java
+++ b/control/src/main/java/nettletrail/control/shard/VersionTransfer.java
@@ -3,12 +3,13 @@
 /**
  * Decides when the owner of a shard sends a version to one replica.
  *
- * <p>At most one version is on its way to a replica. The newest one follows as soon as the replica
- * acknowledges the one before; those between are skipped, since each version is the whole value. A
- * version that is not acknowledged counts as lost only when the replica has answered a heartbeat
- * that was sent after it, which a link delivers behind it, and some time has passed. So neither a
- * resend nor a newer version queues behind a predecessor on a thin link. The time doubles with each
- * resend up to a bound, for replicas whose disk is slow or full.
+ * <p>At most one version is in flight to a replica. The newest one follows as soon as the replica
+ * acknowledges the one before; those in between are skipped, since each version is the complete
+ * value. A version without an acknowledgement counts as lost only when the replica has answered a
+ * heartbeat that was sent after it, which an ordered link delivers after it, and the resend
+ * interval has passed. So neither a retransmission nor a newer version queues behind an older one
+ * on a slow link. The interval doubles with each retransmission, up to a bound, for replicas whose
+ * disk is slow or full.
  */
 final class VersionTransfer {
 
@@ -30,7 +31,7 @@
     return inFlight;
   }
 
-  /** A version leaves for the replica now. */
+  /** A version is sent to the replica. */
   void start(VersionStamp version, long now) {
     if (inFlight) {
       resendInterval = Math.min(2 * resendInterval, MAX_RESEND_FACTOR * initialResendInterval);
@@ -40,7 +41,7 @@
     inFlight = true;
   }
 
-  /** The replica holds this version durably. */
+  /** The replica has stored this version. */
   void onAcknowledged(VersionStamp acknowledged) {
     if (inFlight && acknowledged.compareTo(sent) >= 0) {
       inFlight = false;
--- a/control/src/test/java/nettletrail/control/shard/AppliedChangesTest.java
+++ b/control/src/test/java/nettletrail/control/shard/AppliedChangesTest.java
@@ -59,8 +59,8 @@
 
   @Test
   void givenMoreOrdersThanAreRemembered_whenOneOfTheFirstComesAgain_thenItIsNotSaidToBeNotTaken() {
-    AppliedChanges history = historyOf(AppliedChanges.MAX_ORDERS + 5);
-    assertEquals(AppliedChanges.MAX_ORDERS, history.changes().size());
+    AppliedChanges history = historyOf(AppliedChanges.MAX_CHANGES + 5);
+    assertEquals(AppliedChanges.MAX_CHANGES, history.changes().size());
     assertEquals(Outcome.UNKNOWN, outcome(history, 0, "order 1"));
     assertEquals(Outcome.UNKNOWN, outcome(history, 12, "order 5"));
     assertEquals(Outcome.APPLIED, outcome(history, 15, "order 6"));
@@ -81,10 +81,10 @@
   @Test
   void givenLongDay_whenEncoded_thenTheHistoryStaysSmall() {
     assertTrue(encodedBytes(1_100) <= 22_500, encodedBytes(1_100) + " bytes");
-    assertTrue(encodedBytes(AppliedChanges.MAX_ORDERS) <= 84_000);
+    assertTrue(encodedBytes(AppliedChanges.MAX_CHANGES) <= 84_000);
     assertEquals(
-        encodedBytes(AppliedChanges.MAX_ORDERS),
-        encodedBytes(AppliedChanges.MAX_ORDERS + 100),
+        encodedBytes(AppliedChanges.MAX_CHANGES),
+        encodedBytes(AppliedChanges.MAX_CHANGES + 100),
         200);
   }
 
