--- a/control/src/main/java/nettletrail/control/CoreRegistry.java
+++ b/control/src/main/java/nettletrail/control/CoreRegistry.java
@@ -197,7 +197,7 @@
     }
     configurationSequence = sequence;
     doors.configuration(sequence, edition, document);
-    grants.limits(limits, now);
+    grants.updateLimits(limits, now);
     return flush(now);
   }
 
@@ -317,7 +317,7 @@
   private void noteOwnedShards(long now) {
     for (int shard = 0; shard < ownership.shardCount(); shard++) {
       if (ownership.owns(shard, now)) {
-        grants.owned(shard, ownership.token(shard), now);
+        grants.shardOwned(shard, ownership.token(shard), now);
       }
     }
   }
@@ -328,7 +328,7 @@
     if (!known || !ownership.owns(shard, now)) {
       return GrantOwner.notOwner(settings.address(), request);
     }
-    return grants.answer(settings.address(), request, ownership.token(shard), now);
+    return grants.grant(settings.address(), request, ownership.token(shard), now);
   }
 
   private DoorHeartbeatReply heartbeatReply(DoorHeartbeat heartbeat, long now) {
--- a/control/src/main/java/nettletrail/control/grant/QuotaLimit.java
+++ b/control/src/main/java/nettletrail/control/grant/QuotaLimit.java
@@ -1,10 +1,10 @@
 package nettletrail.control.grant;
 
 /**
- * A tenant's limit over all doors together.
+ * A tenant's rate limit over all doors together.
  *
- * @param ratePerSecond tokens a second; 0 means no limit
- * @param burst tokens beyond the rate
+ * @param ratePerSecond tokens per second, at least 0; 0 means no limit
+ * @param burst tokens that may be used beyond the rate at one time, at least 0
  */
 public record QuotaLimit(double ratePerSecond, double burst) {
   /** No limit. */
--- a/control/src/main/java/nettletrail/control/grant/QuotaStatus.java
+++ b/control/src/main/java/nettletrail/control/grant/QuotaStatus.java
@@ -1,13 +1,13 @@
 package nettletrail.control.grant;
 
 /**
- * A tenant's quota at the owner of its shard, for operators; decides nothing. Counts in tokens.
+ * A tenant's token bucket at the owner of its shard, as shown to operators. Counts in tokens.
  *
- * @param limit the limit in force
- * @param level what could be granted now, as of the last request
- * @param outstanding what doors may still use of what was granted
- * @param capacity what level and outstanding together never exceed
- * @param doorsServing doors that asked within the last seconds
+ * @param limit the active limit
+ * @param level tokens that could be granted now, as of the last request
+ * @param outstanding granted tokens that doors may still use
+ * @param capacity the upper bound of {@code level + outstanding}
+ * @param doorsServing how many doors requested tokens within the last seconds
  */
 public record QuotaStatus(
     QuotaLimit limit, double level, double outstanding, double capacity, int doorsServing) {}
--- a/control/src/test/java/nettletrail/control/QuotaTraffic.java
+++ b/control/src/test/java/nettletrail/control/QuotaTraffic.java
@@ -185,7 +185,8 @@
   /** The largest sum of any window, as a part of the bound. */
   double worstWindow(GrantTerms terms, QuotaLimit limit) {
     double bound =
-        (limit.ratePerSecond() * terms.windowSeconds() + limit.burst()) * (1 + terms.overPart())
+        (limit.ratePerSecond() * terms.windowSeconds() + limit.burst())
+                * (1 + terms.overshootFraction())
             + terms.slackTokens();
     long span = (long) (terms.windowSeconds() * SECOND);
     double worst = 0;
