--- a/control/src/main/java/nettletrail/control/door/BackendView.java
+++ b/control/src/main/java/nettletrail/control/door/BackendView.java
@@ -8,210 +8,185 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import nettletrail.control.registry.BackendOrdering;
 import nettletrail.protocol.Backend;
-import nettletrail.protocol.BackendState;
 
 /**
  * All backends as the door sees them, merged over the feeds of all core processes.
  *
- * <p>Of several reports about a backend the one that wins by {@link BackendOrdering} counts,
- * whoever sent it. A backend leaves when it is gone, or when a core process lets it expire that no
- * other linked one holds; a core process that is cut off or has restarted removes nothing by that.
- * What no linked core process holds any more leaves after a while, unless none is linked.
+ * <p>Of several registrations of a backend the one that wins by {@link BackendOrdering} counts,
+ * whichever core process reported it. A backend is removed when it is gone, or when a core process
+ * lets it expire and no other core process with a live feed lists it; a core process that is
+ * partitioned or has restarted removes nothing by that. A backend that no live feed lists is
+ * removed after a while, unless no feed is live.
  *
- * <p>That a backend closes or is gone may have been acknowledged by core processes that all lost it
- * since. So the view keeps which of them reported it, and names what the others lack.
+ * <p>All core processes that acknowledged a deregistration may have lost it since. The view
+ * therefore keeps which of them reported it, and tells which deregistrations the others miss.
+ *
+ * <p>Instants are nanoseconds of the steady clock.
  */
 final class BackendView {
-  private static final long MILLIS = 1_000_000L;
-  private static final long UNHELD_FOR = 20_000 * MILLIS;
-  private static final long TOMBSTONE_AGE = 600_000 * MILLIS;
+  private static final long UNLISTED_EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(20);
+  private static final long TOMBSTONE_EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(600);
 
-  /** Core processes tell each other within this time; what one lacks later, it may have lost. */
-  private static final long ENDS_SPREAD_WITHIN = 500 * MILLIS;
+  /** Core processes replicate a deregistration within this time; one that lacks it lost it. */
+  private static final long DEREGISTRATION_SPREAD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Calls of backends don't arrive later than this; afterwards nothing can undo an end. */
-  private static final long ENDS_MATTER_FOR = 60_000 * MILLIS;
+  /** Delayed registrations arrive within this time; later ones can't undo a deregistration. */
+  private static final long DEREGISTRATION_RELEVANCE_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
+  private final Map<String, KnownBackend> known = new LinkedHashMap<>();
   private final Map<String, List<Backend>> byService = new HashMap<>();
-  private final Set<String> linked = new HashSet<>();
+  private final Set<String> liveFeeds = new HashSet<>();
   private final Set<String> changedServices = new HashSet<>();
-  private long linkedSince;
-
-  /** One backend; holders are the core processes in whose feed it stands, linked or not. */
-  private static final class Entry {
-    Backend backend;
-    final Set<String> holders = new HashSet<>(4);
-
-    /** The core processes that reported the backend in its present state. */
-    final Set<String> stateKnownTo = new HashSet<>(4);
-
-    long heldAt;
-    long stateSince;
-  }
+  private long liveSince;
 
-  /** The core processes whose feed is being followed. */
-  Set<String> linked() {
-    return Set.copyOf(linked);
+  /** The core processes whose feed is followed without a gap, in no particular order. */
+  Set<String> liveFeeds() {
+    return Set.copyOf(liveFeeds);
   }
 
-  /** The feed of this core process is being followed. */
-  void linked(String core, long now) {
-    if (linked.isEmpty()) {
-      linkedSince = now;
+  /** The feed of this core process is followed without a gap. */
+  void feedLive(String core, long now) {
+    if (liveFeeds.isEmpty()) {
+      liveSince = now;
     }
-    linked.add(core);
+    liveFeeds.add(core);
   }
 
-  /** The feed of this core process isn't heard any more; what it holds stays. */
-  void unlinked(String core) {
-    linked.remove(core);
+  /** The link to this core process is lost; the backends that it listed stay. */
+  void feedLost(String core) {
+    liveFeeds.remove(core);
   }
 
-  /** A core process holds this. */
-  void reported(String core, Backend backend, long now) {
-    Entry entry = entries.computeIfAbsent(backend.getId(), id -> new Entry());
-    entry.holders.add(core);
-    entry.heldAt = now;
-    if (!BackendOrdering.replaces(backend, entry.backend)) {
-      noteStateKnown(entry, core, backend);
+  /** A core process lists this registration. */
+  void update(String core, Backend reported, long now) {
+    KnownBackend backend = known.computeIfAbsent(reported.getId(), id -> new KnownBackend());
+    backend.listed(core, now);
+    Backend earlier = backend.registration();
+    if (!BackendOrdering.replaces(reported, earlier)) {
+      backend.confirmState(core, reported);
       return;
     }
-    Backend earlier = entry.backend;
-    entry.backend = backend;
-    if (earlier == null || earlier.getState() != backend.getState()) {
-      entry.stateKnownTo.clear();
-      entry.stateSince = now;
-    }
-    entry.stateKnownTo.add(core);
-    if (earlier == null ? !BackendOrdering.isGone(backend) : differs(earlier, backend)) {
-      changed(backend);
+    backend.replace(core, reported, now);
+    if (earlier == null ? !BackendOrdering.isGone(reported) : differs(earlier, reported)) {
+      serviceChanged(reported);
       if (earlier != null) {
-        changed(earlier);
+        serviceChanged(earlier);
       }
     }
   }
 
-  private static void noteStateKnown(Entry entry, String core, Backend reported) {
-    if (reported.getState() == entry.backend.getState()) {
-      entry.stateKnownTo.add(core);
+  /** A core process let this backend expire. */
+  void expired(String core, String id) {
+    KnownBackend backend = known.get(id);
+    if (backend == null || backend.isGone()) {
+      return;
     }
-  }
-
-  /**
-   * The backends that close or are gone, as the door knows for some time, and that this core
-   * process never reported so in its present life.
-   */
-  List<Backend> endsUnknownTo(String core, long now) {
-    List<Backend> unknown = new ArrayList<>();
-    for (Entry entry : entries.values()) {
-      long age = now - entry.stateSince;
-      boolean matters = age > ENDS_SPREAD_WITHIN && age < ENDS_MATTER_FOR;
-      boolean ends = entry.backend.getState() != BackendState.READY;
-      if (ends && matters && !entry.stateKnownTo.contains(core)) {
-        unknown.add(entry.backend);
-      }
+    backend.unlisted(core);
+    if (!backend.isListedByAnyOf(liveFeeds)) {
+      known.remove(id);
+      serviceChanged(backend.registration());
     }
-    return unknown;
   }
 
-  /** A core process let this expire. */
-  void expired(String core, String id) {
-    Entry entry = entries.get(id);
-    if (entry == null || BackendOrdering.isGone(entry.backend)) {
-      return;
-    }
-    entry.holders.remove(core);
-    if (!heldByLinked(entry)) {
-      entries.remove(id);
-      changed(entry.backend);
+  /** A snapshot of a feed that was followed before: what it lacks has expired. */
+  void resync(String core, List<Backend> contents, long now) {
+    for (String id : updateAll(core, contents, now)) {
+      expired(core, id);
     }
   }
 
   /**
-   * A core process's whole contents. {@code sameIncarnation}: of a feed that was followed before,
-   * so what it lacks is expired.
+   * A snapshot of a new incarnation of a core process, which starts with an empty memory: what it
+   * lacks stays, and what it reported before counts no longer.
    */
-  void snapshot(String core, List<Backend> contents, boolean sameIncarnation, long now) {
-    if (!sameIncarnation) {
-      entries.values().forEach(entry -> entry.stateKnownTo.remove(core));
+  void restart(String core, List<Backend> contents, long now) {
+    known.values().forEach(backend -> backend.forgetStateReport(core));
+    for (String id : updateAll(core, contents, now)) {
+      known.get(id).unlisted(core);
     }
-    Set<String> ids = new HashSet<>();
+  }
+
+  /** Returns the backends that this core process listed before and lists no longer. */
+  private List<String> updateAll(String core, List<Backend> contents, long now) {
+    Set<String> listed = new HashSet<>();
     for (Backend backend : contents) {
-      ids.add(backend.getId());
-      reported(core, backend, now);
+      listed.add(backend.getId());
+      update(core, backend, now);
     }
-    List<String> lacking = new ArrayList<>();
-    entries.forEach(
-        (id, entry) -> {
-          if (!ids.contains(id) && entry.holders.contains(core)) {
-            lacking.add(id);
+    List<String> unlisted = new ArrayList<>();
+    known.forEach(
+        (id, backend) -> {
+          if (!listed.contains(id) && backend.isListedBy(core)) {
+            unlisted.add(id);
           }
         });
-    for (String id : lacking) {
-      if (sameIncarnation) {
-        expired(core, id);
-      } else {
-        entries.get(id).holders.remove(core);
+    return unlisted;
+  }
+
+  /**
+   * The backends that are closing or gone, that the door has known to be so for longer than core
+   * processes take to replicate it, and that the present incarnation of this one never reported so.
+   */
+  List<Backend> deregistrationsMissingFrom(String core, long now) {
+    List<Backend> missing = new ArrayList<>();
+    for (KnownBackend backend : known.values()) {
+      long age = backend.stateAge(now);
+      boolean relevant = age > DEREGISTRATION_SPREAD_NANOS && age < DEREGISTRATION_RELEVANCE_NANOS;
+      if (relevant && backend.isDeregistered() && !backend.isStateReportedBy(core)) {
+        missing.add(backend.registration());
       }
     }
+    return missing;
   }
 
-  /** Lets go of what no linked core process has held for long, and of old tombstones. */
+  /** Removes what no live feed has listed for long, and old tombstones. */
   void tick(long now) {
-    for (Iterator<Entry> iterator = entries.values().iterator(); iterator.hasNext(); ) {
-      Entry entry = iterator.next();
-      if (heldByLinked(entry) && !BackendOrdering.isGone(entry.backend)) {
-        entry.heldAt = now;
-      } else if (isOld(entry, now)) {
+    for (Iterator<KnownBackend> iterator = known.values().iterator(); iterator.hasNext(); ) {
+      KnownBackend backend = iterator.next();
+      if (backend.isListedByAnyOf(liveFeeds) && !backend.isGone()) {
+        backend.stillListed(now);
+      } else if (isExpired(backend, now)) {
         iterator.remove();
-        changed(entry.backend);
+        serviceChanged(backend.registration());
       }
     }
   }
 
-  /** The backends of a service that aren't gone, ready and closing ones. */
-  List<Backend> backends(String service) {
-    return byService.computeIfAbsent(service, this::collect);
-  }
-
-  /** The services whose backends changed since this was asked last. */
-  Set<String> takeChangedServices() {
-    Set<String> changed = Set.copyOf(changedServices);
-    changedServices.clear();
-    return changed;
-  }
-
-  private boolean isOld(Entry entry, long now) {
-    if (BackendOrdering.isGone(entry.backend)) {
-      return now - entry.heldAt > TOMBSTONE_AGE;
+  private boolean isExpired(KnownBackend backend, long now) {
+    long unlistedFor = now - backend.lastListedAt();
+    if (backend.isGone()) {
+      return unlistedFor > TOMBSTONE_EXPIRY_NANOS;
     }
-    boolean coreTalks = !linked.isEmpty() && now - linkedSince > UNHELD_FOR;
-    return coreTalks && now - entry.heldAt > UNHELD_FOR;
+    boolean feedsAreStable = !liveFeeds.isEmpty() && now - liveSince > UNLISTED_EXPIRY_NANOS;
+    return feedsAreStable && unlistedFor > UNLISTED_EXPIRY_NANOS;
   }
 
-  private boolean heldByLinked(Entry entry) {
-    for (String holder : entry.holders) {
-      if (linked.contains(holder)) {
-        return true;
-      }
-    }
-    return false;
+  /** An immutable list of a service's backends that aren't gone: the ready and the closing ones. */
+  List<Backend> backends(String service) {
+    return byService.computeIfAbsent(service, this::collect);
   }
 
   private List<Backend> collect(String service) {
     List<Backend> backends = new ArrayList<>();
-    for (Entry entry : entries.values()) {
-      if (!BackendOrdering.isGone(entry.backend) && entry.backend.getService().equals(service)) {
-        backends.add(entry.backend);
+    for (KnownBackend backend : known.values()) {
+      if (!backend.isGone() && backend.registration().getService().equals(service)) {
+        backends.add(backend.registration());
       }
     }
     return List.copyOf(backends);
   }
 
-  private void changed(Backend backend) {
+  /** The services whose backends changed since the last call, in no particular order. */
+  Set<String> drainChangedServices() {
+    Set<String> changed = Set.copyOf(changedServices);
+    changedServices.clear();
+    return changed;
+  }
+
+  private void serviceChanged(Backend backend) {
     byService.remove(backend.getService());
     changedServices.add(backend.getService());
   }
--- a/control/src/main/java/nettletrail/control/door/ConfigurationFollower.java
+++ b/control/src/main/java/nettletrail/control/door/ConfigurationFollower.java
@@ -4,135 +4,148 @@
 import java.util.HashSet;
 import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import nettletrail.protocol.ConfigurationChunk;
 import nettletrail.protocol.ConfigurationFetch;
 
 /**
- * Gets the newest committed configuration to the door, once: one core process, the source, sends it
- * unasked, and the others only name its sequence. A door that knows of a newer sequence and gets no
- * piece of it for a while asks another core process for what is missing.
+ * Receives the newest committed configuration once: one core process, the source, pushes it, and
+ * the others only announce its sequence. A door that knows of a newer sequence and receives no
+ * chunk of it for a while fetches what is missing from another core process.
  *
- * <p>Nothing is asked for again while pieces still arrive. Each time that an asked one sends
- * nothing, the next one is given longer, so that doors don't flood a core that is slow. Times are
- * steady nanoseconds.
+ * <p>Nothing is fetched while chunks still arrive. The timeout doubles with each unanswered fetch,
+ * so that many doors don't overload a core that is slow. Instants are nanoseconds of the steady
+ * clock.
  */
 final class ConfigurationFollower {
-  private static final long MILLIS = 1_000_000L;
+  /** How long after the first announcement of a sequence the source has to begin to push it. */
+  private static final long PUSH_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-  /** How long after a sequence was first named the source has to begin to send it. */
-  private static final long SOURCE_BEGINS_WITHIN = 400 * MILLIS;
+  /** After so long without a chunk another core process is asked; doubles with each attempt. */
+  private static final long CHUNK_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
-  /** After so long without a piece another core process is asked; doubles with each attempt. */
-  private static final long PIECE_WITHIN = 600 * MILLIS;
-
-  private static final int MAX_DOUBLINGS = 2;
+  private static final int MAX_TIMEOUT_DOUBLINGS = 2;
 
   private final String door;
-  private final ConfigurationGate gate;
+  private final ConfigurationActivation activation;
   private final ConfigurationSource source;
   private final ConfigurationTransfer transfer = new ConfigurationTransfer();
-  private final Set<String> asked = new HashSet<>();
-  private long askedAt;
+  private final Set<String> attemptedAddresses = new HashSet<>();
+  private long lastFetchAt;
   private int attempts;
 
-  /** {@code gate} takes what comes whole. */
-  ConfigurationFollower(String door, String zone, ConfigurationGate gate) {
+  /** {@code activation} receives what is complete. */
+  ConfigurationFollower(String door, String zone, ConfigurationActivation activation) {
     this.door = door;
-    this.gate = gate;
+    this.activation = activation;
     this.source = new ConfigurationSource(door, zone);
   }
 
-  /** Whether this core process is to send new configurations unasked. */
+  /** Whether this core process is to push new configurations. */
   boolean isSource(CoreLink link) {
-    return source.is(link);
+    return source.isSource(link);
   }
 
   /** The newest sequence that is known to be committed, 0 for none. */
-  long newest() {
-    return source.newest();
+  long newestCommitted() {
+    return source.newestSequence();
   }
 
-  /** A core process named the newest sequence that it knows to be committed. */
-  void named(long sequence, long now) {
-    source.named(sequence, now);
+  /** A core process announced the newest sequence that it knows to be committed. */
+  void announced(long sequence, long now) {
+    source.announced(sequence, now);
   }
 
   /**
-   * A piece came; returns what to ask its sender for next. The source's next heartbeat is hurried
-   * once the document is whole, since it sends a newer one only after that.
+   * A chunk arrived. Once the document is complete the next heartbeat to the source is expedited,
+   * since the source pushes a newer document only after that.
+   *
+   * @return the fetch to send to the chunk's sender, empty if it needn't send more
    */
   Optional<ConfigurationFetch> received(
       ConfigurationChunk chunk, Collection<CoreLink> links, long now) {
-    source.named(chunk.getSequence(), now);
+    source.announced(chunk.getSequence(), now);
     if (chunk.getSize() == 0) {
-      gate.renumbered(chunk.getSequence(), chunk.getEdition());
-    } else if (!transfer.take(chunk, gate.heldSequence(), now)) {
+      activation.renumbered(chunk.getSequence(), chunk.getEdition());
+    } else if (!transfer.append(chunk, activation.newestSequence(), now)) {
       return Optional.empty();
     } else if (!transfer.isComplete()) {
-      return Optional.of(missing());
+      return Optional.of(nextFetch());
     } else {
-      gate.received(transfer.finish());
+      activation.received(transfer.finish());
     }
-    transfer.abandonUpTo(gate.heldSequence());
+    transfer.abandonUpTo(activation.newestSequence());
     attempts = 0;
-    hurrySource(links);
+    links.stream().filter(source::isSource).forEach(CoreLink::expediteHeartbeat);
     return Optional.empty();
   }
 
-  /** Changes the source where that is due. */
-  void chooseSource(Collection<CoreLink> links, long now) {
-    boolean arriving = transfer.isUnderWay() && now - transfer.progressAt() <= PIECE_WITHIN;
-    String before = source.address();
-    if (arriving && isUp(before, links) || !source.choose(links, now)) {
+  /**
+   * Selects another source where that is due; not while the present one is linked and its chunks
+   * arrive. The next heartbeats to the former and the new source are expedited, so that both learn
+   * of it.
+   */
+  void selectSource(Collection<CoreLink> links, long now) {
+    String previous = source.address();
+    if (isArriving(now) && isUp(previous, links) || !source.select(links, now)) {
       return;
     }
     links.stream()
-        .filter(link -> link.address().equals(before) || source.is(link))
-        .forEach(CoreLink::hurryHeartbeat);
+        .filter(link -> link.address().equals(previous) || source.isSource(link))
+        .forEach(CoreLink::expediteHeartbeat);
+  }
+
+  private boolean isArriving(long now) {
+    return transfer.isInProgress() && now - transfer.lastProgressAt() <= CHUNK_TIMEOUT_NANOS;
   }
 
   private static boolean isUp(String address, Collection<CoreLink> links) {
-    return links.stream().anyMatch(link -> link.up() && link.address().equals(address));
+    return links.stream().anyMatch(link -> link.isUp() && link.address().equals(address));
   }
 
-  /** What to ask another core process for, if something newer is known and doesn't come. */
-  Optional<DoorAction> fetchMissing(Collection<CoreLink> links, long now) {
-    if (source.newest() <= gate.heldSequence() || now - waitsUntil() < 0) {
+  /** The fetch to send to another core process, if a newer sequence is known and doesn't arrive. */
+  Optional<DoorAction> fetchOverdue(Collection<CoreLink> links, long now) {
+    boolean isCurrent = source.newestSequence() <= activation.newestSequence();
+    if (isCurrent || now - fetchDueAt() < 0) {
       return Optional.empty();
     }
     if (attempts == 0) {
-      asked.clear();
-      asked.add(source.address());
+      attemptedAddresses.clear();
+      attemptedAddresses.add(source.address());
     }
-    Optional<CoreLink> other = source.alternative(links, asked, now);
-    if (other.isEmpty()) {
+    Optional<CoreLink> alternative = source.alternative(links, attemptedAddresses, now);
+    if (alternative.isEmpty()) {
       return Optional.empty();
     }
-    String address = other.get().address();
-    if (!asked.add(address)) {
-      asked.clear();
+    String address = alternative.get().address();
+    boolean allAttempted = !attemptedAddresses.add(address);
+    if (allAttempted) {
+      attemptedAddresses.clear();
     }
-    askedAt = now;
+    lastFetchAt = now;
     attempts++;
-    return Optional.of(new DoorAction.SendToCore(address, missing()));
+    return Optional.of(new DoorAction.SendToCore(address, nextFetch()));
   }
 
-  private long waitsUntil() {
-    if (attempts == 0 && !transfer.isUnderWay()) {
-      return source.newestSince() + SOURCE_BEGINS_WITHIN;
+  private long fetchDueAt() {
+    if (attempts == 0 && !transfer.isInProgress()) {
+      return source.newestSince() + PUSH_TIMEOUT_NANOS;
     }
-    long since = transfer.isUnderWay() ? transfer.progressAt() : askedAt;
-    if (attempts > 0 && askedAt - since > 0) {
-      since = askedAt;
-    }
-    return since + (PIECE_WITHIN << Math.min(MAX_DOUBLINGS, Math.max(0, attempts - 1)));
+    int doublings = Math.min(MAX_TIMEOUT_DOUBLINGS, Math.max(0, attempts - 1));
+    return lastActivityAt() + (CHUNK_TIMEOUT_NANOS << doublings);
   }
 
-  private ConfigurationFetch missing() {
-    return new ConfigurationFetch(door, transfer.sequence(), transfer.offset());
+  /** When the last chunk arrived or the last fetch was sent, whichever is later. */
+  private long lastActivityAt() {
+    if (!transfer.isInProgress()) {
+      return lastFetchAt;
+    }
+    long lastChunkAt = transfer.lastProgressAt();
+    boolean fetchedSince = attempts > 0 && lastFetchAt - lastChunkAt > 0;
+    return fetchedSince ? lastFetchAt : lastChunkAt;
   }
 
-  private void hurrySource(Collection<CoreLink> links) {
-    links.stream().filter(source::is).forEach(CoreLink::hurryHeartbeat);
+  private ConfigurationFetch nextFetch() {
+    return new ConfigurationFetch(door, transfer.sequence(), transfer.offset());
   }
 }
--- a/control/src/main/java/nettletrail/control/door/ConfigurationSource.java
+++ b/control/src/main/java/nettletrail/control/door/ConfigurationSource.java
@@ -4,31 +4,31 @@
 import java.util.Comparator;
 import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import nettletrail.control.RendezvousHash;
 
 /**
- * The one core process that sends the door each new configuration without being asked. All others
- * only name the newest sequence that they know.
+ * Selects the one core process that pushes new configurations to the door. All others only announce
+ * the newest sequence that they know to be committed.
  *
- * <p>A core process in the door's own zone comes first; among equals a hash of both names decides,
- * so that the doors of a zone spread over its core processes, and over all others when those are
- * gone. The source is changed when its link is lost, when it was silent for some heartbeats, or
- * when it still knows only an older configuration than others named a while ago. Times are steady
- * nanoseconds.
+ * <p>Core processes in the door's own zone are preferred. Among equals rendezvous hashing decides,
+ * so that the doors of a zone spread over its core processes, or over all others when the zone has
+ * none. The source changes when its link is lost, when it missed some heartbeats, or when it lags
+ * behind the newest sequence that others announced.
+ *
+ * <p>Instants are nanoseconds of the steady clock.
  */
 final class ConfigurationSource {
-  private static final long MILLIS = 1_000_000L;
-
-  /** A core process that didn't reply for so long isn't a source. */
-  private static final long SILENT_AFTER = 1_500 * MILLIS;
+  /** A core process that didn't reply for so long isn't eligible. */
+  private static final long REPLY_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-  /** How much later than another one a source may learn of a commit. */
-  private static final long BEHIND_AFTER = 400 * MILLIS;
+  /** How much later than another one an eligible core process may learn of a commit. */
+  private static final long MAX_LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
   private final String door;
   private final String zone;
   private String address = "";
-  private long newest;
+  private long newestSequence;
   private long newestSince;
 
   ConfigurationSource(String door, String zone) {
@@ -41,53 +41,57 @@
     return address;
   }
 
-  /** Whether this core process is the source. */
-  boolean is(CoreLink link) {
+  boolean isSource(CoreLink link) {
     return link.address().equals(address);
   }
 
-  /** A core process named a committed sequence. */
-  void named(long sequence, long now) {
-    if (sequence > newest) {
-      newest = sequence;
+  /** A core process announced a committed sequence. */
+  void announced(long sequence, long now) {
+    if (sequence > newestSequence) {
+      newestSequence = sequence;
       newestSince = now;
     }
   }
 
-  /** The newest sequence that any core process named, 0 for none. */
-  long newest() {
-    return newest;
+  /** The newest sequence that any core process announced, 0 for none. */
+  long newestSequence() {
+    return newestSequence;
   }
 
-  /** When {@link #newest} was first named. */
+  /** When {@link #newestSequence} was first announced. */
   long newestSince() {
     return newestSince;
   }
 
-  /** Chooses anew; returns whether the source is another one than before. */
-  boolean choose(Collection<CoreLink> links, long now) {
-    String before = address;
+  /** Selects the source anew; returns whether it changed. */
+  boolean select(Collection<CoreLink> links, long now) {
+    String previous = address;
     address =
         links.stream()
-            .filter(link -> isFit(link, now))
+            .filter(link -> isEligible(link, now))
             .min(preference())
             .map(CoreLink::address)
             .orElse("");
-    return !address.equals(before);
+    return !address.equals(previous);
   }
 
-  /** The core process to ask for what the source didn't send; none of those asked if it can be. */
-  Optional<CoreLink> alternative(Collection<CoreLink> links, Set<String> asked, long now) {
+  /**
+   * The core process to fetch from when the source didn't push.
+   *
+   * @param avoided addresses to return only when no other core process is eligible
+   */
+  Optional<CoreLink> alternative(Collection<CoreLink> links, Set<String> avoided, long now) {
     return links.stream()
-        .filter(link -> isFit(link, now))
+        .filter(link -> isEligible(link, now))
         .min(
-            Comparator.comparing((CoreLink link) -> asked.contains(link.address()))
+            Comparator.comparing((CoreLink link) -> avoided.contains(link.address()))
                 .thenComparing(preference()));
   }
 
-  private boolean isFit(CoreLink link, long now) {
-    boolean behind = link.configurationSequence() < newest && now - newestSince > BEHIND_AFTER;
-    return link.repliedWithin(SILENT_AFTER, now) && !behind;
+  private boolean isEligible(CoreLink link, long now) {
+    boolean lags =
+        link.configurationSequence() < newestSequence && now - newestSince > MAX_LAG_NANOS;
+    return link.repliedWithin(REPLY_TIMEOUT_NANOS, now) && !lags;
   }
 
   private Comparator<CoreLink> preference() {
--- a/control/src/main/java/nettletrail/control/door/ConfigurationTransfer.java
+++ b/control/src/main/java/nettletrail/control/door/ConfigurationTransfer.java
@@ -4,67 +4,75 @@
 import nettletrail.protocol.ConfigurationChunk;
 
 /**
- * The configuration that is on its way to this door, in pieces. The pieces of one sequence are the
- * same whichever core process sends them, so another one can go on where the first one stopped.
+ * Assembles a configuration from its chunks. The chunks of one sequence are the same whichever core
+ * process sends them, so another one can continue where the first one stopped.
  *
- * <p>A newer sequence that begins replaces an older one that isn't whole. Times are steady
- * nanoseconds.
+ * <p>The first chunk of a newer sequence replaces an older one that isn't complete. Instants are
+ * nanoseconds of the steady clock.
  */
 final class ConfigurationTransfer {
-  /** A document that claims to be longer is not taken. */
-  private static final int LONGEST = 32 << 20;
+  /** A document that claims to be longer is rejected. */
+  private static final int MAX_DOCUMENT_BYTES = 32 << 20;
 
   private long sequence;
   private long edition;
   private byte[] content;
   private int received;
-  private long progressAt;
+  private long lastProgressAt;
 
   /**
-   * Takes a piece; one that doesn't join what was received is left.
+   * Appends a chunk; one that doesn't continue what was received is dropped.
    *
-   * @param held the newest sequence that the door holds whole
-   * @return whether it brought the document on
+   * @param newestSequence the newest sequence that the door has received completely
+   * @return whether the chunk added content
    */
-  boolean take(ConfigurationChunk chunk, long held, long now) {
-    boolean begins = chunk.getOffset() == 0 && chunk.getSequence() > Math.max(held, sequence());
-    if (begins && isSizeValid(chunk)) {
-      sequence = chunk.getSequence();
-      edition = chunk.getEdition();
-      content = new byte[chunk.getSize()];
-      received = 0;
+  boolean append(ConfigurationChunk chunk, long newestSequence, long now) {
+    if (isStart(chunk, newestSequence)) {
+      start(chunk);
     }
-    ByteBuffer piece = chunk.getContent().duplicate();
-    boolean joins =
-        content != null
-            && chunk.getSequence() == sequence
-            && chunk.getOffset() == received
-            && piece.remaining() <= content.length - received;
-    if (!joins || !piece.hasRemaining()) {
+    ByteBuffer chunkContent = chunk.getContent().duplicate();
+    int length = chunkContent.remaining();
+    if (length == 0 || !continuesAt(chunk, length)) {
       return false;
     }
-    int length = piece.remaining();
-    piece.get(content, received, length);
+    chunkContent.get(content, received, length);
     received += length;
-    progressAt = now;
+    lastProgressAt = now;
     return true;
   }
 
-  private static boolean isSizeValid(ConfigurationChunk chunk) {
-    return chunk.getSize() > 0 && chunk.getSize() <= LONGEST;
+  private boolean isStart(ConfigurationChunk chunk, long newestSequence) {
+    return chunk.getOffset() == 0
+        && chunk.getSequence() > Math.max(newestSequence, sequence())
+        && chunk.getSize() > 0
+        && chunk.getSize() <= MAX_DOCUMENT_BYTES;
   }
 
-  /** Whether all pieces are there. */
+  private void start(ConfigurationChunk chunk) {
+    sequence = chunk.getSequence();
+    edition = chunk.getEdition();
+    content = new byte[chunk.getSize()];
+    received = 0;
+  }
+
+  private boolean continuesAt(ConfigurationChunk chunk, int length) {
+    return content != null
+        && chunk.getSequence() == sequence
+        && chunk.getOffset() == received
+        && length <= content.length - received;
+  }
+
+  /** Whether all chunks have arrived and {@link #finish} wasn't called yet. */
   boolean isComplete() {
     return content != null && received == content.length;
   }
 
-  /** Whether the document began to come and isn't whole. */
-  boolean isUnderWay() {
+  /** Whether some chunks have arrived and others are missing. */
+  boolean isInProgress() {
     return content != null && !isComplete();
   }
 
-  /** Hands out the whole document, after which nothing is on its way. */
+  /** Returns the complete document; requires {@link #isComplete}. */
   PendingConfiguration finish() {
     PendingConfiguration complete =
         new PendingConfiguration(sequence, edition, ByteBuffer.wrap(content).asReadOnlyBuffer());
@@ -72,25 +80,25 @@
     return complete;
   }
 
-  /** Forgets what is on its way, since the door holds something as new. */
-  void abandonUpTo(long heldSequence) {
-    if (sequence <= heldSequence) {
+  /** Drops a document in progress that isn't newer than this sequence. */
+  void abandonUpTo(long newestSequence) {
+    if (sequence <= newestSequence) {
       content = null;
     }
   }
 
-  /** The sequence on its way, 0 for none. */
+  /** The sequence in progress, 0 for none. */
   long sequence() {
-    return isUnderWay() ? sequence : 0;
+    return isInProgress() ? sequence : 0;
   }
 
-  /** How many bytes of it have come, 0 for none. */
+  /** How many bytes of the document in progress have arrived, 0 for none. */
   int offset() {
-    return isUnderWay() ? received : 0;
+    return isInProgress() ? received : 0;
   }
 
-  /** When the last piece came; of use only while a document is under way. */
-  long progressAt() {
-    return progressAt;
+  /** When the last chunk arrived; defined only while a document is in progress. */
+  long lastProgressAt() {
+    return lastProgressAt;
   }
 }
--- a/control/src/main/java/nettletrail/control/door/DoorCount.java
+++ b/control/src/main/java/nettletrail/control/door/DoorCount.java
@@ -1,48 +1,51 @@
 package nettletrail.control.door;
 
 import java.util.Collection;
+import java.util.concurrent.TimeUnit;
 
 /**
- * How many doors there are: the most that any linked core process sees; falls only after it was
- * lower for a while with most core processes linked. So of several sides that are cut off from each
- * other one at most shares what all doors may do among fewer of them.
+ * The number of doors, by which the doors divide budgets. It is the highest number that any linked
+ * core process reports, and decreases only after it was lower for a while with a majority of the
+ * core processes linked. In a network partition at most one side therefore divides a budget by
+ * fewer doors than there are.
  */
 final class DoorCount {
-  private static final long FALLS_AFTER = 10_000_000_000L;
+  private static final long DECREASE_DELAY_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private int count;
-  private boolean lower;
-  private long lowerSince;
-  private int maxSinceLower;
+  private boolean decreasing;
+  private long decreasingSince;
+  private int maxSinceDecreasing;
 
-  void tick(Collection<CoreLink> links, long now) {
-    int seen = 0;
+  /** Takes in what the core processes reported. */
+  void update(Collection<CoreLink> links, long now) {
+    int reported = 0;
     for (CoreLink link : links) {
-      seen = Math.max(seen, link.up() ? link.doors() : 0);
+      reported = Math.max(reported, link.isUp() ? link.doorCount() : 0);
     }
-    if (seen == 0 || seen >= count || !majorityLinked(links)) {
-      count = Math.max(count, seen);
-      lower = false;
+    if (reported == 0 || reported >= count || !isMajorityLinked(links)) {
+      count = Math.max(count, reported);
+      decreasing = false;
       return;
     }
-    if (!lower) {
-      lower = true;
-      lowerSince = now;
-      maxSinceLower = 0;
+    if (!decreasing) {
+      decreasing = true;
+      decreasingSince = now;
+      maxSinceDecreasing = 0;
     }
-    maxSinceLower = Math.max(maxSinceLower, seen);
-    if (now - lowerSince > FALLS_AFTER) {
-      count = maxSinceLower;
-      lower = false;
+    maxSinceDecreasing = Math.max(maxSinceDecreasing, reported);
+    if (now - decreasingSince > DECREASE_DELAY_NANOS) {
+      count = maxSinceDecreasing;
+      decreasing = false;
     }
   }
 
-  private static boolean majorityLinked(Collection<CoreLink> links) {
-    long up = links.stream().filter(CoreLink::up).count();
+  private static boolean isMajorityLinked(Collection<CoreLink> links) {
+    long up = links.stream().filter(CoreLink::isUp).count();
     return 2 * up > links.size();
   }
 
-  /** The count, 0 while nothing is known. */
+  /** The number of doors, 0 while it is unknown. */
   int count() {
     return count;
   }
--- a/control/src/main/java/nettletrail/control/door/GrantClient.java
+++ b/control/src/main/java/nettletrail/control/door/GrantClient.java
@@ -8,66 +8,51 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.Set;
 import nettletrail.control.ShardMap;
-import nettletrail.control.grant.GrantTerms;
 import nettletrail.control.grant.QuotaLimit;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.GrantRequest;
-import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.TenantGrant;
 import nettletrail.protocol.TenantUse;
 
 /**
- * The quota tokens that this door holds, and its requests for more to the owners of the tenants'
- * shards.
+ * The quota tokens that were granted to this door, and its requests for more to the owners of the
+ * tenants' shards.
  *
- * <p>One request for each shard is under way at a time; its account tells what the door holds, and
- * once it is given up its reply is dropped, which the owner relies on. Tokens run out on this
- * door's steady clock from before it asked. A reply with an older fencing token than one seen for
- * the shard is dropped. One thread.
+ * <p>Each request reports on all active tenants of one shard. Tokens expire on this door's steady
+ * clock, counted from before the request. A reply with an older fencing token than one seen for the
+ * shard is dropped.
+ *
+ * <p>Instants are nanoseconds of the steady clock. One thread.
  */
 public final class GrantClient {
-  private static final long MILLIS = 1_000_000L;
-  private static final long ASK_EVERY = 250 * MILLIS;
-  static final long ASK_AGAIN_WHEN_SHORT = 30 * MILLIS;
-  private static final long ASK_AGAIN_WHEN_LOW = 100 * MILLIS;
-  private static final int ASKS_A_VALIDITY = 3;
-  private static final long GIVE_UP = 300 * MILLIS;
-
   private final String door;
   private final long incarnation;
   private final OwnerLookup ownerLookup;
-  private final Map<Integer, ShardState> shards = new HashMap<>();
+  private final Map<Integer, ShardGrantRequests> requestsByShard = new HashMap<>();
   private final Map<String, TenantTokens> tenants = new LinkedHashMap<>();
-  private final Set<String> grown = new LinkedHashSet<>();
+  private final Set<String> replenished = new LinkedHashSet<>();
   private Map<String, QuotaLimit> limits = Map.of();
   private long lastRequest;
   private boolean ownerMissing;
-  private boolean asksSoon;
+  private boolean shortOfTokens;
 
-  /** Finds the owner of a shard among the core processes that can be reached. */
+  /** Finds the owner of a shard among the core processes that are linked. */
   interface OwnerLookup {
+    /** The address of the shard's owner, empty while it is unknown or not linked. */
     Optional<String> owner(int shard, long now);
 
+    /** The core process at this address answered that it doesn't own the shard. */
     void denied(int shard, String address, long now);
   }
 
-  private static final class ShardState {
-    ProposalNumber token;
-    long askedAt;
-    boolean askedBefore;
-    long requestUnderWay;
-    String askedAddress = "";
-    long validMs = GrantTerms.USUAL_VALID_MS;
-    Set<String> tenantsAsked = Set.of();
-  }
-
   /**
-   * Holds nothing.
+   * Without tokens and limits.
    *
-   * @param incarnation of the door's process; requests are numbered from it on, so that a reply to
-   *     a former life is never taken for one to this life
+   * @param incarnation of the door's process; requests are numbered from half of it on, so that a
+   *     reply to a former incarnation never matches a request of this one
    */
   GrantClient(String door, long incarnation, OwnerLookup ownerLookup) {
     this.door = door;
@@ -77,12 +62,12 @@
   }
 
   /**
-   * The limits of the configuration in force, by tenant. What was held of tenants without a limit
-   * is dropped.
+   * Replaces the limits by those of the active configuration, by tenant. The tokens of tenants
+   * without a limit are dropped.
    */
   public void limits(Map<String, QuotaLimit> newLimits) {
     limits = Map.copyOf(newLimits);
-    tenants.keySet().removeIf(tenant -> !limited(tenant));
+    tenants.keySet().removeIf(tenant -> !isLimited(tenant));
   }
 
   /**
@@ -91,171 +76,137 @@
    * asked at once.
    */
   public boolean take(String tenant, long tokens, long now) {
-    return !limited(tenant) || tokensOf(tenant, now).take(tokens, now);
+    return !isLimited(tenant) || tokensOf(tenant, now).take(tokens, now);
   }
 
   /** Returns the tokens of a request that was sent to no backend, or that no backend ran. */
   public void refund(String tenant, long tokens) {
-    TenantTokens held = tenants.get(tenant);
-    if (held != null) {
-      held.refund(tokens);
+    TenantTokens tenantTokens = tenants.get(tenant);
+    if (tenantTokens != null) {
+      tenantTokens.refund(tokens);
     }
   }
 
-  /** How many tokens all requests together want that wait for this tenant's quota. */
+  /** How many tokens all requests together need that wait for this tenant's quota. */
   public void queued(String tenant, long tokens, long now) {
-    if (limited(tenant)) {
+    if (isLimited(tenant)) {
       tokensOf(tenant, now).queued(tokens);
     }
   }
 
   /** Use of the tenant's limit over all doors in the last period, in per cent; 0 while unknown. */
   public double pressure(String tenant) {
-    TenantTokens held = tenants.get(tenant);
-    return held == null ? 0 : held.pressure();
+    TenantTokens tenantTokens = tenants.get(tenant);
+    return tenantTokens == null ? 0 : tenantTokens.pressure();
   }
 
   /** How many doors serve the tenant, at least 1. */
   public int doorsServing(String tenant) {
-    TenantTokens held = tenants.get(tenant);
-    return held == null ? 1 : Math.max(1, held.doorsServing());
+    TenantTokens tenantTokens = tenants.get(tenant);
+    return tenantTokens == null ? 1 : Math.max(1, tenantTokens.doorsServing());
   }
 
-  /** How many tokens could be taken now. */
+  /** How many tokens can be taken now; {@link Long#MAX_VALUE} for tenants without a limit. */
   public long usable(String tenant, long now) {
-    return limited(tenant) ? tokensOf(tenant, now).usable(now) : Long.MAX_VALUE;
+    return isLimited(tenant) ? tokensOf(tenant, now).usable(now) : Long.MAX_VALUE;
   }
 
-  /** The tenants of which there is more to take than when this was asked last. */
+  /** The tenants that got more usable tokens since the last call, in the order of the grants. */
   public List<String> takeGrownTenants() {
-    List<String> tenantsGrown = List.copyOf(grown);
-    grown.clear();
-    return tenantsGrown;
+    List<String> drained = List.copyOf(replenished);
+    replenished.clear();
+    return drained;
   }
 
-  /** Requests that are due. */
+  /** The requests that are due, one at most for each shard. */
   List<DoorAction> poll(long now) {
     ownerMissing = false;
-    asksSoon = false;
+    shortOfTokens = false;
     List<DoorAction> actions = new ArrayList<>();
-    Map<Integer, List<TenantTokens>> active = new HashMap<>();
-    tenants.forEach(
-        (tenant, held) -> {
-          if (held.active(now)) {
-            active.computeIfAbsent(ShardMap.shardOf(tenant), shard -> new ArrayList<>()).add(held);
-          }
-        });
-    active.forEach((shard, held) -> ask(shard, held, now).ifPresent(actions::add));
+    activeByShard(now)
+        .forEach((shard, active) -> request(shard, active, now).ifPresent(actions::add));
     return actions;
   }
 
-  /** Whether the last poll found a tenant that is short, for which an owner is asked again soon. */
-  boolean asksSoon() {
-    return asksSoon;
-  }
-
-  /** Whether the last poll had a request for an owner that isn't known. */
-  boolean ownerMissing() {
-    return ownerMissing;
-  }
-
-  /** A reply came from a core process. */
-  void received(GrantReply reply, long now) {
-    ShardState shard = shards.get(reply.getShard());
-    if (shard == null || shard.requestUnderWay != reply.getRequest()) {
-      return;
-    }
-    shard.requestUnderWay = 0;
-    if (!reply.getOwner()) {
-      ownerLookup.denied(reply.getShard(), shard.askedAddress, now);
-      return;
-    }
-    int order = shard.token == null ? 1 : compare(reply.getToken(), shard.token);
-    if (order < 0) {
-      ownerLookup.denied(reply.getShard(), shard.askedAddress, now);
-      return;
-    }
-    shard.token = reply.getToken();
-    shard.validMs = reply.getValidMs();
-    long expiresAt = shard.askedAt + reply.getValidMs() * MILLIS;
-    for (TenantGrant grant : reply.getGrants()) {
-      granted(grant, shard, expiresAt, order > 0, now);
-    }
-  }
-
-  private void granted(
-      TenantGrant grant, ShardState shard, long expiresAt, boolean newOwner, long now) {
-    TenantTokens held = tenants.get(grant.getTenant());
-    boolean asked = held != null && shard.tenantsAsked.contains(grant.getTenant());
-    if (asked && grant.getKnown() && held.granted(grant, expiresAt, newOwner, now)) {
-      grown.add(grant.getTenant());
-    }
+  private Map<Integer, List<TenantTokens>> activeByShard(long now) {
+    Map<Integer, List<TenantTokens>> byShard = new HashMap<>();
+    tenants.forEach(
+        (tenant, tokens) -> {
+          if (tokens.isActive(now)) {
+            byShard
+                .computeIfAbsent(ShardMap.shardOf(tenant), shard -> new ArrayList<>())
+                .add(tokens);
+          }
+        });
+    return byShard;
   }
 
-  private Optional<DoorAction> ask(int number, List<TenantTokens> active, long now) {
-    ShardState shard = shards.computeIfAbsent(number, unseen -> new ShardState());
-    long pause = shortestPause(active, now);
-    asksSoon |= pause <= ASK_AGAIN_WHEN_SHORT;
-    if (!due(shard, pause, now)) {
+  private Optional<DoorAction> request(int shard, List<TenantTokens> active, long now) {
+    ShardGrantRequests requests =
+        requestsByShard.computeIfAbsent(shard, unseen -> new ShardGrantRequests());
+    long interval = GrantRequestPacing.intervalNanos(active, now);
+    shortOfTokens |= interval <= GrantRequestPacing.SHORTAGE_INTERVAL_NANOS;
+    if (!requests.isDue(interval, now)) {
       return Optional.empty();
     }
-    Optional<String> owner = ownerLookup.owner(number, now);
+    Optional<String> owner = ownerLookup.owner(shard, now);
     if (owner.isEmpty()) {
       ownerMissing = true;
       return Optional.empty();
     }
-    List<TenantUse> uses = new ArrayList<>();
-    Set<String> tenantsAsked = new HashSet<>();
-    for (TenantTokens held : active) {
-      TenantUse use = held.report(now);
-      uses.add(use);
-      tenantsAsked.add(use.getTenant());
+    List<TenantUse> reports = new ArrayList<>();
+    Set<String> reportedTenants = new HashSet<>();
+    for (TenantTokens tokens : active) {
+      TenantUse report = tokens.report(now);
+      reports.add(report);
+      reportedTenants.add(report.getTenant());
     }
     lastRequest++;
-    shard.requestUnderWay = lastRequest;
-    shard.askedAt = now;
-    shard.askedBefore = true;
-    shard.askedAddress = owner.get();
-    shard.tenantsAsked = tenantsAsked;
-    return Optional.of(
-        new DoorAction.SendToCore(
-            owner.get(), new GrantRequest(door, incarnation, lastRequest, number, uses)));
+    requests.sent(lastRequest, owner.get(), reportedTenants, now);
+    GrantRequest request = new GrantRequest(door, incarnation, lastRequest, shard, reports);
+    return Optional.of(new DoorAction.SendToCore(owner.get(), request));
   }
 
-  private static boolean due(ShardState shard, long shortestPause, long now) {
-    long sinceAsked = now - shard.askedAt;
-    if (!shard.askedBefore) {
-      return true;
-    }
-    if (shard.requestUnderWay != 0) {
-      return sinceAsked >= GIVE_UP;
-    }
-    long pause = Math.min(shortestPause, shard.validMs * MILLIS / ASKS_A_VALIDITY);
-    return sinceAsked >= pause;
+  /** How long after the last poll the next one is due, if a tenant is short of tokens. */
+  OptionalLong nextPoll() {
+    return shortOfTokens
+        ? OptionalLong.of(GrantRequestPacing.SHORTAGE_INTERVAL_NANOS)
+        : OptionalLong.empty();
   }
 
-  /** How long after the last request the tenant that is most in need asks for the next one. */
-  private static long shortestPause(List<TenantTokens> active, long now) {
-    long shortest = ASK_EVERY;
-    for (TenantTokens held : active) {
-      shortest = Math.min(shortest, pause(held, now));
-    }
-    return shortest;
+  /** Whether the last poll had a request for an owner that isn't known. */
+  boolean ownerMissing() {
+    return ownerMissing;
   }
 
-  /** How long after the last request this tenant asks for the next one, in nanoseconds. */
-  private static long pause(TenantTokens held, long now) {
-    boolean isShort = held.shortage(now) > 0;
-    if (isShort && held.grantedInFull()) {
-      return 0;
+  /** A reply arrived from a core process. */
+  void received(GrantReply reply, long now) {
+    ShardGrantRequests requests = requestsByShard.get(reply.getShard());
+    if (requests == null || !requests.complete(reply)) {
+      return;
     }
-    if (isShort || held.returnsTokens()) {
-      return ASK_AGAIN_WHEN_SHORT;
+    if (!reply.getOwner() || requests.isFromFormerOwner(reply)) {
+      ownerLookup.denied(reply.getShard(), requests.recipient(), now);
+      return;
+    }
+    boolean isNewOwner = requests.isFromNewOwner(reply);
+    requests.accept(reply);
+    for (TenantGrant grant : reply.getGrants()) {
+      TenantTokens tokens = tenants.get(grant.getTenant());
+      if (tokens != null && grant.getKnown() && requests.reportedOn(grant.getTenant())) {
+        long usableBefore = tokens.usable(now);
+        if (isNewOwner) {
+          tokens.ownerChanged();
+        }
+        tokens.granted(grant, requests.grantsExpireAt());
+        if (tokens.usable(now) > usableBefore) {
+          replenished.add(grant.getTenant());
+        }
+      }
     }
-    return held.low(now) ? ASK_AGAIN_WHEN_LOW : ASK_EVERY;
   }
 
-  private boolean limited(String tenant) {
+  private boolean isLimited(String tenant) {
     QuotaLimit limit = limits.get(tenant);
     return limit != null && limit.limited();
   }
@@ -263,9 +214,4 @@
   private TenantTokens tokensOf(String tenant, long now) {
     return tenants.computeIfAbsent(tenant, name -> new TenantTokens(name, now));
   }
-
-  private static int compare(ProposalNumber one, ProposalNumber other) {
-    int rounds = Long.compare(one.getTerm(), other.getTerm());
-    return rounds != 0 ? rounds : one.getNode().compareTo(other.getNode());
-  }
 }
--- a/control/src/main/java/nettletrail/control/door/KeyLease.java
+++ b/control/src/main/java/nettletrail/control/door/KeyLease.java
@@ -6,81 +6,82 @@
 import nettletrail.protocol.DoorHeartbeatReply;
 
 /**
- * Until when the keys of the configuration that the door holds may be used.
+ * The lease under which the door may use the API keys of its configuration.
  *
- * <p>A core process says that at some instant a majority knew no newer configuration than a
- * sequence. Whatever is newer was acknowledged after that instant, so a door that holds that
- * sequence or a later one may use its keys for the revocation time from then on. The instant is
- * counted on the door's clock from before it asked. Times are steady nanoseconds.
+ * <p>A core process confirms that at some instant a majority knew no configuration newer than a
+ * sequence. Whatever is newer was acknowledged after that instant, so a door that has that sequence
+ * or a later one may use its keys for the revocation time from that instant on. The instant is
+ * counted on the door's clock from before it sent the heartbeat.
+ *
+ * <p>Instants are nanoseconds of the steady clock.
  */
 final class KeyLease {
-  private static final long MILLIS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
-  /**
-   * For clocks that run unlike each other, and for a request that has been let in and isn't sent
-   * yet.
-   */
+  /** For the drift between clocks, and for a request that was admitted and isn't sent yet. */
   private static final long MARGIN_MS = 100;
 
-  /** Confirmations that wait for their configurations at once. */
-  private static final int MAX_WAITING = 8;
+  /** How many confirmations of sequences that the door hasn't reached are kept. */
+  private static final int MAX_DEFERRED = 8;
 
-  private final long lasts;
-  private long heldSequence;
-  private boolean held;
-  private long heldUntil;
-  private final NavigableMap<Long, Long> waitingUntilBySequence = new TreeMap<>();
+  private final long durationNanos;
+  private long reachedSequence;
+  private boolean granted;
+  private long grantedUntil;
+  private final NavigableMap<Long, Long> deferredUntilBySequence = new TreeMap<>();
 
+  /** {@code revokeMs}: how long keys may be used after a confirmation, in milliseconds. */
   KeyLease(long revokeMs) {
-    this.lasts = (revokeMs - MARGIN_MS) * MILLIS;
+    this.durationNanos = (revokeMs - MARGIN_MS) * NANOS_PER_MILLI;
   }
 
-  /** A confirmation came; one of a configuration that the door hasn't got yet waits for it. */
+  /** Takes in a reply's confirmation; one of a newer sequence counts once that is reached. */
   void confirmed(DoorHeartbeatReply reply) {
     if (!reply.getConfirmed()) {
       return;
     }
-    long until = reply.getSentAt() - reply.getConfirmedAgeMs() * MILLIS + lasts;
-    if (reply.getConfigurationSequence() <= heldSequence) {
+    long confirmedAt = reply.getSentAt() - reply.getConfirmedAgeMs() * NANOS_PER_MILLI;
+    long until = confirmedAt + durationNanos;
+    if (reply.getConfigurationSequence() <= reachedSequence) {
       extend(until);
     } else {
-      waitFor(reply.getConfigurationSequence(), until);
+      defer(reply.getConfigurationSequence(), until);
     }
   }
 
-  /** The door holds this configuration from here on. */
-  void holds(long sequence) {
-    heldSequence = sequence;
-    NavigableMap<Long, Long> reached = waitingUntilBySequence.headMap(sequence, true);
+  /** The door uses the keys of this sequence from now on; sequences don't decrease. */
+  void sequenceReached(long sequence) {
+    reachedSequence = sequence;
+    NavigableMap<Long, Long> reached = deferredUntilBySequence.headMap(sequence, true);
     reached.values().forEach(this::extend);
     reached.clear();
   }
 
-  /** Whether a majority confirmed what the door holds at most so long ago, in nanoseconds. */
-  boolean confirmedWithin(long span, long now) {
-    return held && now - (heldUntil - lasts) <= span;
+  /** Whether a majority confirmed the reached sequence at most this long ago, in nanoseconds. */
+  boolean confirmedWithin(long duration, long now) {
+    return granted && now - (grantedUntil - durationNanos) <= duration;
   }
 
-  /** The end, or empty when nothing was ever confirmed. */
+  /** The end of the lease, empty when nothing was ever confirmed. */
   OptionalLong until() {
-    return held ? OptionalLong.of(heldUntil) : OptionalLong.empty();
+    return granted ? OptionalLong.of(grantedUntil) : OptionalLong.empty();
   }
 
   /**
-   * Under steady changes a newer confirmation may come before the configuration of the last one
-   * does, each time, so both are kept. Of too many the last but one gives way: the first is reached
-   * soonest, the last counts longest.
+   * Under steady changes each confirmation may be of a newer sequence than the one before, so
+   * several are kept. When there are too many the last but one is dropped: the first is reached
+   * soonest, and the last extends the lease furthest.
    */
-  private void waitFor(long sequence, long until) {
-    waitingUntilBySequence.merge(sequence, until, Math::max);
-    if (waitingUntilBySequence.size() > MAX_WAITING) {
-      waitingUntilBySequence.remove(
-          waitingUntilBySequence.lowerKey(waitingUntilBySequence.lastKey()));
+  private void defer(long sequence, long until) {
+    deferredUntilBySequence.merge(sequence, until, Math::max);
+    if (deferredUntilBySequence.size() > MAX_DEFERRED) {
+      deferredUntilBySequence.remove(
+          deferredUntilBySequence.lowerKey(deferredUntilBySequence.lastKey()));
     }
   }
 
   private void extend(long until) {
-    heldUntil = held ? Math.max(heldUntil, until) : until;
-    held = true;
+    grantedUntil = granted ? Math.max(grantedUntil, until) : until;
+    granted = true;
   }
 }
--- a/control/src/main/java/nettletrail/control/door/OwnerDirectory.java
+++ b/control/src/main/java/nettletrail/control/door/OwnerDirectory.java
@@ -4,70 +4,79 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** Which core process owns which shard, as the linked core processes say. */
+/**
+ * Which core process owns which shard, from the directories of all core processes. Instants are
+ * nanoseconds of the steady clock.
+ */
 final class OwnerDirectory {
-  private static final long MILLIS = 1_000_000L;
+  /** An address that denied owning a shard isn't returned for it again for so long. */
+  private static final long DENIAL_EXPIRY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-  /** An address that denied owning a shard isn't asked again for so long. */
-  private static final long DENIAL = 200 * MILLIS;
+  private final Map<String, OwnerList> listsByCore = new HashMap<>();
+  private final Map<ShardOwner, Long> deniedAt = new HashMap<>();
 
-  private final Map<String, Statement> statements = new HashMap<>();
-  private final Map<Key, Long> denials = new HashMap<>();
-
-  private record Statement(List<String> owners, long at) {}
+  /** The owner's address for each shard, empty where unknown, as of an instant. */
+  private record OwnerList(List<String> owners, long confirmedAt) {
+    String owner(int shard) {
+      return shard < owners.size() ? owners.get(shard) : "";
+    }
+  }
 
-  private record Key(int shard, String address) {}
+  private record ShardOwner(int shard, String address) {}
 
-  /** A core process told who owns each shard. */
-  void told(String core, List<String> owners, long now) {
-    statements.put(core, new Statement(owners, now));
+  /** A core process sent its list of owners. */
+  void ownersChanged(String core, List<String> owners, long now) {
+    listsByCore.put(core, new OwnerList(owners, now));
   }
 
-  /** A core process told that what it said last still holds. */
-  void confirmed(String core, long now) {
-    statements.computeIfPresent(core, (name, said) -> new Statement(said.owners(), now));
+  /** A core process confirmed that its last list is still the current one. */
+  void ownersUnchanged(String core, long now) {
+    listsByCore.computeIfPresent(core, (name, list) -> new OwnerList(list.owners(), now));
   }
 
-  /** An address that was asked doesn't own the shard. */
+  /** The core process at this address answered that it doesn't own the shard. */
   void denied(int shard, String address, long now) {
-    denials.put(new Key(shard, address), now);
+    deniedAt.put(new ShardOwner(shard, address), now);
   }
 
   /** A core process isn't dialled any more. */
-  void forget(String core) {
-    statements.remove(core);
-    denials.keySet().removeIf(key -> key.address().equals(core));
+  void remove(String core) {
+    listsByCore.remove(core);
+    deniedAt.keySet().removeIf(key -> key.address().equals(core));
   }
 
   /**
-   * The owner to ask: one that says so itself before one that others name, the latest statement
-   * first.
+   * The likely owner of a shard. A core process that claims the shard itself comes before one that
+   * others give as the owner; of several, the one confirmed last.
+   *
+   * @param linked whether the link to an address is up; others aren't returned
    */
   Optional<String> owner(int shard, Predicate<String> linked, long now) {
     String best = null;
-    boolean bestSaysSo = false;
-    long bestAt = 0;
-    for (Map.Entry<String, Statement> entry : statements.entrySet()) {
-      Statement statement = entry.getValue();
-      String named = shard < statement.owners().size() ? statement.owners().get(shard) : "";
-      if (named.isEmpty() || !linked.test(named) || deniedLately(shard, named, now)) {
+    boolean bestIsClaim = false;
+    long bestConfirmedAt = 0;
+    for (Map.Entry<String, OwnerList> entry : listsByCore.entrySet()) {
+      OwnerList list = entry.getValue();
+      String owner = list.owner(shard);
+      if (owner.isEmpty() || !linked.test(owner) || isDenied(shard, owner, now)) {
         continue;
       }
-      boolean saysSo = named.equals(entry.getKey());
-      boolean later = best == null || statement.at() - bestAt > 0;
-      if (saysSo && !bestSaysSo || saysSo == bestSaysSo && later) {
-        best = named;
-        bestSaysSo = saysSo;
-        bestAt = statement.at();
+      boolean isClaim = owner.equals(entry.getKey());
+      boolean isLater = best == null || list.confirmedAt() - bestConfirmedAt > 0;
+      if (isClaim && !bestIsClaim || isClaim == bestIsClaim && isLater) {
+        best = owner;
+        bestIsClaim = isClaim;
+        bestConfirmedAt = list.confirmedAt();
       }
     }
     return Optional.ofNullable(best);
   }
 
-  private boolean deniedLately(int shard, String address, long now) {
-    Long at = denials.get(new Key(shard, address));
-    return at != null && now - at < DENIAL;
+  private boolean isDenied(int shard, String address, long now) {
+    Long at = deniedAt.get(new ShardOwner(shard, address));
+    return at != null && now - at < DENIAL_EXPIRY_NANOS;
   }
 }
--- a/control/src/test/java/nettletrail/control/door/ConfigurationSpacingTest.java
+++ b/control/src/test/java/nettletrail/control/door/ConfigurationActivationTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Configurations in quick succession at a door that is slow to put one in force. */
-class ConfigurationSpacingTest {
+class ConfigurationActivationTest {
   private static final long MILLIS = 1_000_000L;
   private static final long REVOKE_MS = 5_000;
   private static final long IN_FORCE_MS = 2_000;
@@ -19,37 +19,37 @@
   private static final long SPACING = 400 * MILLIS;
 
   private final KeyLease keys = new KeyLease(REVOKE_MS);
-  private final ConfigurationGate gate = new ConfigurationGate(keys);
+  private final ConfigurationActivation activation = new ConfigurationActivation(keys);
   private long now = 50_000 * MILLIS;
 
   @Test
   void givenOneInForceWhenManyFollowThenOnlyTheNewestComesIntoForceAfterTheSpacing() {
     firstInForce();
     for (long sequence = 2; sequence <= 20; sequence++) {
-      gate.received(held(sequence));
+      activation.received(held(sequence));
       now += SPACING / 20;
-      assertEquals(Optional.empty(), gate.takeDue(now));
+      assertEquals(Optional.empty(), activation.activateDue(now));
     }
     now += SPACING / 20;
-    assertEquals(20, gate.takeDue(now).orElseThrow().sequence());
-    assertEquals(Optional.empty(), gate.takeDue(now));
+    assertEquals(20, activation.activateDue(now).orElseThrow().sequence());
+    assertEquals(Optional.empty(), activation.activateDue(now));
   }
 
   @Test
   void givenACostlyConfigurationWhenAnotherFollowsThenItWaitsNoLongerThanTheBound() {
     firstInForce();
-    gate.putInForce(10_000 * MILLIS, now);
-    gate.received(held(2));
-    assertEquals(Optional.empty(), gate.takeDue(now + 499 * MILLIS));
-    assertTrue(gate.takeDue(now + 500 * MILLIS).isPresent());
+    activation.activated(10_000 * MILLIS, now);
+    activation.received(held(2));
+    assertEquals(Optional.empty(), activation.activateDue(now + 499 * MILLIS));
+    assertTrue(activation.activateDue(now + 500 * MILLIS).isPresent());
   }
 
   @Test
   void givenASlowOneLongAgoWhenAnotherComesThenItComesIntoForceAtOnce() {
     firstInForce();
     now += SPACING;
-    gate.received(held(2));
-    assertTrue(gate.takeDue(now).isPresent());
+    activation.received(held(2));
+    assertTrue(activation.activateDue(now).isPresent());
   }
 
   @Test
@@ -57,26 +57,26 @@
     firstInForce();
     long before = keys.until().orElseThrow();
     now += SPACING / 2;
-    gate.received(held(2));
-    gate.confirmed(confirmation(2));
+    activation.received(held(2));
+    keys.confirmed(confirmation(2));
     assertEquals(before, keys.until().orElseThrow());
     now += SPACING / 2;
-    gate.takeDue(now);
+    activation.activateDue(now);
     assertTrue(keys.until().orElseThrow() > before);
   }
 
   @Test
   void givenAFirstInForceWhenTheNextWaitsThenTheCoreIsNotAskedMoreOftenForIt() {
     firstInForce();
-    gate.received(held(2));
-    assertFalse(gate.awaitsConfirmation());
+    activation.received(held(2));
+    assertFalse(activation.awaitsConfirmation());
   }
 
   private void firstInForce() {
-    gate.received(held(1));
-    gate.confirmed(confirmation(1));
-    assertTrue(gate.takeDue(now).isPresent());
-    gate.putInForce(TOOK, now);
+    activation.received(held(1));
+    keys.confirmed(confirmation(1));
+    assertTrue(activation.activateDue(now).isPresent());
+    activation.activated(TOOK, now);
   }
 
   private static PendingConfiguration held(long sequence) {
--- a/control/src/test/java/nettletrail/control/door/DoorCountTest.java
+++ b/control/src/test/java/nettletrail/control/door/DoorCountTest.java
@@ -53,7 +53,7 @@
   }
 
   private void told(CoreLink link, int doors) {
-    if (!link.up()) {
+    if (!link.isUp()) {
       link.linkUp(now);
     }
     link.replied(
@@ -68,6 +68,6 @@
   }
 
   private void tick() {
-    count.tick(List.of(one, two, three), now);
+    count.update(List.of(one, two, three), now);
   }
 }
--- a/control/src/test/java/nettletrail/control/door/KeyLeaseTest.java
+++ b/control/src/test/java/nettletrail/control/door/KeyLeaseTest.java
@@ -21,7 +21,7 @@
   private final KeyLease lease = new KeyLease(REVOKE_MS);
 
   KeyLeaseTest() {
-    lease.holds(SEQUENCE);
+    lease.sequenceReached(SEQUENCE);
   }
 
   @Test
@@ -52,9 +52,9 @@
   void givenNewerConfirmationsBeforeEachConfigurationWhenOneIsReachedThenThatOneCounts() {
     lease.confirmed(reply(SEQUENCE + 1, 300));
     lease.confirmed(reply(SEQUENCE + 2, 200));
-    lease.holds(SEQUENCE + 1);
+    lease.sequenceReached(SEQUENCE + 1);
     assertEquals(confirmed(300), lease.until());
-    lease.holds(SEQUENCE + 2);
+    lease.sequenceReached(SEQUENCE + 2);
     assertEquals(confirmed(200), lease.until());
   }
 
@@ -64,9 +64,9 @@
     for (int newer = 1; newer <= many; newer++) {
       lease.confirmed(reply(SEQUENCE + newer, 300 - newer));
     }
-    lease.holds(SEQUENCE + 1);
+    lease.sequenceReached(SEQUENCE + 1);
     assertEquals(confirmed(299), lease.until());
-    lease.holds(SEQUENCE + many);
+    lease.sequenceReached(SEQUENCE + many);
     assertEquals(confirmed(300 - many), lease.until());
   }
 
