--- a/store/src/main/java/nettletrail/store/CoreStore.java
+++ b/store/src/main/java/nettletrail/store/CoreStore.java
@@ -9,8 +9,8 @@
 import nettletrail.protocol.ShardVersion;
 
 /**
- * Everything that a core process keeps on its disk: its identity and one {@link VersionStore} a
- * shard. Blocking; one thread at a time.
+ * The durable state of a core process: its identity and one {@link VersionStore} a shard. Blocking;
+ * one thread at a time.
  */
 public final class CoreStore {
 
@@ -25,35 +25,49 @@
   }
 
   /**
-   * Opens the disk. If a file that had been durable is damaged, promises may be forgotten, so the
-   * process takes a fresh identity and its votes of before no longer count.
+   * Opens the disk. If a file that had been durable is damaged, promises may be lost, so the
+   * process takes a fresh identity and its earlier votes no longer count.
    *
    * @param address where peers dial this process
-   * @param firstRun true only at the first start of the whole system
+   * @param firstRun true only at the first start of the system, on empty disks
+   * @param shardCount how many shards the system has; at least 1
    * @param random 64 random bits, used where a fresh identity is needed
+   * @throws StorageException if the disk fails; damaged files don't throw
    */
   public static CoreStore open(
       Directory directory, String address, boolean firstRun, int shardCount, long random)
       throws StorageException {
     List<VersionStore> stores = new ArrayList<>();
     Map<Integer, StoredShard> stored = new HashMap<>();
-    boolean damaged = false;
     for (int shard = 0; shard < shardCount; shard++) {
-      VersionStore store = new VersionStore(directory.subdirectory("shard-" + shard));
-      StoredShard content = store.load();
+      VersionStore store = new VersionStore(directory.subdirectory(StateLayout.shardFolder(shard)));
       stores.add(store);
-      stored.put(shard, content);
-      damaged |= !content.damaged().isEmpty();
-    }
-    if (!damaged) {
-      Member self = NodeIdentity.loadOrCreate(directory, address, firstRun, random);
-      return new CoreStore(self, stores, stored);
+      stored.put(shard, store.load());
     }
+    Member self =
+        hasDamage(stored)
+            ? replaceIdentity(directory, address, random, stores, stored)
+            : NodeIdentity.loadOrCreate(directory, address, firstRun, random);
+    return new CoreStore(self, stores, stored);
+  }
+
+  private static boolean hasDamage(Map<Integer, StoredShard> stored) {
+    return stored.values().stream().anyMatch(shard -> !shard.damaged().isEmpty());
+  }
+
+  /** Makes the fresh identity durable before the evidence of the damage is removed. */
+  private static Member replaceIdentity(
+      Directory directory,
+      String address,
+      long random,
+      List<VersionStore> stores,
+      Map<Integer, StoredShard> stored)
+      throws StorageException {
     Member self = NodeIdentity.replace(directory, address, random);
-    for (int shard = 0; shard < shardCount; shard++) {
+    for (int shard = 0; shard < stores.size(); shard++) {
       stores.get(shard).discard(stored.get(shard).damaged());
     }
-    return new CoreStore(self, stores, stored);
+    return self;
   }
 
   /** This process as a member: its identity and address. */
@@ -61,22 +75,22 @@
     return self;
   }
 
-  /** What was on the disk when it was opened, by shard; names the damaged files. */
+  /** The state on the disk as it was opened, by shard number, with the names of damaged files. */
   public Map<Integer, StoredShard> stored() {
     return Map.copyOf(stored);
   }
 
-  /** The versions of a shard that are on disk, the oldest first; for operators. */
+  /** The readable versions of a shard on disk, the oldest first; for operators. */
   public List<ShardVersion> versions(int shard) throws StorageException {
     return stores.get(shard).versions();
   }
 
-  /** Makes a promise durable. */
+  /** Makes the highest promised proposal number of a shard durable. */
   public void storePromise(int shard, ProposalNumber proposal) throws StorageException {
     stores.get(shard).storePromise(proposal);
   }
 
-  /** Makes a version durable. */
+  /** Makes an accepted version of a shard durable. */
   public void storeVersion(int shard, ShardVersion version) throws StorageException {
     stores.get(shard).storeVersion(version);
   }
--- a/store/src/main/java/nettletrail/store/Directory.java
+++ b/store/src/main/java/nettletrail/store/Directory.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * One folder of a disk, as narrow as the store needs it. Implementations block. Names are plain
- * file names without separators.
+ * One folder of a disk, with the operations that the store needs. Implementations block; one thread
+ * at a time. Names are plain file names without separators.
  *
  * <p>What survives a loss of power: the content of a file up to its last {@link #sync}, and the
  * creation, renaming and removal of names up to the last {@link #syncDirectory}; anything later may
@@ -15,7 +15,7 @@
   /** The names of the plain files in this folder, in no particular order. */
   List<String> list() throws StorageException;
 
-  /** The whole content of a file. */
+  /** The complete content of a file; throws with step READ if there is no such file. */
   byte[] read(String name) throws StorageException;
 
   /** Creates the file or replaces its content; not durable before {@link #sync}. */
--- a/store/src/main/java/nettletrail/store/DiskDirectory.java
+++ b/store/src/main/java/nettletrail/store/DiskDirectory.java
@@ -8,14 +8,12 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
-import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import java.util.ArrayList;
 import java.util.List;
 
-/** A folder of the local file system. */
+/** A folder of the local file system. Blocking; failures carry the step and the full path. */
 public final class DiskDirectory implements Directory {
 
   private final Path path;
@@ -29,34 +27,19 @@
     try {
       Files.createDirectories(path);
     } catch (IOException failure) {
-      throw failed(StorageException.Step.CREATE_DIRECTORY, path, failure);
+      throw StorageException.failed(StorageException.Step.CREATE_DIRECTORY, path, failure);
     }
     return new DiskDirectory(path);
   }
 
   @Override
   public List<String> list() throws StorageException {
-    List<String> names = new ArrayList<>();
-    try (DirectoryStream<Path> entries = Files.newDirectoryStream(path)) {
-      for (Path entry : entries) {
-        if (Files.isRegularFile(entry)) {
-          names.add(entry.getFileName().toString());
-        }
-      }
-    } catch (IOException failure) {
-      throw failed(StorageException.Step.LIST, path, failure);
-    }
-    return names;
+    return LocalFiles.list(path, Files::isRegularFile);
   }
 
   @Override
   public byte[] read(String name) throws StorageException {
-    Path file = path.resolve(name);
-    try {
-      return Files.readAllBytes(file);
-    } catch (IOException failure) {
-      throw failed(StorageException.Step.READ, file, failure);
-    }
+    return LocalFiles.read(path.resolve(name));
   }
 
   @Override
@@ -68,7 +51,7 @@
         channel.write(buffer);
       }
     } catch (IOException failure) {
-      throw failed(StorageException.Step.WRITE, file, failure);
+      throw StorageException.failed(StorageException.Step.WRITE, file, failure);
     }
   }
 
@@ -78,7 +61,7 @@
     try (FileChannel channel = FileChannel.open(file, WRITE)) {
       channel.force(true);
     } catch (IOException failure) {
-      throw failed(StorageException.Step.SYNC, file, failure);
+      throw StorageException.failed(StorageException.Step.SYNC, file, failure);
     }
   }
 
@@ -88,7 +71,7 @@
     try {
       Files.move(source, path.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException failure) {
-      throw failed(StorageException.Step.RENAME, source, failure);
+      throw StorageException.failed(StorageException.Step.RENAME, source, failure);
     }
   }
 
@@ -98,7 +81,7 @@
     try {
       Files.deleteIfExists(file);
     } catch (IOException failure) {
-      throw failed(StorageException.Step.REMOVE, file, failure);
+      throw StorageException.failed(StorageException.Step.REMOVE, file, failure);
     }
   }
 
@@ -107,7 +90,7 @@
     try (FileChannel channel = FileChannel.open(path, READ)) {
       channel.force(true);
     } catch (IOException failure) {
-      throw failed(StorageException.Step.SYNC_DIRECTORY, path, failure);
+      throw StorageException.failed(StorageException.Step.SYNC_DIRECTORY, path, failure);
     }
   }
 
@@ -121,9 +104,4 @@
     syncDirectory();
     return created;
   }
-
-  private static StorageException failed(
-      StorageException.Step step, Path file, IOException failure) {
-    return new StorageException(step, file.toString(), failure.toString(), failure);
-  }
 }
--- a/store/src/main/java/nettletrail/store/DiskReport.java
+++ b/store/src/main/java/nettletrail/store/DiskReport.java
@@ -5,11 +5,11 @@
 import nettletrail.protocol.ShardVersion;
 
 /**
- * What a look at a core's disk found.
+ * The outcome of a {@link DiskCheck}.
  *
- * @param identity the replica's identity; empty if there is none that can be read
+ * @param identity the replica's identity; empty if there is none or it is damaged
  * @param shards one entry for each shard that has a folder
- * @param findings everything that is not as the store leaves it
+ * @param findings every file that the store would not leave like that, in the order of the check
  */
 public record DiskReport(String identity, List<Shard> shards, List<Finding> findings) {
 
@@ -20,12 +20,12 @@
   }
 
   /**
-   * One shard.
+   * The state of one shard.
    *
    * @param shard its number
-   * @param promised the highest ballot that was promised, or null
-   * @param newest the newest version that is whole, or null
-   * @param completeVersions how many versions are whole
+   * @param promised the highest promised proposal number, or null
+   * @param newest the newest version that can be read, or null
+   * @param completeVersions how many versions can be read
    */
   public record Shard(
       int shard, ProposalNumber promised, ShardVersion newest, int completeVersions) {}
@@ -39,14 +39,14 @@
   }
 
   /**
-   * One finding.
+   * One file that is not as expected.
    *
    * @param file relative to the data directory
    * @param what what is wrong, and what a start would do
    */
   public record Finding(Severity severity, String file, String what) {}
 
-  /** Whether a start would keep the identity and all promises. */
+  /** Whether a start would keep the identity and with it all votes. */
   public boolean isHealthy() {
     return findings.stream().noneMatch(finding -> finding.severity() == Severity.FAULT);
   }
--- a/store/src/main/java/nettletrail/store/StorageException.java
+++ b/store/src/main/java/nettletrail/store/StorageException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * An operation on the disk failed; tells which step on which file. Whether the step took effect is
- * unknown.
+ * An operation on the disk failed: which step, on which file, and why. Whether a step that changes
+ * the disk took effect is unknown.
  */
 public final class StorageException extends IOException {
 
@@ -12,14 +12,23 @@
 
   /** The operations of the store that can fail. */
   public enum Step {
+    /** Listing the files of a folder. */
     LIST,
+    /** Reading a file's bytes. */
     READ,
+    /** Encoding a record or writing a file's bytes. */
     WRITE,
+    /** Making a file's content durable. */
     SYNC,
+    /** Giving a file another name. */
     RENAME,
+    /** Removing a file. */
     REMOVE,
+    /** Making the names in a folder durable. */
     SYNC_DIRECTORY,
+    /** Creating a folder. */
     CREATE_DIRECTORY,
+    /** Reading a record from a file's bytes: the disk works, but the content is damaged. */
     DECODE
   }
 
@@ -37,6 +46,16 @@
     this.file = file;
   }
 
+  /** The failure of the operating system at a file. */
+  static StorageException failed(Step step, Object file, IOException cause) {
+    return new StorageException(step, file.toString(), cause.toString(), cause);
+  }
+
+  /** A file whose content isn't what the store wrote. */
+  static StorageException damaged(String file, String reason) {
+    return new StorageException(Step.DECODE, file, reason, null);
+  }
+
   /** The operation that failed. */
   public Step step() {
     return step;
@@ -46,4 +65,11 @@
   public String file() {
     return file;
   }
+
+  /** Returns if the file's content is damaged; throws this exception if the disk itself failed. */
+  void requireDamage() throws StorageException {
+    if (step != Step.DECODE) {
+      throw this;
+    }
+  }
 }
--- a/store/src/main/java/nettletrail/store/StoredShard.java
+++ b/store/src/main/java/nettletrail/store/StoredShard.java
@@ -5,11 +5,11 @@
 import nettletrail.protocol.ShardVersion;
 
 /**
- * What a disk holds of one shard.
+ * The state of one shard as read from a disk.
  *
- * @param promised the highest ballot that was promised, or null
- * @param version the newest version that is whole, or null
- * @param damaged names of files that could not be read whole; empty on a healthy disk
+ * @param promised the highest promised proposal number; null if none is stored or it is damaged
+ * @param version the newest version that can be read, or null
+ * @param damaged names of files whose content is damaged, sorted; empty on a healthy disk
  */
 public record StoredShard(ProposalNumber promised, ShardVersion version, List<String> damaged) {
 
--- a/store/src/main/java/nettletrail/store/VersionStore.java
+++ b/store/src/main/java/nettletrail/store/VersionStore.java
@@ -1,21 +1,16 @@
 package nettletrail.store;
 
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.OptionalLong;
 import java.util.TreeMap;
 import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
-import org.apache.avro.io.BinaryEncoder;
-import org.apache.avro.io.EncoderFactory;
-import org.apache.avro.specific.SpecificDatumWriter;
-import org.apache.avro.specific.SpecificRecord;
 
 /**
- * The durable promise and versions of one shard, in a folder of its own. Blocking; one thread at a
- * time.
+ * The durable state of one shard's acceptor: the highest promised proposal number and the newest
+ * versions, in a folder of its own. Blocking; one thread at a time.
  *
  * <p>Each version is a new file, numbered in the order of writing; once it is durable, all but the
  * newest {@value #KEPT_VERSIONS} are removed. A file that can't be removed stays until a later
@@ -27,12 +22,11 @@
   /** How many versions stay on disk. */
   public static final int KEPT_VERSIONS = 4;
 
-  private static final int HEXADECIMAL = 16;
-  static final String PROMISE_FILE = "promise";
-  static final String VERSION_PREFIX = "version-";
-
   private final Directory directory;
+
+  /** The files of versions by their write numbers. */
   private final TreeMap<Long, String> versionFiles = new TreeMap<>();
+
   private long lastNumber;
 
   /** Uses the folder; {@link #load} comes first. */
@@ -40,18 +34,22 @@
     this.directory = directory;
   }
 
-  /** Reads what is there, removes unfinished files, and continues the numbering. */
+  /**
+   * Reads the stored state, removes unfinished files, and continues the numbering.
+   *
+   * @throws StorageException if the disk fails; damaged files don't throw, the result names them
+   */
   public StoredShard load() throws StorageException {
     List<String> damaged = new ArrayList<>();
     versionFiles.clear();
     lastNumber = 0;
     ProposalNumber promised = null;
     for (String name : directory.list()) {
-      if (name.endsWith(RecordFile.TEMPORARY_SUFFIX)) {
+      if (StateLayout.isTemporaryFile(name)) {
         directory.remove(name);
-      } else if (name.equals(PROMISE_FILE)) {
+      } else if (name.equals(StateLayout.PROMISE_FILE)) {
         promised = readPromise(damaged);
-      } else if (name.startsWith(VERSION_PREFIX)) {
+      } else if (StateLayout.isVersionFile(name)) {
         addVersionFile(name, damaged);
       }
     }
@@ -61,7 +59,8 @@
   }
 
   /**
-   * Removes files that {@link #load} could not read; only once the disk has taken a fresh identity.
+   * Removes files that {@link #load} could not read. Only once the disk has a fresh identity: until
+   * then the damaged files are the evidence that votes may have been lost.
    */
   void discard(List<String> damaged) throws StorageException {
     for (String name : damaged) {
@@ -71,31 +70,25 @@
     directory.syncDirectory();
   }
 
-  /** Makes a promise durable. */
+  /** Makes the highest promised proposal number durable. */
   public void storePromise(ProposalNumber proposal) throws StorageException {
-    byte[] payload =
-        encode(PROMISE_FILE, proposal, new SpecificDatumWriter<>(ProposalNumber.class));
-    RecordFile.write(directory, PROMISE_FILE, RecordFile.Kind.PROMISE, payload);
+    ShardRecords.writePromise(directory, proposal);
   }
 
   /**
-   * Makes a version durable, then removes the oldest files beyond those kept. After a failure the
-   * next write takes the same name, so a full disk does not gather unfinished files.
+   * Makes a version durable, then removes the oldest files beyond {@link #KEPT_VERSIONS}. After a
+   * failure the next write takes the same name, so a full disk does not gather unfinished files.
    */
   public void storeVersion(ShardVersion version) throws StorageException {
     long number = lastNumber + 1;
-    String name = VERSION_PREFIX + String.format("%016x", number);
-    byte[] payload = encode(name, version, new SpecificDatumWriter<>(ShardVersion.class));
-    RecordFile.write(directory, name, RecordFile.Kind.VERSION, payload);
+    String name = StateLayout.versionFile(number);
+    ShardRecords.writeVersion(directory, name, version);
     lastNumber = number;
     versionFiles.put(number, name);
     removeOldest();
   }
 
-  /**
-   * All versions on disk that are whole, the oldest first; for operators. Comes after {@link
-   * #load}.
-   */
+  /** All readable versions on disk, the oldest first; for operators. Comes after {@link #load}. */
   public List<ShardVersion> versions() throws StorageException {
     List<ShardVersion> versions = new ArrayList<>();
     for (String name : List.copyOf(versionFiles.values())) {
@@ -111,42 +104,21 @@
     while (versionFiles.size() > KEPT_VERSIONS) {
       try {
         directory.remove(versionFiles.firstEntry().getValue());
-      } catch (StorageException stays) {
+      } catch (StorageException retriedAtNextWrite) {
         return;
       }
       versionFiles.pollFirstEntry();
     }
   }
 
-  private ProposalNumber readPromise(List<String> damaged) throws StorageException {
-    try {
-      return RecordDecoder.readPromise(directory, PROMISE_FILE);
-    } catch (StorageException failure) {
-      noteDamaged(PROMISE_FILE, failure, damaged);
-      return null;
-    }
-  }
-
   private void addVersionFile(String name, List<String> damaged) {
-    long number = versionNumber(name);
-    if (number < 0) {
+    OptionalLong number = StateLayout.versionNumber(name);
+    if (number.isEmpty()) {
       damaged.add(name);
       return;
     }
-    versionFiles.put(number, name);
-    lastNumber = Math.max(lastNumber, number);
-  }
-
-  /** The number of a version's file, or -1 if the name is none. */
-  static long versionNumber(String name) {
-    if (!name.startsWith(VERSION_PREFIX)) {
-      return -1;
-    }
-    try {
-      return Long.parseUnsignedLong(name.substring(VERSION_PREFIX.length()), HEXADECIMAL);
-    } catch (NumberFormatException notOurs) {
-      return -1;
-    }
+    versionFiles.put(number.getAsLong(), name);
+    lastNumber = Math.max(lastNumber, number.getAsLong());
   }
 
   private ShardVersion readNewest(List<String> damaged) throws StorageException {
@@ -159,33 +131,25 @@
     return null;
   }
 
-  private ShardVersion readVersion(String name, List<String> damaged) throws StorageException {
+  /** The promised proposal number; null, with its file among the damaged, if it can't be read. */
+  private ProposalNumber readPromise(List<String> damaged) throws StorageException {
     try {
-      return RecordDecoder.readVersion(directory, name);
+      return ShardRecords.readPromise(directory);
     } catch (StorageException failure) {
-      noteDamaged(name, failure, damaged);
+      failure.requireDamage();
+      damaged.add(StateLayout.PROMISE_FILE);
       return null;
     }
   }
 
-  private static void noteDamaged(String name, StorageException failure, List<String> damaged)
-      throws StorageException {
-    if (failure.step() != StorageException.Step.DECODE) {
-      throw failure;
-    }
-    damaged.add(name);
-  }
-
-  private static <T extends SpecificRecord> byte[] encode(
-      String name, T record, SpecificDatumWriter<T> writer) throws StorageException {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    BinaryEncoder encoder = EncoderFactory.get().binaryEncoder(bytes, null);
+  /** The version in a file; null, with the file among the damaged, if it can't be read. */
+  private ShardVersion readVersion(String name, List<String> damaged) throws StorageException {
     try {
-      writer.write(record, encoder);
-      encoder.flush();
-    } catch (IOException failure) {
-      throw new StorageException(StorageException.Step.WRITE, name, failure.toString(), failure);
+      return ShardRecords.readVersion(directory, name);
+    } catch (StorageException failure) {
+      failure.requireDamage();
+      damaged.add(name);
+      return null;
     }
-    return bytes.toByteArray();
   }
 }
--- a/store/src/test/java/nettletrail/store/CoreStoreTest.java
+++ b/store/src/test/java/nettletrail/store/CoreStoreTest.java
@@ -1,30 +1,25 @@
 package nettletrail.store;
 
+import static nettletrail.store.ExampleVersions.version;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.Random;
 import java.util.stream.Stream;
-import nettletrail.protocol.Member;
 import nettletrail.protocol.ProposalNumber;
-import nettletrail.protocol.ShardVersion;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store on the disk of the machine that runs the tests. */
+/** {@link CoreStore} on the disk of the machine that runs the tests. */
 class CoreStoreTest {
 
-  private static final String ADDRESS = "10.0.0.1:8665";
+  private static final String ADDRESS = ExampleVersions.ADDRESS;
 
   @TempDir Path folder;
 
@@ -32,12 +27,6 @@
     return CoreStore.open(DiskDirectory.open(folder), ADDRESS, firstRun, 2, 0xabcL);
   }
 
-  private static ShardVersion version(long sequence) {
-    ByteBuffer value = ByteBuffer.wrap(("value " + sequence).getBytes(StandardCharsets.UTF_8));
-    List<Member> members = List.of(new Member(ADDRESS + "#0", ADDRESS));
-    return new ShardVersion(new ProposalNumber(7L, ADDRESS + "#0"), sequence, members, value);
-  }
-
   private List<Path> versionFiles(int shard) throws IOException {
     try (Stream<Path> files = Files.list(folder.resolve("shard-" + shard))) {
       return files
@@ -125,73 +114,4 @@
     assertNull(stored.promised());
     assertEquals(List.of("promise"), stored.damaged());
   }
-
-  @Test
-  void givenFullDisk_whenVersionsFail_thenUnfinishedFilesDontGather() throws StorageException {
-    SimulatedDirectory disk = new SimulatedDirectory(new Random(1));
-    VersionStore store = new VersionStore(disk);
-    store.load();
-    disk.failWith(1);
-    for (long sequence = 1; sequence <= 50; sequence++) {
-      ShardVersion version = version(sequence);
-      assertThrows(StorageException.class, () -> store.storeVersion(version));
-    }
-    assertTrue(disk.list().size() <= 1, disk.list().toString());
-    disk.failWith(0);
-    store.storeVersion(version(51));
-    assertEquals(version(51), new VersionStore(disk).load().version());
-  }
-
-  @Test
-  void givenOldFilesThatCantBeRemoved_whenVersionsAreStored_thenTheyAreDurableAndOldOnesGoLater()
-      throws StorageException {
-    SimulatedDirectory disk = new SimulatedDirectory(new Random(2));
-    VersionStore store = new VersionStore(disk);
-    store.load();
-    for (long sequence = 1; sequence <= VersionStore.KEPT_VERSIONS; sequence++) {
-      store.storeVersion(version(sequence));
-    }
-    disk.failRemovals(true);
-    store.storeVersion(version(5));
-    store.storeVersion(version(6));
-    disk.failRemovals(false);
-    disk.losePower();
-    VersionStore restarted = new VersionStore(disk);
-    assertEquals(version(6), restarted.load().version());
-    restarted.storeVersion(version(7));
-    assertEquals(VersionStore.KEPT_VERSIONS, disk.list().size());
-  }
-
-  @Test
-  void givenDiskThatFillsUpAndEmptiesAgain_whenManyVersionsAreStored_thenOnlyTheKeptFilesStay()
-      throws StorageException {
-    SimulatedDirectory disk = new SimulatedDirectory(new Random(3));
-    VersionStore store = new VersionStore(disk);
-    store.load();
-    for (long sequence = 1; sequence <= 400; sequence++) {
-      disk.failWith(sequence % 10 == 0 ? 1 : 0);
-      storeIfPossible(store, version(sequence));
-      assertTrue(disk.list().size() <= VersionStore.KEPT_VERSIONS + 2, disk.list().toString());
-    }
-    disk.failWith(0);
-    store.storeVersion(version(401));
-    assertEquals(version(401), new VersionStore(disk).load().version());
-    assertEquals(VersionStore.KEPT_VERSIONS, disk.list().size());
-  }
-
-  private static void storeIfPossible(VersionStore store, ShardVersion version) {
-    try {
-      store.storeVersion(version);
-    } catch (StorageException full) {
-      assertTrue(full.getMessage().endsWith("injected"));
-    }
-  }
-
-  @Test
-  void givenMissingFile_whenRead_thenTheFailureNamesStepAndFile() throws StorageException {
-    Directory directory = DiskDirectory.open(folder);
-    StorageException failure = assertThrows(StorageException.class, () -> directory.read("absent"));
-    assertEquals(StorageException.Step.READ, failure.step());
-    assertTrue(failure.file().endsWith("absent"));
-  }
 }
--- a/store/src/test/java/nettletrail/store/DiskCheckTest.java
+++ b/store/src/test/java/nettletrail/store/DiskCheckTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The check of a disk finds what a start would find, and leaves everything as it is. */
+/** {@link DiskCheck} finds what a start would find, and changes no file. */
 class DiskCheckTest {
   private static final String ADDRESS = "10.0.0.1:7680";
   private static final int SHARDS = 2;
@@ -42,7 +42,7 @@
     return new ShardVersion(proposal, sequence, List.of(store.self()), value);
   }
 
-  private void spoil(String name) throws IOException {
+  private void corrupt(String name) throws IOException {
     byte[] bytes = Files.readAllBytes(disk.resolve(name));
     bytes[bytes.length - 1] ^= 1;
     Files.write(disk.resolve(name), bytes);
@@ -82,7 +82,7 @@
 
   @Test
   void damagedNewestVersionIsAFaultAndTheOlderIsShown() throws IOException {
-    spoil(NEWEST);
+    corrupt(NEWEST);
     DiskReport report = check();
     assertFalse(report.isHealthy());
     assertEquals(NEWEST, report.findings().get(0).file());
@@ -91,7 +91,7 @@
 
   @Test
   void damagedOlderVersionIsHarmless() throws IOException {
-    spoil(OLDER);
+    corrupt(OLDER);
     DiskReport report = check();
     assertTrue(report.isHealthy());
     assertEquals(OLDER, report.findings().get(0).file());
@@ -99,13 +99,13 @@
 
   @Test
   void damagedPromiseIsAFault() throws IOException {
-    spoil("shard-0/promise");
+    corrupt("shard-0/promise");
     assertFalse(check().isHealthy());
   }
 
   @Test
   void damagedIdentityIsAFault() throws IOException {
-    spoil("identity");
+    corrupt("identity");
     assertFalse(check().isHealthy());
   }
 
--- a/store/src/test/java/nettletrail/store/PowerLossTest.java
+++ b/store/src/test/java/nettletrail/store/PowerLossTest.java
@@ -13,14 +13,16 @@
 import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.ShardVersion;
 
-/** Random writes, failures and losses of power over a simulated disk. */
+/**
+ * Random writes, failures and losses of power over a simulated disk: nothing acknowledged is lost.
+ */
 class PowerLossTest {
 
   private static final String ADDRESS = "10.0.0.1:8665";
   private static final int STARTS = 6;
   private static final int WRITES = 12;
 
-  /** What the caller was told, and what it tried, for one shard. */
+  /** What was acknowledged to the caller, and what it attempted, for one shard. */
   private static final class Expected {
     long acknowledgedPromise;
     long lastPromise;
--- a/store/src/test/java/nettletrail/store/SimulatedDirectory.java
+++ b/store/src/test/java/nettletrail/store/SimulatedDirectory.java
@@ -9,8 +9,8 @@
 
 /**
  * A folder in memory that loses power and fails as real ones may: unsynced content is kept, lost or
- * torn; names that were made, renamed or removed since the folder's sync are kept or lost, each on
- * its own; an operation that fails may have taken effect.
+ * torn; names that were created, renamed or removed since the folder's sync are kept or lost, each
+ * on its own; an operation that fails may have taken effect.
  */
 final class SimulatedDirectory implements Directory {
 
@@ -36,6 +36,7 @@
     this.random = random;
   }
 
+  /** Makes this share of the operations fail from now on, in subfolders too; 0 to 1. */
   void failWith(double rate) {
     failureRate = rate;
     subdirectories.values().forEach(directory -> directory.failWith(rate));
@@ -46,6 +47,7 @@
     removalsFail = fail;
   }
 
+  /** Drops, keeps or tears what isn't durable, drawn for each change; */
   void losePower() {
     for (NameChange change : unsyncedChanges) {
       if (random.nextBoolean()) {
