--- a/protocol/src/main/java/nettletrail/protocol/event/LogEvent.java
+++ b/protocol/src/main/java/nettletrail/protocol/event/LogEvent.java
@@ -2,24 +2,24 @@
 
 /**
  * The events that the fleet's processes log at INFO and above. Each line begins with its event's
- * id, which stays the same over releases; {@code docs/operate/events.md} tells operators what each
- * means and what to do. Nothing is logged for single requests.
+ * id, which stays the same over releases; {@code docs/operate/events.md} says what each means and
+ * what operators should do. Nothing is logged for single requests.
  */
 public enum LogEvent {
   /** A core process has read its disk. */
   CORE_STARTS("NT101"),
-  /** A door process begins to look for the core. */
+  /** A door process starts and dials the core. */
   DOOR_STARTS("NT102"),
-  /** A door process has answered what was open, or its grace is over. */
+  /** A door process has shut down: all requests are answered, or the grace period is over. */
   DOOR_ENDS("NT103"),
-  /** Settings or machine don't allow a start. */
+  /** The settings or the machine don't allow a start. */
   START_FAILED("NT104"),
   /** A door can't listen for clients. */
   LISTEN_FAILED("NT105"),
 
-  /** The settings file can't be read; the settings before stay. */
+  /** The settings file can't be read; the previous settings stay active. */
   SETTINGS_UNREADABLE("NT201"),
-  /** The settings file has faults; the settings before stay. */
+  /** The settings file has errors; the previous settings stay active. */
   SETTINGS_FAULTY("NT202"),
 
   /** A link to another process is usable. */
@@ -30,23 +30,23 @@
   DIAL_FAILED("NT303"),
   /** An address that can't be dialled at all. */
   ADDRESS_UNUSABLE("NT304"),
-  /** More links from others than the bound. */
+  /** A connection was rejected: the bound on accepted links is reached. */
   LINK_REFUSED("NT305"),
   /** A message was incomplete or too long, and wasn't sent. */
   MESSAGE_DROPPED("NT306"),
   /** This process failed to handle a message. */
   DELIVERY_FAILED("NT307"),
 
-  /** More callers of the control gate than the bound. */
+  /** A caller of the control interface was rejected: the bound is reached. */
   CALLER_REFUSED("NT401"),
-  /** A caller of the control gate broke off. */
+  /** A caller of the control interface closed its connection early. */
   CALLER_LOST("NT402"),
 
   /** A configuration is committed, as this core process knows. */
   CONFIGURATION_COMMITTED("NT501"),
-  /** A door uses a configuration from here on. */
+  /** A door has activated a configuration. */
   CONFIGURATION_IN_FORCE("NT502"),
-  /** A committed configuration can't be used by this process. */
+  /** A committed configuration can't be activated by this process. */
   CONFIGURATION_UNUSABLE("NT503"),
   /** A backend registered an address that can't be dialled. */
   BACKEND_ADDRESS_UNUSABLE("NT504"),
--- a/protocol/src/main/java/nettletrail/protocol/link/FrameDecoder.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/BoundedBinaryDecoder.java
@@ -8,25 +8,29 @@
 import org.apache.avro.util.Utf8;
 
 /**
- * Avro's binary decoding straight from a frame's buffer.
+ * Decodes Avro's binary encoding (Avro 1.12 specification, "Binary Encoding") straight from a
+ * frame's buffer.
  *
- * <p>Avro's own decoder allocates whatever length the bytes name before it looks whether they are
- * there. This one checks every length and count against what is left of the frame, so that a frame
- * never costs much more memory than its own length.
+ * <p>Avro's own decoder allocates whatever length the bytes name before it checks that they are
+ * there. This one checks every length and count against the rest of the frame, so that a malformed
+ * frame never costs much more memory than its own length. A read beyond the end of the frame throws
+ * {@link IndexOutOfBoundsException}, as {@link ByteBuf} does.
+ *
+ * <p>The frame is neither retained nor released. Not safe for several threads.
  */
-final class FrameDecoder extends Decoder {
+final class BoundedBinaryDecoder extends Decoder {
   private static final int MAX_VARINT_BYTES = 10;
   private static final int PAYLOAD_BITS = 7;
   private static final int PAYLOAD_MASK = 0x7f;
 
   private ByteBuf frame;
 
-  /** Reads from this frame from now on; null lets go of the last one. The frame isn't released. */
+  /** Reads from this frame from now on; null forgets the last one. */
   void setFrame(ByteBuf frame) {
     this.frame = frame;
   }
 
-  /** Whether the frame is read to its end. */
+  /** Whether the frame was read to its end. */
   boolean isEnd() {
     return !frame.isReadable();
   }
@@ -157,10 +161,14 @@
     return (int) length;
   }
 
-  /** Items of the next block. Each takes a byte or more, as no message of the schema is empty. */
+  /**
+   * The number of items in the next block; 0 at the end. Every item takes at least one byte, since
+   * the schema has no empty record, so a count above the bytes left is malformed.
+   */
   private long readBlockCount() throws IOException {
     long count = readLong();
     if (count < 0) {
+      // A negative count is followed by the size of the block in bytes, which only a skip needs.
       readLong();
       count = -count;
     }
@@ -168,7 +176,12 @@
     return count;
   }
 
-  /** Skips blocks that tell their size; gives the count of the first that doesn't, 0 at the end. */
+  /**
+   * Skips the blocks that state their size in bytes.
+   *
+   * @return the number of items of the first block that doesn't, which the caller has to skip one
+   *     by one; 0 at the end
+   */
   private long skipBlocks() throws IOException {
     long count = readLong();
     while (count < 0) {
--- a/protocol/src/main/java/nettletrail/protocol/link/Dialler.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/Dialler.java
@@ -7,70 +7,61 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import java.util.random.RandomGenerator;
 import nettletrail.protocol.event.LogEvent;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps one address dialled: whenever its connection ends or can't be made, it dials again after a
- * pause.
+ * Keeps one address dialled: whenever its connection ends or can't be opened, it dials again after
+ * a backoff. Lives on the event loop.
  *
- * <p>The pause is drawn evenly between the shortest backoff and a bound that doubles with each
- * failure up to the longest; it starts over once a peer has said hello.
+ * <p>The backoff starts over only once the peer has said hello: a peer that accepts connections and
+ * closes them is dialled as rarely as one that doesn't accept.
  */
 final class Dialler {
   private static final Logger LOG = LoggerFactory.getLogger(Dialler.class);
 
   private final InetSocketAddress address;
   private final Bootstrap bootstrap;
-  private final LinkSettings settings;
-  private final RandomGenerator random;
+  private final ExponentialBackoff backoff;
 
   private Channel channel;
-  private ScheduledFuture<?> retry;
-  private int backoffBoundMillis;
+  private ScheduledFuture<?> scheduledDial;
   private boolean failureLogged;
   private boolean stopped;
 
   /**
    * A dialler that does nothing yet.
    *
-   * @param bootstrap makes the connections; its handler adds the link
+   * @param bootstrap opens the connections; its handler adds the link
    */
-  Dialler(
-      InetSocketAddress address,
-      Bootstrap bootstrap,
-      LinkSettings settings,
-      RandomGenerator random) {
+  Dialler(InetSocketAddress address, Bootstrap bootstrap, ExponentialBackoff backoff) {
     this.address = address;
     this.bootstrap = bootstrap;
-    this.settings = settings;
-    this.random = random;
-    this.backoffBoundMillis = settings.minBackoffMillis();
+    this.backoff = backoff;
   }
 
-  /** Opens a connection. */
+  /** Opens a connection, unless stopped. */
   void dial() {
-    retry = null;
+    scheduledDial = null;
     if (stopped) {
       return;
     }
     ChannelFuture connecting = bootstrap.connect(address);
     channel = connecting.channel();
-    connecting.addListener(done -> connected(done.cause()));
+    connecting.addListener(done -> onConnectDone(done.cause()));
   }
 
-  private void connected(Throwable failure) {
+  private void onConnectDone(Throwable failure) {
     if (failure == null) {
-      channel.closeFuture().addListener(closed -> redial());
+      channel.closeFuture().addListener(closed -> scheduleDial());
       return;
     }
-    logFailure(failure);
-    redial();
+    logFirstFailure(failure);
+    scheduleDial();
   }
 
-  private void logFailure(Throwable failure) {
+  private void logFirstFailure(Throwable failure) {
     if (failureLogged || stopped) {
       return;
     }
@@ -83,26 +74,26 @@
         failure.getMessage());
   }
 
-  private void redial() {
-    if (stopped || retry != null) {
+  private void scheduleDial() {
+    if (stopped || scheduledDial != null) {
       return;
     }
-    int pause = random.nextInt(settings.minBackoffMillis(), backoffBoundMillis + 1);
-    backoffBoundMillis = Math.min(settings.maxBackoffMillis(), backoffBoundMillis * 2);
-    retry = bootstrap.config().group().next().schedule(this::dial, pause, TimeUnit.MILLISECONDS);
+    int delayMillis = backoff.nextDelayMillis();
+    scheduledDial =
+        bootstrap.config().group().next().schedule(this::dial, delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** The peer has said hello, so the next pause is a short one. */
-  void succeeded() {
-    backoffBoundMillis = settings.minBackoffMillis();
+  /** The peer has said hello: the backoff starts over, and the next failure is logged again. */
+  void onHelloReceived() {
+    backoff.reset();
     failureLogged = false;
   }
 
-  /** Ends the connection and dials no more. */
+  /** Closes the connection and dials no more. */
   void stop() {
     stopped = true;
-    if (retry != null) {
-      retry.cancel(false);
+    if (scheduledDial != null) {
+      scheduledDial.cancel(false);
     }
     if (channel != null) {
       channel.close();
--- a/protocol/src/main/java/nettletrail/protocol/link/EnvelopeCodec.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/EnvelopeCodec.java
@@ -11,21 +11,22 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * Avro binary of envelopes, with encoder and decoder used again for each message. Not safe for
- * several threads.
+ * Encodes and decodes envelopes in Avro's binary encoding. Encoder and decoder are reused for all
+ * messages, so an instance is for one thread. Buffers are neither retained nor released here.
  */
 public final class EnvelopeCodec {
   private final SpecificDatumWriter<Envelope> writer = new SpecificDatumWriter<>(Envelope.class);
   private final SpecificDatumReader<Envelope> reader = new SpecificDatumReader<>(Envelope.class);
   private final Envelope outgoing = new Envelope();
-  private final FrameDecoder decoder = new FrameDecoder();
+  private final BoundedBinaryDecoder decoder = new BoundedBinaryDecoder();
   private BinaryEncoder encoder;
 
   /**
-   * Appends a message to a buffer.
+   * Appends a message to a buffer. After a failure the buffer may have a part of the message.
    *
    * @param peer who it is for, named in the error
-   * @throws ProtocolException if the message lacks a field or is no member of the envelope
+   * @throws ProtocolException with step ENCODE if the message lacks a field or is no member of the
+   *     envelope
    */
   public void encode(SpecificRecord body, ByteBuf target, String peer) throws ProtocolException {
     outgoing.setBody(body);
@@ -43,10 +44,10 @@
   }
 
   /**
-   * Reads the message that a frame holds, to its last byte. The frame isn't released.
+   * Decodes the message in a frame, to its last byte.
    *
    * @param peer who sent it, named in the error
-   * @throws ProtocolException if the frame isn't one whole envelope
+   * @throws ProtocolException with step DECODE if the frame isn't exactly one envelope
    */
   public SpecificRecord decode(ByteBuf frame, String peer) throws ProtocolException {
     int length = frame.readableBytes();
--- a/protocol/src/main/java/nettletrail/protocol/link/Link.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/Link.java
@@ -4,7 +4,6 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.handler.codec.DecoderException;
 import java.io.IOException;
 import nettletrail.protocol.Hello;
@@ -16,68 +15,59 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection: says hello, waits for the peer's hello, then passes messages both ways until it
- * closes.
+ * One connection: sends the hello, waits for the peer's hello, then passes messages both ways until
+ * it closes. Lives on the event loop.
  *
- * <p>Writes are flushed once at the end of the event loop's turn, so that what is sent in one turn
- * leaves in few packets.
+ * <p>It is the last handler of the channel's pipeline, behind the frame decoder, and has the state
+ * of the connection. The single concerns are in classes of their own: {@link HelloHandshake},
+ * {@link LinkLiveness} and {@link FrameWriter}. Frames that come in are released here.
  */
 final class Link extends ChannelInboundHandlerAdapter {
   private static final Logger LOG = LoggerFactory.getLogger(Link.class);
-  private static final int LENGTH_BYTES = 4;
 
-  /** What a link tells its owner; all calls come on the event loop. */
-  interface Owner {
-    /** The peer has said hello. */
-    void linkUp(Link link);
+  /** Receives the events of a link; all calls come on the event loop. */
+  interface Listener {
+    /** The handshake is done; {@link Link#peer} is known from now on. */
+    void onLinkUp(Link link);
 
-    /** A message came on a link that is up. */
-    void linkReceived(Link link, SpecificRecord body);
+    /** A message arrived on a link that is up. */
+    void onMessage(Link link, SpecificRecord body);
   }
 
-  private final Owner owner;
-  private final EnvelopeCodec codec;
-  private final LinkSettings settings;
-  private final Hello me;
-  private final LinkMetrics metrics;
+  private final Channel channel;
+  private final LinkContext shared;
 
   /** The dialled address, or null for an accepted connection. */
   private final String dialledAddress;
 
-  private Channel channel;
+  private final HelloHandshake handshake;
+  private final LinkLiveness liveness;
+  private final FrameWriter writer;
+
   private Peer peer;
-  private boolean flushScheduled;
   private boolean closing;
-  private long lastSent;
-  private long lastReceived;
 
-  Link(
-      Owner owner,
-      EnvelopeCodec codec,
-      LinkSettings settings,
-      Hello me,
-      LinkMetrics metrics,
-      String dialledAddress) {
-    this.owner = owner;
-    this.codec = codec;
-    this.settings = settings;
-    this.me = me;
-    this.metrics = metrics;
+  /**
+   * A link that still has to be added to the channel's pipeline.
+   *
+   * @param dialledAddress the dialled address, or null for an accepted connection
+   */
+  Link(Channel channel, LinkContext shared, String dialledAddress) {
+    this.channel = channel;
+    this.shared = shared;
     this.dialledAddress = dialledAddress;
+    this.handshake = new HelloHandshake(shared.ownHello(), dialledAddress);
+    this.liveness = new LinkLiveness(shared.settings());
+    this.writer = new FrameWriter(channel, shared.codec(), shared.settings());
   }
 
-  /** The other end; null until its hello came. */
+  /** The other end; null until its hello has arrived. */
   Peer peer() {
     return peer;
   }
 
-  /** The dialled address, or null for an accepted connection. */
-  String dialledAddress() {
-    return dialledAddress;
-  }
-
   boolean isOpen() {
-    return !closing && channel != null && channel.isActive();
+    return !closing && channel.isActive();
   }
 
   /**
@@ -90,160 +80,108 @@
     if (!isOpen()) {
       return false;
     }
-    ByteBuf frame = channel.alloc().buffer();
+    int bytes;
     try {
-      frame.writeZero(LENGTH_BYTES);
-      codec.encode(body, frame, name());
+      bytes = writer.write(body, peerName());
     } catch (ProtocolException failure) {
-      frame.release();
-      LOG.error("{} message dropped: {}", LogEvent.MESSAGE_DROPPED, failure.getMessage());
+      onSendFailed(failure);
       return false;
     }
-    int length = frame.readableBytes() - LENGTH_BYTES;
-    if (length > settings.maxFrameBytes()) {
-      frame.release();
-      LOG.error(
-          "{} message dropped: {} with {}: {} bytes, more than a frame may hold",
-          LogEvent.MESSAGE_DROPPED,
-          LinkStep.ENCODE,
-          name(),
-          length);
-      return false;
-    }
-    frame.setInt(0, length);
-    if (!write(frame)) {
-      return false;
-    }
-    metrics.sent(body.getSchema().getName(), length + LENGTH_BYTES);
-    return true;
-  }
-
-  private boolean write(ByteBuf frame) {
-    ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
-    long waiting = outbound == null ? 0 : outbound.totalPendingWriteBytes();
-    if (waiting > 0 && waiting + frame.readableBytes() > settings.maxOutboundBytes()) {
-      frame.release();
-      close(LinkStep.BUFFER, waiting + " bytes wait for the peer");
-      return false;
-    }
-    lastSent = System.nanoTime();
-    channel.write(frame, channel.voidPromise());
-    scheduleFlush();
+    liveness.onSent(System.nanoTime());
+    shared.metrics().sent(body.getSchema().getName(), bytes);
     return true;
   }
 
-  private void scheduleFlush() {
-    if (flushScheduled) {
-      return;
+  private void onSendFailed(ProtocolException failure) {
+    if (failure.step() == LinkStep.BUFFER) {
+      close(failure.step(), failure.reason());
+    } else {
+      LOG.error("{} message dropped: {}", LogEvent.MESSAGE_DROPPED, failure.getMessage());
     }
-    flushScheduled = true;
-    channel.eventLoop().execute(this::flush);
   }
 
-  private void flush() {
-    flushScheduled = false;
-    channel.flush();
-  }
-
-  /**
-   * Sends a ping if nothing was sent for a while; closes the link if the peer was silent for too
-   * long.
-   */
+  /** Sends a ping if nothing was sent for a while; closes the link after the idle timeout. */
   void checkLiveness(long now) {
     if (!isOpen()) {
       return;
     }
-    if (now - lastReceived > settings.idleTimeoutMillis() * 1_000_000L) {
-      close(LinkStep.LIVENESS, "nothing received for " + settings.idleTimeoutMillis() + " ms");
-    } else if (now - lastSent >= settings.pingMillis() * 1_000_000L) {
-      send(new Ping(now));
+    switch (liveness.check(now)) {
+      case CLOSE ->
+          close(
+              LinkStep.LIVENESS,
+              "nothing received for " + shared.settings().idleTimeoutMillis() + " ms");
+      case PING -> send(new Ping(now));
+      case NONE -> {
+        // Nothing is due.
+      }
     }
   }
 
-  /** Counts the peer's silence from now: this process itself did not run for a while. */
+  /** Counts the idle timeout from now: this process itself did not run for a while. */
   void restartIdleTimeout(long now) {
-    lastReceived = now;
+    liveness.restartIdleTimeout(now);
   }
 
-  /** Closes the connection and logs why. */
+  /** Closes the connection and logs why; without effect if it is closing already. */
   void close(LinkStep step, String reason) {
     if (closing) {
       return;
     }
     closing = true;
-    LOG.info("{} link closed: {} with {}: {}", LogEvent.LINK_CLOSED, step, name(), reason);
-    if (channel != null) {
-      channel.close();
-    }
-  }
-
-  @Override
-  public void handlerAdded(ChannelHandlerContext context) {
-    channel = context.channel();
+    LOG.info("{} link closed: {} with {}: {}", LogEvent.LINK_CLOSED, step, peerName(), reason);
+    channel.close();
   }
 
   @Override
   public void channelActive(ChannelHandlerContext context) {
-    lastReceived = System.nanoTime();
-    send(me);
+    liveness.onReceived(System.nanoTime());
+    send(shared.ownHello());
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     ByteBuf frame = (ByteBuf) message;
-    int bytes = frame.readableBytes() + LENGTH_BYTES;
-    long began = System.nanoTime();
+    int bytes = frame.readableBytes() + FrameWriter.LENGTH_FIELD_BYTES;
+    long startedAt = System.nanoTime();
     SpecificRecord body;
     try {
       if (closing) {
         return;
       }
-      lastReceived = began;
-      body = codec.decode(frame, name());
+      liveness.onReceived(startedAt);
+      body = shared.codec().decode(frame, peerName());
     } catch (ProtocolException failure) {
       close(failure.step(), failure.reason());
       return;
     } finally {
       frame.release();
     }
-    deliver(body);
-    metrics.received(body.getSchema().getName(), bytes, System.nanoTime() - began);
+    dispatch(body);
+    shared.metrics().received(body.getSchema().getName(), bytes, System.nanoTime() - startedAt);
   }
 
-  private void deliver(SpecificRecord body) {
+  private void dispatch(SpecificRecord body) {
     if (peer == null) {
-      greet(body);
+      completeHandshake(body);
     } else if (body instanceof Hello) {
       close(LinkStep.HELLO, "a second hello");
     } else if (body instanceof Ping ping) {
-      LOG.trace("Ping from {}, sent at {}", name(), ping.getSentAt());
+      LOG.trace("Ping from {}, sent at {}", peerName(), ping.getSentAt());
     } else if (body instanceof Pong pong) {
-      LOG.trace("Pong from {}, sent at {}", name(), pong.getSentAt());
+      LOG.trace("Pong from {}, sent at {}", peerName(), pong.getSentAt());
     } else {
-      owner.linkReceived(this, body);
+      shared.listener().onMessage(this, body);
     }
   }
 
-  private void greet(SpecificRecord body) {
-    if (!(body instanceof Hello hello)) {
-      close(LinkStep.HELLO, "the first message is a " + body.getSchema().getName());
-      return;
-    }
-    if (hello.getVersion() != me.getVersion()) {
-      close(
-          LinkStep.HELLO,
-          "protocol version " + hello.getVersion() + ", this process speaks " + me.getVersion());
+  private void completeHandshake(SpecificRecord firstMessage) {
+    try {
+      peer = handshake.accept(firstMessage, peerName());
+    } catch (ProtocolException failure) {
+      close(failure.step(), failure.reason());
       return;
     }
-    peer = new Peer(keyOf(hello), hello.getRole(), dialledAddress != null, hello);
-    owner.linkUp(this);
-  }
-
-  private String keyOf(Hello hello) {
-    if (dialledAddress != null) {
-      return dialledAddress;
-    }
-    return hello.getRole().equals(Links.DOOR_ROLE) ? hello.getNode() : hello.getAddress();
+    shared.listener().onLinkUp(this);
   }
 
   @Override
@@ -255,7 +193,7 @@
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     LinkStep step = stepOf(cause);
     if (step == LinkStep.DELIVER) {
-      LOG.error("{} {} with {}", LogEvent.DELIVERY_FAILED, step, name(), cause);
+      LOG.error("{} {} with {}", LogEvent.DELIVERY_FAILED, step, peerName(), cause);
     }
     close(step, cause.toString());
   }
@@ -267,13 +205,11 @@
     return cause instanceof IOException ? LinkStep.TRANSFER : LinkStep.DELIVER;
   }
 
-  private String name() {
+  /** The peer's key; before its hello, the address that was dialled or accepted. */
+  private String peerName() {
     if (peer != null) {
       return peer.key();
     }
-    if (dialledAddress != null) {
-      return dialledAddress;
-    }
-    return channel == null ? "unknown" : String.valueOf(channel.remoteAddress());
+    return dialledAddress == null ? String.valueOf(channel.remoteAddress()) : dialledAddress;
   }
 }
--- a/protocol/src/main/java/nettletrail/protocol/link/LinkMetrics.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/LinkMetrics.java
@@ -1,8 +1,8 @@
 package nettletrail.protocol.link;
 
 /**
- * Is told of every message on the links of a process; called on the event loop, so it must be
- * quick. A kind is the name of the message's schema.
+ * Counts the messages on the links of a process. Called on the event loop, so implementations must
+ * not block. A kind is the name of the message's Avro record, which is a label of metrics.
  */
 public interface LinkMetrics {
   /** Counts nothing. */
@@ -15,14 +15,18 @@
         public void received(String kind, int bytes, long nanos) {}
       };
 
-  /** A message was handed to the connection; {@code bytes} with its length field. */
+  /**
+   * A message was passed to the connection.
+   *
+   * @param bytes the size of the frame with its length field
+   */
   void sent(String kind, int bytes);
 
   /**
-   * A message was read and handled.
+   * A message was decoded and handled.
    *
-   * @param bytes with its length field
-   * @param nanos how long it kept the thread busy, what it caused in the same turn included
+   * @param bytes the size of the frame with its length field
+   * @param nanos how long decoding and handling kept the event loop busy, in nanoseconds
    */
   void received(String kind, int bytes, long nanos);
 }
--- a/protocol/src/main/java/nettletrail/protocol/link/LinkStep.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/LinkStep.java
@@ -1,28 +1,31 @@
 package nettletrail.protocol.link;
 
-/** The step of a link's life at which a failure arose; named in errors and log lines. */
+/**
+ * The step at which a link failed or ended. The names stand in errors and log lines, and operators
+ * search for them.
+ */
 public enum LinkStep {
   /** Opening a connection. */
   DIAL,
   /** Accepting a connection. */
   ACCEPT,
-  /** The first frame each way. */
+  /** The handshake: the first frame in each direction. */
   HELLO,
-  /** Cutting the byte stream into frames. */
+  /** Splitting the byte stream into frames. */
   FRAME,
   /** Reading a frame as an envelope. */
   DECODE,
   /** Writing an envelope as a frame. */
   ENCODE,
-  /** Handing a message to the listener. */
+  /** Passing a message to the listener. */
   DELIVER,
-  /** Buffering what the peer has not read yet. */
+  /** Buffering frames that the peer has not read yet. */
   BUFFER,
-  /** Waiting for any sign of the peer. */
+  /** Waiting for any message of the peer: idle timeout. */
   LIVENESS,
   /** Reading from or writing to the socket. */
   TRANSFER,
-  /** A newer link of the same peer has taken over. */
+  /** Replacing a link by a newer one of the same peer. */
   REPLACE,
   /** Closing on request of this process. */
   CLOSE
--- a/protocol/src/main/java/nettletrail/protocol/link/Links.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/Links.java
@@ -1,24 +1,13 @@
 package nettletrail.protocol.link;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.util.concurrent.ScheduledFuture;
-import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.event.LogEvent;
@@ -29,10 +18,10 @@
 /**
  * All links of one process: those that it keeps dialled and those that others opened.
  *
- * <p>A peer is known by a key. For a dialled link that is the dialled address; for an accepted link
- * it is the node name of a door, or the internal address of a core process, as its hello says. Of
- * two links with the same key and direction the newer one stays. Messages are dropped while no link
- * is up; nothing is queued for later.
+ * <p>A peer is identified by a key. For a dialled link that is the dialled address; for an accepted
+ * link it is the node name of a door, or the internal address of a core process, as in its hello.
+ * Of two links with the same key and direction the newer one stays. Messages are dropped while no
+ * link is up; nothing is queued for later.
  *
  * <p>Every method is called on the event loop, {@link #listen} and {@link #close} excepted.
  */
@@ -41,32 +30,25 @@
   public static final String DOOR_ROLE = "door";
 
   private static final Logger LOG = LoggerFactory.getLogger(Links.class);
-  private static final int LENGTH_BYTES = 4;
-  private static final int LISTEN_BACKLOG = 1024;
-  private static final int SHORTEST_CHECK_MILLIS = 20;
+  private static final int MIN_CHECK_PERIOD_MILLIS = 20;
   private static final int CHECKS_PER_PING = 4;
 
   private final EventLoop loop;
-  private final LinkSettings settings;
-  private final Hello me;
+  private final LinkContext shared;
   private final LinkListener listener;
-  private final LinkMetrics metrics;
-  private final Link.Owner linkOwner = new LinkOwner();
-  private final EnvelopeCodec codec = new EnvelopeCodec();
-  private final SplittableRandom random = new SplittableRandom();
+  private final LinkAcceptor acceptor;
+  private final DiallerSet diallers;
+  private final LinkTable linksUp = new LinkTable();
 
-  private final Map<String, Dialler> diallers = new HashMap<>();
-  private final Map<String, Link> dialledLinks = new HashMap<>();
-  private final Map<String, Link> acceptedLinks = new HashMap<>();
+  /** All connections, before and after their handshake. */
   private final Set<Link> openLinks = new LinkedHashSet<>();
-  private final List<Channel> serverChannels = new ArrayList<>();
+
   private final ScheduledFuture<?> livenessChecks;
-  private int acceptedConnections;
-  private long lastCheck = System.nanoTime();
+  private long lastCheckAt = System.nanoTime();
   private boolean closed;
 
   /**
-   * Links on a NIO event loop; nothing is dialled or listened to yet.
+   * Links on a NIO event loop, without metrics; nothing is dialled or listened to yet.
    *
    * @param me the hello that this process sends first on each link
    */
@@ -74,111 +56,80 @@
     this(loop, settings, me, listener, LinkMetrics.NONE);
   }
 
-  /** As the other constructor; {@code metrics} is told of all messages. */
+  /**
+   * Links on a NIO event loop; nothing is dialled or listened to yet.
+   *
+   * @param me the hello that this process sends first on each link
+   * @param metrics counts all messages
+   */
   public Links(
       EventLoop loop, LinkSettings settings, Hello me, LinkListener listener, LinkMetrics metrics) {
     this.loop = loop;
-    this.metrics = metrics;
-    this.settings = settings;
-    this.me = me;
+    this.shared = new LinkContext(settings, me, new EnvelopeCodec(), metrics, new LinkEvents());
     this.listener = listener;
-    int period = Math.max(SHORTEST_CHECK_MILLIS, settings.pingMillis() / CHECKS_PER_PING);
+    this.acceptor =
+        new LinkAcceptor(loop, settings.maxAcceptedLinks(), channel -> addLink(channel, null));
+    this.diallers = new DiallerSet(loop, settings, this::addLink);
+    int periodMillis = Math.max(MIN_CHECK_PERIOD_MILLIS, settings.pingMillis() / CHECKS_PER_PING);
     this.livenessChecks =
-        loop.scheduleWithFixedDelay(this::checkLiveness, period, period, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+            this::checkLiveness, periodMillis, periodMillis, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Takes links from others. May be called on any thread.
+   * Accepts links from others. May be called on any thread.
    *
    * @param address {@code ip:port}; port 0 takes any that is free
    * @return done once bound; its channel knows the local address
-   * @throws ProtocolException if the address can't be read
+   * @throws ProtocolException with step ACCEPT if the address can't be parsed
    */
   public ChannelFuture listen(String address) throws ProtocolException {
-    InetSocketAddress socketAddress = SocketAddresses.parse(address, LinkStep.ACCEPT);
-    ServerBootstrap bootstrap =
-        new ServerBootstrap()
-            .group(loop)
-            .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new AcceptedConnection());
-    ChannelFuture bound = bootstrap.bind(socketAddress);
-    loop.execute(() -> serverChannels.add(bound.channel()));
-    return bound;
+    return acceptor.listen(SocketAddresses.parse(address, LinkStep.ACCEPT));
   }
 
   /**
-   * Keeps an address dialled. This process's own address, and one that is dialled already, are left
-   * alone.
+   * Keeps an address dialled. Does nothing for this process's own address and for one that is
+   * dialled already; an address that can't be parsed is logged and not dialled.
+   *
+   * @param address {@code ip:port}
    */
   public void dial(String address) {
     requireLoop();
-    if (closed || address.equals(me.getAddress()) || diallers.containsKey(address)) {
-      return;
-    }
-    try {
-      InetSocketAddress socketAddress = SocketAddresses.parse(address, LinkStep.DIAL);
-      Dialler dialler = new Dialler(socketAddress, bootstrapFor(address), settings, random);
-      diallers.put(address, dialler);
-      dialler.dial();
-    } catch (ProtocolException failure) {
-      LOG.error("{} not dialled: {}", LogEvent.ADDRESS_UNUSABLE, failure.getMessage());
+    if (!closed && !address.equals(shared.ownHello().getAddress())) {
+      diallers.add(address);
     }
   }
 
-  private Bootstrap bootstrapFor(String address) {
-    return new Bootstrap()
-        .group(loop)
-        .channel(NioSocketChannel.class)
-        .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, settings.connectTimeoutMillis())
-        .handler(new DialledConnection(address));
-  }
-
   /** Dials an address no more and closes its dialled link. */
   public void undial(String address) {
     requireLoop();
-    Dialler dialler = diallers.remove(address);
-    if (dialler != null) {
-      dialler.stop();
-    }
+    diallers.remove(address);
   }
 
   /** The addresses that are kept dialled, whether a link is up or not; a copy. */
   public Set<String> dialled() {
     requireLoop();
-    return Set.copyOf(diallers.keySet());
+    return diallers.addresses();
   }
 
   /** Whether a message to this peer would be sent now. */
   public boolean isUp(String peer) {
     requireLoop();
-    return linkTo(peer) != null;
+    return linksUp.openLinkTo(peer) != null;
   }
 
   /**
    * Sends a message on the dialled link to a peer, or else on the one accepted from it.
    *
-   * @return false if no link is up, so that the message is dropped; true doesn't mean that it
-   *     arrives
+   * @return false if the message was dropped, since no link is up or it can't be encoded; true
+   *     doesn't mean that it arrives
    */
   public boolean send(String peer, SpecificRecord body) {
     requireLoop();
-    Link link = linkTo(peer);
+    Link link = linksUp.openLinkTo(peer);
     return link != null && link.send(body);
   }
 
-  private Link linkTo(String peer) {
-    Link dialled = dialledLinks.get(peer);
-    return dialled != null && dialled.isOpen() ? dialled : openOrNull(acceptedLinks.get(peer));
-  }
-
-  private static Link openOrNull(Link link) {
-    return link != null && link.isOpen() ? link : null;
-  }
-
   /**
    * Closes everything for good. May be called on any thread; done at the event loop's next turn.
    */
@@ -189,18 +140,22 @@
   private void closeOnLoop() {
     closed = true;
     livenessChecks.cancel(false);
-    serverChannels.forEach(Channel::close);
-    diallers.values().forEach(Dialler::stop);
-    diallers.clear();
+    acceptor.close();
+    diallers.close();
     for (Link link : List.copyOf(openLinks)) {
       link.close(LinkStep.CLOSE, "this process ends its links");
     }
   }
 
+  /**
+   * Checks all links. After a pause of this process (garbage collection, a suspended machine) no
+   * link is closed for what it couldn't receive meanwhile.
+   */
   private void checkLiveness() {
     long now = System.nanoTime();
-    boolean wasPaused = now - lastCheck > settings.idleTimeoutMillis() * 1_000_000L / 2;
-    lastCheck = now;
+    long idleTimeoutNanos = TimeUnit.MILLISECONDS.toNanos(shared.settings().idleTimeoutMillis());
+    boolean wasPaused = now - lastCheckAt > idleTimeoutNanos / 2;
+    lastCheckAt = now;
     for (Link link : List.copyOf(openLinks)) {
       if (wasPaused) {
         link.restartIdleTimeout(now);
@@ -209,109 +164,66 @@
     }
   }
 
-  private void linkUp(Link link) {
+  /** Sets up the pipeline of a new connection; {@code dialledAddress} is null if accepted. */
+  private void addLink(Channel channel, String dialledAddress) {
+    Link link = new Link(channel, shared, dialledAddress);
+    openLinks.add(link);
+    channel.closeFuture().addListener(done -> onLinkClosed(link));
+    int lengthBytes = FrameWriter.LENGTH_FIELD_BYTES;
+    int maxFrameBytes = shared.settings().maxFrameBytes();
+    channel
+        .pipeline()
+        .addLast(new LengthFieldBasedFrameDecoder(maxFrameBytes, 0, lengthBytes, 0, lengthBytes))
+        .addLast(link);
+  }
+
+  private void onLinkUp(Link link) {
     Peer peer = link.peer();
     if (peer.dialled()) {
-      Dialler dialler = diallers.get(peer.key());
-      if (dialler != null) {
-        dialler.succeeded();
-      }
+      diallers.onHelloReceived(peer.key());
     }
-    Link older = linksLike(peer).get(peer.key());
+    Link older = linksUp.linkOf(peer);
     if (older != null) {
       older.close(LinkStep.REPLACE, "a newer link of the same peer is up");
       takeDown(older);
     }
-    linksLike(peer).put(peer.key(), link);
-    LOG.info(
-        "{} link up: {} ({}), {}",
-        LogEvent.LINK_UP,
-        peer.key(),
-        peer.role(),
-        peer.dialled() ? "dialled" : "accepted");
+    linksUp.add(link);
+    logLinkUp(peer);
     listener.up(peer);
   }
 
-  private void linkClosed(Link link) {
+  private static void logLinkUp(Peer peer) {
+    String direction = peer.dialled() ? "dialled" : "accepted";
+    LOG.info("{} link up: {} ({}), {}", LogEvent.LINK_UP, peer.key(), peer.role(), direction);
+  }
+
+  private void onLinkClosed(Link link) {
     openLinks.remove(link);
-    if (link.dialledAddress() == null) {
-      acceptedConnections--;
-    }
     takeDown(link);
   }
 
   private void takeDown(Link link) {
-    Peer peer = link.peer();
-    if (peer != null && linksLike(peer).remove(peer.key(), link)) {
-      listener.down(peer);
+    if (linksUp.remove(link)) {
+      listener.down(link.peer());
     }
   }
 
-  private Map<String, Link> linksLike(Peer peer) {
-    return peer.dialled() ? dialledLinks : acceptedLinks;
-  }
-
-  private void addLink(Channel channel, String dialledAddress) {
-    Link link = new Link(linkOwner, codec, settings, me, metrics, dialledAddress);
-    openLinks.add(link);
-    channel.closeFuture().addListener(done -> linkClosed(link));
-    channel
-        .pipeline()
-        .addLast(
-            new LengthFieldBasedFrameDecoder(
-                settings.maxFrameBytes(), 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-        .addLast(link);
-  }
-
   private void requireLoop() {
     if (!loop.inEventLoop()) {
       throw new IllegalStateException("links are used on their event loop only");
     }
   }
 
-  /** Passes on what the links tell. */
-  private final class LinkOwner implements Link.Owner {
+  /** Passes on the events of single links. */
+  private final class LinkEvents implements Link.Listener {
     @Override
-    public void linkUp(Link link) {
-      Links.this.linkUp(link);
+    public void onLinkUp(Link link) {
+      Links.this.onLinkUp(link);
     }
 
     @Override
-    public void linkReceived(Link link, SpecificRecord body) {
+    public void onMessage(Link link, SpecificRecord body) {
       listener.received(link.peer(), body);
     }
   }
-
-  /** Sets up a connection that another process opened. */
-  private final class AcceptedConnection extends ChannelInitializer<Channel> {
-    @Override
-    protected void initChannel(Channel channel) {
-      if (closed || acceptedConnections >= settings.maxAcceptedLinks()) {
-        LOG.warn(
-            "{} {} with {}: refused, {} links are open",
-            LogEvent.LINK_REFUSED,
-            LinkStep.ACCEPT,
-            channel.remoteAddress(),
-            acceptedConnections);
-        channel.close();
-        return;
-      }
-      acceptedConnections++;
-      addLink(channel, null);
-    }
-  }
-
-  /** Sets up a connection that this process opens. */
-  private final class DialledConnection extends ChannelInitializer<Channel> {
-    private final String address;
-
-    private DialledConnection(String address) {
-      this.address = address;
-    }
-
-    @Override
-    protected void initChannel(Channel channel) {
-      addLink(channel, address);
-    }
-  }
 }
--- a/protocol/src/main/java/nettletrail/protocol/link/ProtocolException.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/ProtocolException.java
@@ -1,6 +1,6 @@
 package nettletrail.protocol.link;
 
-/** A failure on a link, with the step and the peer at which it arose. */
+/** A failure on a link: at which step, with which peer, and why. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
   private final String peer;
   private final String reason;
 
-  /** A failure without another exception behind it. */
+  /** A failure without an underlying exception. */
   public ProtocolException(LinkStep step, String peer, String reason) {
     this(step, peer, reason, null);
   }
@@ -31,7 +31,7 @@
     return reason;
   }
 
-  /** The peer's key, or its socket address as long as it has not said hello. */
+  /** The peer's key; before its hello, the address that was dialled or accepted. */
   public String peer() {
     return peer;
   }
--- a/protocol/src/main/java/nettletrail/protocol/link/SocketAddresses.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/SocketAddresses.java
@@ -5,17 +5,17 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads {@code ip:port}. Names are refused, so nothing here ever waits for a look-up. */
+/** Parses {@code ip:port}. Host names are rejected, so that nothing here blocks on a DNS query. */
 final class SocketAddresses {
-  private static final int HIGHEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private SocketAddresses() {}
 
   /**
-   * Reads an address.
+   * Parses an address.
    *
-   * @param step what the address is wanted for, named in the error
-   * @throws ProtocolException if the text isn't an IP number, a colon and a port
+   * @param step what the address is for, named in the error
+   * @throws ProtocolException if the text isn't an IP address, a colon and a port of 0 to 65535
    */
   static InetSocketAddress parse(String text, LinkStep step) throws ProtocolException {
     int colon = text.lastIndexOf(':');
@@ -33,7 +33,7 @@
 
   private static int port(String text) {
     int port = Integer.parseInt(text);
-    if (port < 0 || port > HIGHEST_PORT) {
+    if (port < 0 || port > MAX_PORT) {
       throw new NumberFormatException("port " + port);
     }
     return port;
--- a/protocol/src/test/java/nettletrail/protocol/link/BadPeerTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/BadPeerTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Peers on plain sockets that say nothing, too much, or what can't be read. */
+/** {@link Links} with peers on plain sockets that are idle, slow or break the protocol. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class BadPeerTest {
   private static final String DOOR = "counter-a-1";
-  private static final int LONGEST_FRAME = 1 << 20;
+  private static final int MAX_FRAME_BYTES = 1 << 20;
 
   private final EnvelopeCodec codec = new EnvelopeCodec();
   private LinkProcess core;
@@ -37,7 +37,7 @@
 
   @BeforeEach
   void connect() throws Exception {
-    LinkSettings settings = new LinkSettings(LONGEST_FRAME, 100_000, 2, 50, 400, 500, 50, 500);
+    LinkSettings settings = new LinkSettings(MAX_FRAME_BYTES, 100_000, 2, 50, 400, 500, 50, 500);
     core = new LinkProcess("core", "10.0.0.1:7680", "core", 1, settings);
     String address = core.listen("127.0.0.1:0");
     socket = new Socket("127.0.0.1", Integer.parseInt(address.substring(address.indexOf(':') + 1)));
@@ -59,12 +59,12 @@
     return bytes;
   }
 
-  private void greet() throws Exception {
+  private void completeHandshake() throws Exception {
     socket.getOutputStream().write(frame(new Hello(DOOR, "", Links.DOOR_ROLE, 1L, 1)));
     assertEquals(DOOR, core.next(Event.Up.class).peer().key());
   }
 
-  /** Reads frames until the connection ends and gives the last one. */
+  /** Reads frames until the connection ends, and returns the last one. */
   private SpecificRecord lastFrame() throws Exception {
     DataInputStream input = new DataInputStream(socket.getInputStream());
     SpecificRecord last = null;
@@ -80,8 +80,8 @@
   }
 
   @Test
-  void silentPeerHearsPingsUntilItsLinkIsClosed() throws Exception {
-    greet();
+  void idlePeerGetsPingsUntilItsLinkIsClosed() throws Exception {
+    completeHandshake();
     assertTrue(lastFrame() instanceof Ping);
     assertEquals(DOOR, core.next(Event.Down.class).peer().key());
   }
@@ -94,10 +94,10 @@
 
   @Test
   void peerThatOnlyPingsStaysUp() throws Exception {
-    greet();
+    completeHandshake();
     OutputStream output = socket.getOutputStream();
     byte[] ping = frame(new Ping(1L));
-    for (int round = 0; round < 20; round++) {
+    for (int sent = 0; sent < 20; sent++) {
       output.write(ping);
       TimeUnit.MILLISECONDS.sleep(40);
     }
@@ -107,15 +107,15 @@
 
   @Test
   void oversizeFrameClosesTheLink() throws Exception {
-    greet();
-    socket.getOutputStream().write(ByteBuffer.allocate(8).putInt(LONGEST_FRAME + 1).array());
+    completeHandshake();
+    socket.getOutputStream().write(ByteBuffer.allocate(8).putInt(MAX_FRAME_BYTES + 1).array());
     core.next(Event.Down.class);
     lastFrame();
   }
 
   @Test
   void frameThatIsNoEnvelopeClosesTheLink() throws Exception {
-    greet();
+    completeHandshake();
     socket.getOutputStream().write(ByteBuffer.allocate(8).putInt(4).putInt(-1).array());
     core.next(Event.Down.class);
     lastFrame();
@@ -136,8 +136,8 @@
   }
 
   @Test
-  void peerThatDoesNotReadIsClosedAtTheBoundOfItsBuffer() throws Exception {
-    greet();
+  void peerThatDoesNotReadIsClosedAtTheOutboundLimit() throws Exception {
+    completeHandshake();
     ConfigurationChunk push =
         new ConfigurationChunk(1L, 1L, 50_000, 0, ByteBuffer.wrap(new byte[50_000]));
     boolean sent = true;
@@ -150,7 +150,7 @@
 
   @Test
   void connectionsAboveTheLimitAreClosed() throws Exception {
-    greet();
+    completeHandshake();
     try (Socket second = new Socket(socket.getInetAddress(), socket.getPort());
         Socket third = new Socket(socket.getInetAddress(), socket.getPort())) {
       assertTrue(new DataInputStream(second.getInputStream()).readInt() > 0, "the core's hello");
--- a/protocol/src/test/java/nettletrail/protocol/link/ConfigurationValueFormatTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/ConfigurationValueFormatTest.java
@@ -15,7 +15,7 @@
 import org.apache.avro.specific.SpecificDatumWriter;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of the configuration shard's value, which is kept on disk and is no message. */
+/** The bytes of the configuration shard's value, which is stored on disk and is no message. */
 class ConfigurationValueFormatTest {
   private static final String COMMITTED = "8ea8d6b907067800ff040a062100ff8ea8d6b907064200ff00";
 
--- a/protocol/src/test/java/nettletrail/protocol/link/EnvelopeCodecTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/EnvelopeCodecTest.java
@@ -33,6 +33,7 @@
 import org.apache.avro.util.RandomData;
 import org.junit.jupiter.api.Test;
 
+/** {@link EnvelopeCodec} with complete, truncated, changed and random messages. */
 class EnvelopeCodecTest {
   private static final String PEER = "10.0.0.1:7680";
 
@@ -77,7 +78,7 @@
   }
 
   @Test
-  void bytesAfterTheMessageAreRefused() throws Exception {
+  void bytesAfterTheMessageAreRejected() throws Exception {
     ByteBuf buffer = Unpooled.buffer();
     codec.encode(new Ping(5L), buffer, PEER);
     buffer.writeByte(0);
@@ -87,24 +88,24 @@
   }
 
   @Test
-  void cutAndChangedFramesEndInACheckedExceptionOnly() throws Exception {
+  void truncatedAndChangedFramesThrowOnlyTheCheckedException() throws Exception {
     ByteBuf complete = Unpooled.buffer();
     codec.encode(accept(40), complete, PEER);
     for (int length = 0; length < complete.readableBytes(); length++) {
-      ByteBuf cut = complete.slice(0, length);
-      assertThrows(ProtocolException.class, () -> codec.decode(cut, PEER));
+      ByteBuf truncated = complete.slice(0, length);
+      assertThrows(ProtocolException.class, () -> codec.decode(truncated, PEER));
     }
     Random random = new Random(11);
-    for (int round = 0; round < 2_000; round++) {
+    for (int change = 0; change < 2_000; change++) {
       ByteBuf changed = complete.copy();
       int position = random.nextInt(changed.readableBytes());
       changed.setByte(position, changed.getByte(position) ^ (1 << random.nextInt(8)));
-      decodeOrRefuse(changed);
+      decodeOrExpectDecodeFailure(changed);
     }
   }
 
   @Test
-  void lengthsThatTheFrameDoesNotHoldAreRefusedBeforeAnythingIsAllocated() throws Exception {
+  void lengthsBeyondTheFrameAreRejectedBeforeAnythingIsAllocated() throws Exception {
     int configurationChunk =
         unionIndexOf(new ConfigurationChunk(0L, 0L, 0, 0, ByteBuffer.allocate(0)));
     int feedAck = unionIndexOf(new FeedAck("", 0L, 0L));
@@ -155,7 +156,7 @@
     assertTrue(failure.reason().contains("a length of"), failure.reason());
   }
 
-  private void decodeOrRefuse(ByteBuf frame) {
+  private void decodeOrExpectDecodeFailure(ByteBuf frame) {
     try {
       codec.decode(frame, PEER);
     } catch (ProtocolException failure) {
--- a/protocol/src/test/java/nettletrail/protocol/link/ExampleParts.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/ExampleParts.java
@@ -15,8 +15,8 @@
 import nettletrail.protocol.TenantUse;
 
 /**
- * Filled-in records that messages hold, for tests of the format. Within a record each field has a
- * value of its own, and so have records of different numbers.
+ * Filled-in records that are parts of messages, for tests of the format. Within a record each field
+ * has a value of its own, and so have records of different numbers.
  */
 final class ExampleParts {
   /** Written out, so that a change of their order in the schema changes the bytes. */
--- a/protocol/src/test/java/nettletrail/protocol/link/LinkFrameFormatTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/LinkFrameFormatTest.java
@@ -16,7 +16,7 @@
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class LinkFrameFormatTest {
-  /** Node "core", address "10.0.0.1:7680", role "core", life 1, version 1. */
+  /** Node "core", address "10.0.0.1:7680", role "core", incarnation 1, version 1. */
   private static final String HELLO_OF_CORE =
       "0000001b"
           + "00"
@@ -26,7 +26,7 @@
           + "02"
           + "02";
 
-  /** Node "d", no address, role "door", life 1, version 1. */
+  /** Node "d", no address, role "door", incarnation 1, version 1. */
   private static final String HELLO_OF_DOOR =
       "0000000b" + "00" + "0264" + "00" + "08646f6f72" + "02" + "02";
 
--- a/protocol/src/test/java/nettletrail/protocol/link/LinkProcess.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/LinkProcess.java
@@ -10,14 +10,11 @@
 import nettletrail.protocol.Hello;
 import org.apache.avro.specific.SpecificRecord;
 
-/**
- * One process of a test: links on an event loop of their own, and what their listener was told, in
- * order.
- */
+/** One process of a test: links on an event loop of their own, and their listener's events. */
 final class LinkProcess implements AutoCloseable {
-  static final long PATIENCE_SECONDS = 20;
+  static final long TIMEOUT_SECONDS = 20;
 
-  /** What the listener was told. */
+  /** A call of the listener. */
   sealed interface Event {
     /** A link came up. */
     record Up(Peer peer) implements Event {}
@@ -25,7 +22,7 @@
     /** A link went down. */
     record Down(Peer peer) implements Event {}
 
-    /** A message came. */
+    /** A message arrived. */
     record Received(Peer peer, SpecificRecord body) implements Event {}
   }
 
@@ -46,7 +43,7 @@
     return new LinkProcess(node, "", Links.DOOR_ROLE, 1, LinkSettings.defaults());
   }
 
-  /** Listens and gives the address to dial. */
+  /** Listens, and returns the address to dial. */
   String listen(String address) throws Exception {
     InetSocketAddress bound =
         (InetSocketAddress) links.listen(address).sync().channel().localAddress();
@@ -66,12 +63,12 @@
   }
 
   <T> T onLoop(Callable<T> task) throws Exception {
-    return group.next().submit(task).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return group.next().submit(task).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   /** The next event, which must be of this kind. */
   <T extends Event> T next(Class<T> kind) throws InterruptedException {
-    Event event = events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    Event event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     if (!kind.isInstance(event)) {
       throw new AssertionError("expected " + kind.getSimpleName() + ", got " + event);
     }
@@ -83,7 +80,7 @@
     links.close();
     group
         .shutdownGracefully(0, 1, TimeUnit.SECONDS)
-        .awaitUninterruptibly(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        .awaitUninterruptibly(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private final class RecordingListener implements LinkListener {
--- a/protocol/src/test/java/nettletrail/protocol/link/LinksTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/LinksTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** {@link Links} of two processes on real sockets. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class LinksTest {
   private static final String ANY_PORT = "127.0.0.1:0";
@@ -27,13 +28,13 @@
       String address = core.listen(ANY_PORT);
       assertFalse(door.send(address, new VersionQuery(1)), "nothing is dialled yet");
       door.dial(address);
-      Peer coreSeen = door.next(Event.Up.class).peer();
-      Peer doorSeen = core.next(Event.Up.class).peer();
-      assertEquals(address, coreSeen.key());
-      assertTrue(coreSeen.dialled());
-      assertEquals(DOOR, doorSeen.key());
-      assertEquals(Links.DOOR_ROLE, doorSeen.role());
-      assertFalse(doorSeen.dialled());
+      Peer corePeer = door.next(Event.Up.class).peer();
+      Peer doorPeer = core.next(Event.Up.class).peer();
+      assertEquals(address, corePeer.key());
+      assertTrue(corePeer.dialled());
+      assertEquals(DOOR, doorPeer.key());
+      assertEquals(Links.DOOR_ROLE, doorPeer.role());
+      assertFalse(doorPeer.dialled());
       assertTrue(door.send(address, new FeedAck(DOOR, 1L, 2L)));
       assertEquals(new FeedAck(DOOR, 1L, 2L), core.next(Event.Received.class).body());
       assertTrue(core.send(DOOR, new VersionQuery(4)));
@@ -54,7 +55,7 @@
   }
 
   @Test
-  void messagesOfOneTurnComeInOrder() throws Exception {
+  void messagesOfOneTurnArriveInOrder() throws Exception {
     try (LinkProcess core = LinkProcess.core("10.0.0.1:7680");
         LinkProcess door = LinkProcess.door(DOOR)) {
       String address = core.listen(ANY_PORT);
@@ -75,7 +76,7 @@
   }
 
   @Test
-  void dialsOnUntilThePeerListensAndAgainAfterItsRestart() throws Exception {
+  void redialsUntilThePeerListensAndAgainAfterItsRestart() throws Exception {
     try (LinkProcess door = LinkProcess.door(DOOR)) {
       String address;
       try (LinkProcess core = LinkProcess.core("10.0.0.1:7680")) {
@@ -139,7 +140,7 @@
   }
 
   @Test
-  void messageAboveTheLongestFrameIsDroppedAndTheLinkStays() throws Exception {
+  void messageAboveTheFrameLimitIsDroppedAndTheLinkStaysUp() throws Exception {
     LinkSettings small = new LinkSettings(1000, 100_000, 8, 400, 1600, 500, 50, 500);
     try (LinkProcess core = new LinkProcess("core", "10.0.0.1:7680", "core", 1, small);
         LinkProcess door = new LinkProcess(DOOR, "", Links.DOOR_ROLE, 1, small)) {
@@ -156,7 +157,7 @@
   }
 
   @Test
-  void useOffTheEventLoopIsRefused() throws Exception {
+  void useOffTheEventLoopIsRejected() throws Exception {
     try (LinkProcess core = LinkProcess.core("10.0.0.1:7680")) {
       assertThrows(
           IllegalStateException.class, () -> core.links.send(OTHER_CORE, new VersionQuery(1)));
@@ -164,7 +165,7 @@
   }
 
   @Test
-  void addressThatIsNoIpAndPortIsRefused() throws Exception {
+  void addressThatIsNoIpAndPortIsRejected() throws Exception {
     try (LinkProcess core = LinkProcess.core("10.0.0.1:7680")) {
       ProtocolException failure =
           assertThrows(ProtocolException.class, () -> core.links.listen("localhost:80"));
--- a/protocol/src/test/java/nettletrail/protocol/link/MessageFormatTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/MessageFormatTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The bytes of every message kind, held by a file that an earlier build wrote: each line has the
+ * The bytes of every message kind, pinned by a file that an earlier build wrote: each line has the
  * kind's number in the envelope's union and an example in hexadecimal. A change of the file is a
  * change of the protocol, and needs a new protocol version.
  */
