--- a/router/src/main/java/nettletrail/router/AnswerHandler.java
+++ b/router/src/main/java/nettletrail/router/AnswerHandler.java
@@ -104,8 +104,11 @@
       sender.tryAgainIfIdempotent(exchange);
       return;
     }
-    boolean failure = head.status().codeClass() == HttpStatusClass.SERVER_ERROR;
-    exchange.backend.served(!failure, System.nanoTime());
+    if (head.status().codeClass() == HttpStatusClass.SERVER_ERROR) {
+      exchange.backend.respondedWithError(System.nanoTime());
+    } else {
+      exchange.backend.succeeded(System.nanoTime());
+    }
     completion.over(exchange);
     boolean bodiless = AnswerFraming.of(head, exchange.isHeadRequest()) == AnswerFraming.NO_BODY;
     exchange.client.forward(head, answer.body(), bodiless);
--- a/router/src/main/java/nettletrail/router/AttemptSender.java
+++ b/router/src/main/java/nettletrail/router/AttemptSender.java
@@ -70,7 +70,7 @@
     expireAtDeadline(exchange, now);
     BackendLoad backend =
         exchange.service.backends.choose(exchange.choice(), configured.engine(), doors, now);
-    exchange.service.backends.takeEjected().forEach(pool::closeIdle);
+    exchange.service.backends.pollEjected().forEach(pool::closeIdle);
     if (backend == null) {
       completion.unserved(exchange);
       return;
@@ -148,13 +148,13 @@
   private boolean countSend(Exchange exchange, long now) {
     int doors = control.doorCount();
     boolean isRepeat = exchange.sends > 0;
-    if (isRepeat && !(hasAttemptLeft(exchange) && exchange.service.budget.take(doors, now))) {
+    if (isRepeat && !(hasAttemptLeft(exchange) && exchange.service.budget.tryAcquire(doors, now))) {
       completion.unserved(exchange);
       return false;
     }
     if (!exchange.charged) {
       exchange.charged = true;
-      exchange.service.budget.firstSend(now);
+      exchange.service.budget.recordRequest(now);
       counters.charge(exchange.tenantName(), exchange.inputTokens(), now);
     }
     exchange.sends++;
@@ -239,7 +239,7 @@
   private boolean mayTryAgain(Exchange exchange) {
     return exchange.canGoOnElsewhere()
         && hasAttemptLeft(exchange)
-        && exchange.service.budget.has(control.doorCount(), System.nanoTime())
+        && exchange.service.budget.allowsRetry(control.doorCount(), System.nanoTime())
         && exchange.service.backends.hasUntried(exchange.tried);
   }
 
@@ -297,7 +297,7 @@
     if (ticket != null) {
       ticket.cancel();
     }
-    exchange.backend.gaveUp(System.nanoTime());
+    exchange.backend.requestAbandoned(System.nanoTime());
     exchange.rejected = null;
     exchange.sendOver(true);
     retry(exchange);
--- a/router/src/main/java/nettletrail/router/Completion.java
+++ b/router/src/main/java/nettletrail/router/Completion.java
@@ -121,7 +121,7 @@
       ticket.cancel();
     }
     if (exchange.backend != null) {
-      exchange.backend.gaveUp(System.nanoTime());
+      exchange.backend.requestAbandoned(System.nanoTime());
       exchange.sendOver(exchange.currentSent);
     }
   }
@@ -147,20 +147,20 @@
   }
 
   private void releaseSlot(ServiceState service) {
-    service.queue.released();
+    service.queue.releaseSlot();
     if (service.queue.size() > 0) {
       loop.execute(() -> slotFreed.accept(service));
     }
   }
 
   private void settle(Exchange exchange, long now) {
-    if (exchange.charged) {
-      counters.settle(
-          exchange.tenantName(),
-          exchange.inputTokens(),
-          exchange.mayHaveRun(),
-          exchange.outputTokens(),
-          now);
+    if (!exchange.charged) {
+      return;
+    }
+    if (exchange.mayHaveRun()) {
+      counters.chargeOutput(exchange.tenantName(), exchange.outputTokens(), now);
+    } else {
+      counters.refund(exchange.tenantName(), exchange.inputTokens(), now);
     }
   }
 }
--- a/router/src/main/java/nettletrail/router/Exchange.java
+++ b/router/src/main/java/nettletrail/router/Exchange.java
@@ -125,7 +125,7 @@
   }
 
   @Override
-  public int rank() {
+  public int priority() {
     return rank;
   }
 
@@ -222,7 +222,7 @@
         route().gapMs(),
         route().targetMs(),
         inputTokens(),
-        backend.isSilent(now));
+        backend.isUnresponsive(now));
   }
 
   // ---- What it holds ----
@@ -325,7 +325,7 @@
   public void answerContent(ByteBuf content) {
     heardAt = System.nanoTime();
     if (!prefilled) {
-      service.backends.answerBegan(backend, workBefore, heardAt - sentAt, heardAt);
+      service.backends.responseStarted(backend, workBefore, heardAt - sentAt, heardAt);
       notePrefilled();
     }
     answers.content(this, content);
--- a/router/src/main/java/nettletrail/router/QuotaGate.java
+++ b/router/src/main/java/nettletrail/router/QuotaGate.java
@@ -48,7 +48,7 @@
           new AdmissionController(tenant.ratePerSecond(), tenant.burst(), doors, seedOfTenant, now);
       admissionControllers.put(tenant.name(), admissionController);
     }
-    admissionController.limit(tenant.ratePerSecond(), tenant.burst());
+    admissionController.setLimit(tenant.ratePerSecond(), tenant.burst());
     return admissionController;
   }
 
@@ -64,7 +64,7 @@
       return false;
     }
     lastTaken.put(tenant, now);
-    admissionController(exchange.resolution().tenant(), now).used(cost);
+    admissionController(exchange.resolution().tenant(), now).recordUse(cost);
     exchange.quotaTaken = cost;
     exchange.quotaTenant = tenant;
     return true;
--- a/router/src/main/java/nettletrail/router/RequestDispatcher.java
+++ b/router/src/main/java/nettletrail/router/RequestDispatcher.java
@@ -127,7 +127,7 @@
    */
   private void requeue(Exchange exchange) {
     long now = System.nanoTime();
-    exchange.service.queue.released();
+    exchange.service.queue.releaseSlot();
     quota.refund(exchange, now);
     exchange.state = Exchange.State.WAITING;
     await(exchange, now);
@@ -227,7 +227,7 @@
 
   void quotaGranted(Collection<String> tenants) {
     for (ServiceState service : new ArrayList<>(services.values())) {
-      if (service.queue.size() > 0 && service.queue.holdsAny(tenants)) {
+      if (service.queue.size() > 0 && service.queue.containsAny(tenants)) {
         pump(service);
       }
     }
@@ -248,7 +248,7 @@
 
   /** To be called a few times a second. */
   void tick(long now) {
-    counters.forgetIdle(now);
+    counters.dropIdle(now);
     pool.tick(now);
   }
 }
--- a/router/src/main/java/nettletrail/router/StreamAnswer.java
+++ b/router/src/main/java/nettletrail/router/StreamAnswer.java
@@ -67,7 +67,7 @@
    * the middle of an event: the backend broke off.
    */
   boolean isCutInsideEvent() {
-    return endsWithConnection && parser.rest() != null;
+    return endsWithConnection && parser.incompleteEvent() != null;
   }
 
   /** Whether the backend left out an event: nothing of it may be passed on after that. */
@@ -81,7 +81,7 @@
   }
 
   @Override
-  public void event(long id, ByteBuf source, int from, int length) {
+  public void onEvent(long id, ByteBuf source, int from, int length) {
     if (gap || resumed && !follows(id)) {
       return;
     }
@@ -119,7 +119,7 @@
   /** The backend's stream is whole: so is the answer. */
   void end() {
     begin();
-    ByteBuf rest = parser.rest();
+    ByteBuf rest = parser.incompleteEvent();
     if (rest != null && !resumed) {
       client.streamBytes(rest, rest.readerIndex(), rest.readableBytes());
     }
--- a/router/src/main/java/nettletrail/router/admission/AdmissionQueue.java
+++ b/router/src/main/java/nettletrail/router/admission/AdmissionQueue.java
@@ -8,24 +8,24 @@
 import java.util.function.Predicate;
 
 /**
- * The requests for one service that wait at this door, and the bound on those in flight. A free
- * slot goes to the most urgent priority that waits; within it to the tenant with the lowest virtual
- * counter; of its requests to the oldest.
+ * Queue of the requests for one service at this door, and the limit of those in flight. Strict
+ * priority between priorities; within one, fair scheduling of tenants by the lowest virtual counter
+ * (VTC); FIFO within a tenant. Not thread-safe; {@code now} is in ns of the steady clock.
  *
  * @param <E> a request
  */
 public final class AdmissionQueue<E extends AdmissionQueue.Entry> {
-  /** What the queue needs to know of a request. None of it changes while the request waits. */
+  /** A request. Its tenant and priority don't change while it is queued. */
   public interface Entry {
-    /** Whose it is. */
+    /** The tenant's name; empty if there is none. */
     String tenantName();
 
-    /** Its rank, 0 first. */
-    int rank();
+    /** Its priority, 0 first. */
+    int priority();
   }
 
   private final VirtualCounters counters;
-  private final TreeMap<Integer, Map<String, ArrayDeque<E>>> waiting = new TreeMap<>();
+  private final TreeMap<Integer, Map<String, ArrayDeque<E>>> queuesByPriority = new TreeMap<>();
   private int size;
   private int inFlight;
 
@@ -36,10 +36,10 @@
     this.counters = counters;
   }
 
-  /** A request waits from now on. */
+  /** Adds a request. */
   public void add(E entry, long now) {
     Map<String, ArrayDeque<E>> tenants =
-        waiting.computeIfAbsent(entry.rank(), rank -> new HashMap<>());
+        queuesByPriority.computeIfAbsent(entry.priority(), priority -> new HashMap<>());
     ArrayDeque<E> queue = tenants.get(entry.tenantName());
     if (queue == null) {
       counters.lift(entry.tenantName(), tenants.keySet(), now);
@@ -51,48 +51,48 @@
   }
 
   /**
-   * A request waits no longer.
+   * Removes a request.
    *
-   * @return whether it did
+   * @return whether it was queued
    */
   public boolean remove(E entry) {
-    Map<String, ArrayDeque<E>> tenants = waiting.get(entry.rank());
+    Map<String, ArrayDeque<E>> tenants = queuesByPriority.get(entry.priority());
     ArrayDeque<E> queue = tenants == null ? null : tenants.get(entry.tenantName());
     if (queue == null || !queue.remove(entry)) {
       return false;
     }
-    removed(entry, tenants, queue);
+    afterRemoval(entry, tenants, queue);
     return true;
   }
 
-  private void removed(E entry, Map<String, ArrayDeque<E>> tenants, ArrayDeque<E> queue) {
+  private void afterRemoval(E entry, Map<String, ArrayDeque<E>> tenants, ArrayDeque<E> queue) {
     size--;
     if (queue.isEmpty()) {
       tenants.remove(entry.tenantName());
       if (tenants.isEmpty()) {
-        waiting.remove(entry.rank());
+        queuesByPriority.remove(entry.priority());
       }
     }
   }
 
   /**
-   * Takes the request that goes next.
+   * Removes the request that is next and counts it as in flight, until {@link #releaseSlot}.
    *
-   * @param bound requests in flight, at most
-   * @param eligible asked of the oldest request of a tenant; one that is not lets other tenants go
-   *     first. It must not change this queue
-   * @return null if none may go
+   * @param maxInFlight requests in flight at most
+   * @param eligible tested on the oldest request of a tenant; if it is false, the other tenants of
+   *     the priority and lower priorities are tried. It must not change this queue
+   * @return null if no request may be sent
    */
-  public E poll(int bound, Predicate<E> eligible) {
-    if (inFlight >= bound) {
+  public E poll(int maxInFlight, Predicate<E> eligible) {
+    if (inFlight >= maxInFlight) {
       return null;
     }
-    for (Map<String, ArrayDeque<E>> tenants : waiting.values()) {
-      E next = min(tenants.values(), eligible);
+    for (Map<String, ArrayDeque<E>> tenants : queuesByPriority.values()) {
+      E next = lowestCounter(tenants.values(), eligible);
       if (next != null) {
         ArrayDeque<E> queue = tenants.get(next.tenantName());
         queue.pollFirst();
-        removed(next, tenants, queue);
+        afterRemoval(next, tenants, queue);
         inFlight++;
         return next;
       }
@@ -100,47 +100,48 @@
     return null;
   }
 
-  /** Of the tenants whose oldest request is eligible, that of the lowest counter. */
-  private E min(Collection<ArrayDeque<E>> queues, Predicate<E> eligible) {
+  /** The oldest request of the tenant with the lowest counter whose oldest is eligible. */
+  private E lowestCounter(Collection<ArrayDeque<E>> queues, Predicate<E> eligible) {
     if (queues.size() == 1) {
       E only = queues.iterator().next().peekFirst();
       return eligible.test(only) ? only : null;
     }
-    ArrayDeque<E> open = new ArrayDeque<>(queues.size());
-    queues.forEach(queue -> open.addLast(queue.peekFirst()));
-    while (!open.isEmpty()) {
-      E min = null;
-      for (E each : open) {
-        if (min == null || counters.of(each.tenantName()) < counters.of(min.tenantName())) {
-          min = each;
+    ArrayDeque<E> candidates = new ArrayDeque<>(queues.size());
+    queues.forEach(queue -> candidates.addLast(queue.peekFirst()));
+    while (!candidates.isEmpty()) {
+      E lowest = null;
+      for (E candidate : candidates) {
+        if (lowest == null
+            || counters.of(candidate.tenantName()) < counters.of(lowest.tenantName())) {
+          lowest = candidate;
         }
       }
-      if (eligible.test(min)) {
-        return min;
+      if (eligible.test(lowest)) {
+        return lowest;
       }
-      open.remove(min);
+      candidates.remove(lowest);
     }
     return null;
   }
 
-  /** A request that was taken is over. */
-  public void released() {
+  /** A request in flight has ended, or is queued again. */
+  public void releaseSlot() {
     inFlight--;
   }
 
-  /** Requests that were taken and are not over. */
+  /** Requests that were polled and whose slot was not released. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Requests that wait. */
+  /** Requests that are queued. */
   public int size() {
     return size;
   }
 
-  /** Whether a request of any of these tenants waits. */
-  public boolean holdsAny(Collection<String> tenantNames) {
-    for (Map<String, ArrayDeque<E>> tenants : waiting.values()) {
+  /** Whether a request of any of these tenants is queued. */
+  public boolean containsAny(Collection<String> tenantNames) {
+    for (Map<String, ArrayDeque<E>> tenants : queuesByPriority.values()) {
       for (String tenant : tenantNames) {
         if (tenants.containsKey(tenant)) {
           return true;
--- a/router/src/main/java/nettletrail/router/admission/VirtualCounters.java
+++ b/router/src/main/java/nettletrail/router/admission/VirtualCounters.java
@@ -7,38 +7,37 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The service that each tenant has had, as one number: the virtual counter of VTC (Sheng et al.,
- * "Fairness in Serving Large Language Models") with a charge that is quadratic in the prompt. The
- * waiting tenant with the lowest counter goes next.
+ * Virtual token counters: the service that each tenant has received, as one number (VTC; Sheng et
+ * al., "Fairness in Serving Large Language Models", 2024), with a charge that is quadratic in the
+ * prompt. The queued tenant with the lowest counter is served next.
  *
  * <p>Sending a request with a prompt of {@code l} tokens charges {@code INPUT_WEIGHT * l +
- * INPUT_WEIGHT * l * l / d}; what the answer shows is settled: {@link #OUTPUT_WEIGHT} for each
- * token that was generated, the charge back if the request did not run. A tenant that returns is
- * lifted to the least counter among those that wait, so that nobody saves up turns while away.
- * Counters of tenants that were idle for {@link #FORGET_NANOS} are forgotten.
+ * INPUT_WEIGHT * l * l / d}. At its end each generated token is charged with {@link
+ * #OUTPUT_WEIGHT}, or the charge is refunded if no backend ran it. The counter of a tenant that
+ * becomes active again is lifted to the minimum of the queued tenants, so that idle time earns no
+ * credit. Counters of tenants that were idle for {@link #IDLE_EXPIRY_NANOS} are dropped.
+ *
+ * <p>Not thread-safe; {@code now} is in ns of the steady clock.
  */
 public final class VirtualCounters {
   static final double INPUT_WEIGHT = 1;
   static final double OUTPUT_WEIGHT = 2;
 
-  /**
-   * The prompt whose quadratic part is as much as its linear one: a long prompt of the sites that
-   * are known.
-   */
+  /** The prompt length at which the quadratic part equals the linear one: a long prompt. */
   static final double QUADRATIC_SCALE_TOKENS = 32_768;
 
-  static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(30);
+  static final long IDLE_EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   private static final class Counter {
     double value;
-    int open;
-    long touchedAt;
+    int inFlight;
+    long usedAt;
   }
 
   private final Map<String, Counter> counters = new HashMap<>();
 
   /**
-   * What sending a request charges.
+   * The charge for sending a request.
    *
    * @param inputTokens of its prompt, 0 or more
    */
@@ -47,25 +46,25 @@
         + INPUT_WEIGHT * inputTokens * (double) inputTokens / QUADRATIC_SCALE_TOKENS;
   }
 
-  /** The tenant's counter; 0 for one that is not known. */
+  /** The tenant's counter; 0 if it has none. */
   public double of(String tenant) {
     Counter counter = counters.get(tenant);
     return counter == null ? 0 : counter.value;
   }
 
   /**
-   * A tenant that had nothing waiting or running has a request again.
+   * A tenant without a queued request has one again: lifts its counter if it has none in flight.
    *
-   * @param waiting the tenants that wait, itself excepted or not
+   * @param queuedTenants the tenants with queued requests; may include the tenant itself
    */
-  public void lift(String tenant, Collection<String> waiting, long now) {
+  public void lift(String tenant, Collection<String> queuedTenants, long now) {
     Counter counter = counters.computeIfAbsent(tenant, name -> new Counter());
-    counter.touchedAt = now;
-    if (counter.open > 0) {
+    counter.usedAt = now;
+    if (counter.inFlight > 0) {
       return;
     }
     double min = Double.POSITIVE_INFINITY;
-    for (String other : waiting) {
+    for (String other : queuedTenants) {
       if (!other.equals(tenant)) {
         min = Math.min(min, of(other));
       }
@@ -75,42 +74,54 @@
     }
   }
 
-  /** A request is sent. */
+  /** Charges a request that is sent, for the first of its attempts. */
   public void charge(String tenant, long inputTokens, long now) {
     Counter counter = counters.computeIfAbsent(tenant, name -> new Counter());
     counter.value += chargeFor(inputTokens);
-    counter.open++;
-    counter.touchedAt = now;
+    counter.inFlight++;
+    counter.usedAt = now;
+  }
+
+  /**
+   * A charged request has ended, and a backend may have run it.
+   *
+   * @param outputTokens that its response contained
+   */
+  public void chargeOutput(String tenant, long outputTokens, long now) {
+    end(tenant, OUTPUT_WEIGHT * outputTokens, now);
   }
 
   /**
-   * A request that was charged is over.
+   * A charged request has ended, and no backend ran it.
    *
-   * @param ran whether a backend may have run it
-   * @param outputTokens that the answer showed
+   * @param inputTokens with which it was charged
    */
-  public void settle(String tenant, long inputTokens, boolean ran, long outputTokens, long now) {
+  public void refund(String tenant, long inputTokens, long now) {
+    end(tenant, -chargeFor(inputTokens), now);
+  }
+
+  private void end(String tenant, double charge, long now) {
     Counter counter = counters.get(tenant);
     if (counter == null) {
       return;
     }
-    counter.open = Math.max(0, counter.open - 1);
-    counter.touchedAt = now;
-    counter.value += ran ? OUTPUT_WEIGHT * outputTokens : -chargeFor(inputTokens);
+    counter.inFlight = Math.max(0, counter.inFlight - 1);
+    counter.usedAt = now;
+    counter.value += charge;
   }
 
-  /** Forgets the counters of tenants that were idle for long. */
-  public void forgetIdle(long now) {
+  /** Drops the counters of tenants that were idle for {@link #IDLE_EXPIRY_NANOS}. */
+  public void dropIdle(long now) {
     Iterator<Counter> all = counters.values().iterator();
     while (all.hasNext()) {
       Counter counter = all.next();
-      if (counter.open == 0 && now - counter.touchedAt > FORGET_NANOS) {
+      if (counter.inFlight == 0 && now - counter.usedAt > IDLE_EXPIRY_NANOS) {
         all.remove();
       }
     }
   }
 
-  /** Counters that are kept. */
+  /** Number of counters. */
   int size() {
     return counters.size();
   }
--- a/router/src/main/java/nettletrail/router/balance/BackendChoice.java
+++ b/router/src/main/java/nettletrail/router/balance/BackendChoice.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a choice of a backend is made for.
+ * The properties of a request on which the choice of its backend depends.
  *
- * @param prefix that the prompt shares with others
- * @param promptTokens of the whole prompt; 0 where tokens are not counted
- * @param memoryTokens that the request holds in a backend's memory at most
- * @param tried the incarnations that it was sent to already
+ * @param prefix the shared part of its prompt
+ * @param promptTokens of the complete prompt; 0 if the client doesn't state them
+ * @param memoryTokens of a backend's KV cache that it uses at most
+ * @param tried ids of the incarnations that had an attempt already; they are not chosen again
  */
 public record BackendChoice(
     PromptPrefix prefix, long promptTokens, long memoryTokens, List<String> tried) {}
--- a/router/src/main/java/nettletrail/router/balance/BackendLoad.java
+++ b/router/src/main/java/nettletrail/router/balance/BackendLoad.java
@@ -3,15 +3,17 @@
 import nettletrail.router.BackendEndpoint;
 
 /**
- * What this door knows of one incarnation of a backend from the requests that it sent there: how
- * much is outstanding, how slow it is beside others, and how often it failed. Pure; {@code now} is
- * in ns.
+ * Load and health of one incarnation of a backend, as seen in the requests that this door sent to
+ * it: what is outstanding, how slow it is relative to the others, and how often it failed.
+ *
+ * <p>Deterministic, not thread-safe; {@code now} is in ns of the steady clock.
  */
 public final class BackendLoad {
+  /** Weight of the newest outcome in the moving average of failures. */
   private static final double FAILURE_WEIGHT = 0.15;
 
   private final BackendEndpoint endpoint;
-  private final BackendHealth health = new BackendHealth();
+  private final OutlierDetector outlierDetector = new OutlierDetector();
   private final LatencyEstimate latency = new LatencyEstimate();
   private int outstanding;
   private long promptTokens;
@@ -29,111 +31,116 @@
     return endpoint;
   }
 
-  /** Its health, as its last sends tell. */
-  BackendHealth health() {
-    return health;
+  OutlierDetector outlierDetector() {
+    return outlierDetector;
   }
 
-  /** How slow it is beside the others. */
   LatencyEstimate latency() {
     return latency;
   }
 
+  /** Whether it is located in the zone. */
+  boolean isInZone(String zone) {
+    return endpoint.zone().equals(zone);
+  }
+
   /**
-   * A request is sent there.
+   * A request is sent to the backend. Its end is reported by {@link #over}.
    *
    * @param prompt tokens of its prompt
-   * @param prefill those that the backend has to read, as far as is known
-   * @param memory tokens that it holds at most
+   * @param prefill tokens of the prompt that are expected to miss the backend's prefix cache
+   * @param memory tokens of the backend's KV cache that it uses at most
    */
   public void sent(long prompt, long prefill, long memory, long now) {
-    health.sent(outstanding == 0, now);
+    outlierDetector.requestSent(outstanding == 0, now);
     outstanding++;
     promptTokens += prompt;
     prefillTokens += prefill;
     memoryTokens += memory;
   }
 
-  /** The prompt has been read: the first part of the answer came. */
+  /**
+   * Prefill of a request is complete, since the response's body began, or the request has ended.
+   * With the same arguments as {@link #sent}, once for each request.
+   */
   public void prefilled(long prompt, long prefill) {
     promptTokens -= prompt;
     prefillTokens -= prefill;
   }
 
-  /** A request that was sent there is over. */
+  /** A request has ended. With the memory that {@link #sent} was given. */
   public void over(long memory) {
     outstanding--;
     memoryTokens -= memory;
   }
 
-  /** Bytes came from it. */
+  /** The backend sent bytes. */
   public void heard(long now) {
-    health.heard(now);
+    outlierDetector.bytesReceived(now);
   }
 
-  /** It answered a request as it should, be it that it is full. */
+  /** The backend responded as it should; a rejection for lack of capacity counts as such too. */
   public void succeeded(long now) {
-    health.succeeded();
-    noteOutcome(0, now);
-  }
-
-  /** It answered that it failed to serve the request: it is there, but may be better avoided. */
-  public void served(boolean well, long now) {
-    health.succeeded();
-    noteOutcome(well ? 0 : 1, now);
+    outlierDetector.requestSucceeded();
+    recordOutcome(0, now);
   }
 
   /**
-   * A send to it failed in a way that tells of it: no connection, a break, something that is no
-   * answer.
+   * The backend responded with a server error. It is reachable, so it is not ejected, but its cost
+   * grows with its failure rate.
    */
+  public void respondedWithError(long now) {
+    outlierDetector.requestSucceeded();
+    recordOutcome(1, now);
+  }
+
+  /** No connection, a broken connection, or a response that isn't valid. */
   public void failed(long now) {
-    health.failed(now);
-    noteOutcome(1, now);
+    outlierDetector.requestFailed(now);
+    recordOutcome(1, now);
   }
 
-  /** A request that waits there was given up. */
-  public void gaveUp(long now) {
-    ejectIfSilent(now);
+  /** A request was cancelled by this door before its response was complete. */
+  public void requestAbandoned(long now) {
+    ejectIfUnresponsive(now);
   }
 
-  /** Ejects it if it keeps requests waiting without a sign of life; whether it did. */
-  boolean ejectIfSilent(long now) {
-    return outstanding > 0 && health.ejectIfSilent(readingNanos(), now);
+  /** Ejects the backend if its idle timeout has passed with requests outstanding. */
+  boolean ejectIfUnresponsive(long now) {
+    return outstanding > 0 && outlierDetector.ejectIfUnresponsive(prefillAllowanceNanos(), now);
   }
 
-  /** That it may take for the prompts that it was sent. */
-  private long readingNanos() {
+  private long prefillAllowanceNanos() {
     return promptTokens * PrefillTimeout.MAX_NANOS_PER_TOKEN;
   }
 
-  private void noteOutcome(double failure, long now) {
+  private void recordOutcome(double failure, long now) {
     double before = failureRate(now);
     failureRate = before + FAILURE_WEIGHT * (failure - before);
     failureRateAt = now;
   }
 
-  /** The part of its last requests that failed, from 0 to 1; what was seen fades. */
+  /** Moving average of failed requests, from 0 to 1, which decays while there are none. */
   double failureRate(long now) {
-    return failureRate == 0 ? 0 : failureRate * ExponentialDecay.kept(now - failureRateAt);
+    return failureRate == 0 ? 0 : failureRate * ExponentialDecay.remaining(now - failureRateAt);
   }
 
-  /** Whether it keeps requests waiting without a sign of life. */
-  public boolean isSilent(long now) {
-    return outstanding > 0 && health.isSilent(readingNanos(), now);
+  /** Whether requests are outstanding and the idle timeout has passed without a byte. */
+  public boolean isUnresponsive(long now) {
+    return outstanding > 0 && outlierDetector.isUnresponsive(prefillAllowanceNanos(), now);
   }
 
-  /** Requests that were sent there and are not over. */
+  /** Requests in flight from this door. */
   public int outstanding() {
     return outstanding;
   }
 
-  /** Tokens of prompts that were sent there and not yet read. */
+  /** Prompt tokens of the outstanding requests whose prefill is not complete. */
   public long prefillTokens() {
     return prefillTokens;
   }
 
-  /** Tokens that the outstanding requests hold in its memory, at most. */
+  /** Tokens of its KV cache that the outstanding requests use at most. */
   public long memoryTokens() {
     return memoryTokens;
   }
--- a/router/src/main/java/nettletrail/router/balance/LatencyEstimate.java
+++ b/router/src/main/java/nettletrail/router/balance/LatencyEstimate.java
@@ -1,28 +1,28 @@
 package nettletrail.router.balance;
 
 /**
- * How slow a backend is beside the others of its service, by the time that its answers took to
- * begin for what was asked of it. It follows the median: each observation moves it by the same
- * small step, so that a few answers that took very long for reasons of their own, as a prompt that
- * had to be read anew, don't make a backend look slow. It returns to 1 while no observations come.
- * Pure; {@code now} is in ns.
+ * Latency of one backend relative to the median of its service: 1 is the median, 2 is twice as
+ * slow. It follows the median by steps of a fixed ratio (Frugal streaming, Ma et al., 2013), so
+ * that a few outliers, such as prompts that missed the prefix cache, don't make a backend look
+ * slow. It decays to 1 while there are no observations.
+ *
+ * <p>Deterministic; {@code now} is in ns of the steady clock.
  */
 final class LatencyEstimate {
   private static final double STEP = 1.12;
   private static final double MIN = 0.5;
   private static final double MAX = 8;
 
-  /** Less is not told from chance. */
+  /** A lower ratio can't be told from noise. */
   private static final double MIN_SLOWDOWN = 1.6;
 
   private double factor = 1;
   private long updatedAt;
 
   /**
-   * An answer began.
+   * A response began.
    *
-   * @param ratio of the time that it took to the time that the service's backends usually take for
-   *     as much
+   * @param ratio its latency divided by the service's median for the same work
    */
   void observe(double ratio, long now) {
     double before = factor(now);
@@ -31,9 +31,7 @@
     updatedAt = now;
   }
 
-  /**
-   * How many times as long as others it takes, if that is beyond what chance makes of it; else 1.
-   */
+  /** Estimated latency relative to the median if it is significant; else 1. */
   double slowdown(long now) {
     double current = factor(now);
     return current < MIN_SLOWDOWN ? 1 : current;
@@ -43,6 +41,6 @@
     if (factor == 1) {
       return 1;
     }
-    return 1 + (factor - 1) * ExponentialDecay.kept(now - updatedAt);
+    return 1 + (factor - 1) * ExponentialDecay.remaining(now - updatedAt);
   }
 }
--- a/router/src/main/java/nettletrail/router/balance/PrefillTimeout.java
+++ b/router/src/main/java/nettletrail/router/balance/PrefillTimeout.java
@@ -1,10 +1,10 @@
 package nettletrail.router.balance;
 
-/** How long an engine may take to read a prompt before it is taken for stuck. */
+/** Time that is allowed for the prefill of a prompt before its backend counts as stalled. */
 public final class PrefillTimeout {
   /**
-   * Some times as long as engines take for a token of a prompt, as they read several prompts in
-   * turn.
+   * Allowance for each token of a prompt, in ns. Several times an engine's usual prefill time,
+   * since an engine may have the prompts of several requests in its queue.
    */
   public static final long MAX_NANOS_PER_TOKEN = 25_000;
 
--- a/router/src/main/java/nettletrail/router/balance/PrefixIndex.java
+++ b/router/src/main/java/nettletrail/router/balance/PrefixIndex.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 
 /**
- * Which backends this door has lately sent each shared prefix to. Holds a bounded number of
- * prefixes, the latest used.
+ * The backends to which this door last sent each shared prompt prefix, and which therefore probably
+ * have it in their prefix cache. Bounded: the least recently used prefix is evicted.
  */
 final class PrefixIndex {
   private static final int MAX_PREFIXES = 4_096;
-  private static final int MAX_BACKENDS = 3;
+  private static final int MAX_BACKENDS_PER_PREFIX = 3;
 
+  /** Ids by prefix key, the latest used backend first. */
   private final Map<Long, List<String>> backends =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1;
@@ -23,22 +24,22 @@
         }
       };
 
-  /** A request with this prefix was sent there. */
-  void sent(long prefix, String backendId) {
-    List<String> known = backends.computeIfAbsent(prefix, key -> new ArrayList<>(1));
-    if (!known.isEmpty() && known.get(0).equals(backendId)) {
+  /** Records that a request with this prefix goes to the backend. */
+  void add(long prefix, String backendId) {
+    List<String> recent = backends.computeIfAbsent(prefix, key -> new ArrayList<>(1));
+    if (!recent.isEmpty() && recent.get(0).equals(backendId)) {
       return;
     }
-    known.remove(backendId);
-    known.add(0, backendId);
-    if (known.size() > MAX_BACKENDS) {
-      known.remove(MAX_BACKENDS);
+    recent.remove(backendId);
+    recent.add(0, backendId);
+    if (recent.size() > MAX_BACKENDS_PER_PREFIX) {
+      recent.remove(MAX_BACKENDS_PER_PREFIX);
     }
   }
 
-  /** Whether it was sent there. */
-  boolean wasSent(long prefix, String backendId) {
-    List<String> known = backends.get(prefix);
-    return known != null && known.contains(backendId);
+  /** Whether the backend is among the latest for this prefix. Counts as a use of the prefix. */
+  boolean contains(long prefix, String backendId) {
+    List<String> recent = backends.get(prefix);
+    return recent != null && recent.contains(backendId);
   }
 }
--- a/router/src/main/java/nettletrail/router/balance/PromptPrefix.java
+++ b/router/src/main/java/nettletrail/router/balance/PromptPrefix.java
@@ -3,14 +3,13 @@
 import nettletrail.router.text.DecimalNumber;
 
 /**
- * The parts of a prompt that it shares with other requests, as one key: every part but the last,
- * which is the request's own.
+ * The shared prefix of a prompt: every segment but the last, which belongs to this request alone.
  *
- * @param key of all shared parts in their order; 0 if there are none
- * @param tokens of the shared parts together
+ * @param key hash of all shared segments in their order; 0 if there are none
+ * @param tokens sum over the shared segments
  */
 public record PromptPrefix(long key, long tokens) {
-  /** Of a request that names no parts. */
+  /** The prefix of a request that states no segments. */
   public static final PromptPrefix NONE = new PromptPrefix(0, 0);
 
   private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -18,11 +17,11 @@
   private static final long MAX_TOKENS = 1_000_000_000;
 
   /**
-   * Reads {@code ID:TOKENS,ID:TOKENS,...}. What can't be read counts as no shared part: it guides
-   * the choice of a backend only.
+   * Parses {@code ID:TOKENS,ID:TOKENS,...}. A malformed value counts as no prefix, since it only
+   * guides the choice of a backend.
    *
    * @param header may be null
-   * @param model may be null; parts of different models have nothing in common
+   * @param model may be null; prefixes of different models have different keys
    */
   public static PromptPrefix parse(String header, String model) {
     if (header == null) {
@@ -34,22 +33,22 @@
     }
     long key = model == null ? MULTIPLIER : mix(MULTIPLIER, model.hashCode());
     long tokens = 0;
-    int at = 0;
-    while (at < lastComma) {
-      int comma = header.indexOf(',', at);
-      int colon = header.indexOf(':', at);
+    int start = 0;
+    while (start < lastComma) {
+      int comma = header.indexOf(',', start);
+      int colon = header.indexOf(':', start);
       if (colon < 0 || colon > comma) {
         return NONE;
       }
-      long part = DecimalNumber.parse(header, colon + 1, comma);
-      if (part < 0 || part > MAX_TOKENS) {
+      long segmentTokens = DecimalNumber.parse(header, colon + 1, comma);
+      if (segmentTokens < 0 || segmentTokens > MAX_TOKENS) {
         return NONE;
       }
-      for (int i = at; i < colon; i++) {
+      for (int i = start; i < colon; i++) {
         key = mix(key, header.charAt(i));
       }
-      tokens += part;
-      at = comma + 1;
+      tokens += segmentTokens;
+      start = comma + 1;
     }
     return new PromptPrefix(key == 0 ? 1 : key, tokens);
   }
--- a/router/src/main/java/nettletrail/router/retry/RetryBudget.java
+++ b/router/src/main/java/nettletrail/router/retry/RetryBudget.java
@@ -1,22 +1,21 @@
 package nettletrail.router.retry;
 
 /**
- * How many further sends this door may make to one service, so that the sum over all doors stays
- * within the deployment's bound without any talk between them. In each window, the further sends
- * are at most {@link #SHARE} of what the ratio allows for the first sends of the same window, and
- * this door's {@link #SHARE} of the slack.
+ * Retry budget of this door for one service. The sum over all doors stays within the deployment's
+ * limit without coordination: in each window the retries are at most {@link #SHARE} of the ratio
+ * times the requests of the same window, plus this door's part of {@link #SHARE} of the slack.
  *
- * <p>The deployment counts the requests of one of two windows that lie side by side, whichever has
- * more, and this class those of a window that overlaps both: they are at most twice as many, which
- * is why the share is a half. A process begins without slack, and has all of it after one window,
- * so that one that is killed and comes back earns nothing by that.
+ * <p>The deployment's limit counts the requests of the larger of two adjacent windows, and this
+ * class those of a window that overlaps both. They are at most twice as many, hence the share of a
+ * half. The slack grows from 0 to its full value within the first window of a process, so that
+ * restarts don't earn any.
  *
- * <p>Time is kept in {@link #SLICES} slices of a window. Further sends are counted for a slice
- * longer than a window, first sends for a slice less, so that both errors are on the safe side.
- * Pure; {@code now} is in ns.
+ * <p>Counts are kept in {@link #SLICES} slices of a window. Retries are summed over one slice more
+ * than requests, so that the rounding of both is conservative. Deterministic, not thread-safe;
+ * {@code now} is in ns of the steady clock.
  */
 public final class RetryBudget {
-  /** Of what the deployment allows all doors together. */
+  /** Share of the deployment's limit that the doors use. */
   public static final double SHARE = 0.5;
 
   static final int SLICES = 10;
@@ -25,15 +24,15 @@
   private final double slack;
   private final long sliceNanos;
   private final long startedAt;
-  private final long[] firstSends = new long[SLICES + 1];
-  private final long[] furtherSends = new long[SLICES + 1];
+  private final long[] requests = new long[SLICES + 1];
+  private final long[] retries = new long[SLICES + 1];
   private long slice;
 
   /**
-   * @param ratio further sends for each first send that all doors together may make
-   * @param slack further sends beside, that all doors together may make in a window
-   * @param windowNanos in which they are counted
-   * @param startedAt when this process began
+   * @param ratio retries for each request that all doors together may make
+   * @param slack retries that all doors together may make in a window in addition
+   * @param windowNanos length of the window, in ns
+   * @param startedAt when this process started
    */
   public RetryBudget(double ratio, double slack, long windowNanos, long startedAt) {
     this.ratio = ratio;
@@ -42,43 +41,47 @@
     sliceNanos = Math.max(1, windowNanos / SLICES);
   }
 
-  /** A request was sent for the first time. */
-  public void firstSend(long now) {
+  /** Records the first attempt of a request. */
+  public void recordRequest(long now) {
     advance(now);
-    firstSends[index(slice)]++;
+    requests[index(slice)]++;
   }
 
   /**
-   * Whether a further send may be made now.
+   * Whether a retry is within the budget.
    *
    * @param doors that serve, this one included
    */
-  public boolean has(int doors, long now) {
+  public boolean allowsRetry(int doors, long now) {
     advance(now);
-    long first = sum(firstSends, SLICES);
-    long further = sum(furtherSends, SLICES + 1);
-    return further + 1 <= SHARE * ratio * first + slackOfDoor(doors, now);
+    long requestsInWindow = sum(requests, SLICES);
+    long retriesInWindow = sum(retries, SLICES + 1);
+    return retriesInWindow + 1 <= SHARE * ratio * requestsInWindow + doorSlack(doors, now);
   }
 
-  /** Takes the cost of one further send; whether it may be made. */
-  public boolean take(int doors, long now) {
-    if (!has(doors, now)) {
+  /**
+   * Records a retry if it is within the budget.
+   *
+   * @return whether it is
+   */
+  public boolean tryAcquire(int doors, long now) {
+    if (!allowsRetry(doors, now)) {
       return false;
     }
-    furtherSends[index(slice)]++;
+    retries[index(slice)]++;
     return true;
   }
 
-  /** The further send that was paid for last was not made. */
+  /** Returns one acquired retry that was not sent. */
   public void refund(long now) {
     advance(now);
-    int at = index(slice);
-    furtherSends[at] = Math.max(0, furtherSends[at] - 1);
+    int current = index(slice);
+    retries[current] = Math.max(0, retries[current] - 1);
   }
 
-  private double slackOfDoor(int doors, long now) {
-    double age = (double) (now - startedAt) / (sliceNanos * SLICES);
-    return SHARE * slack / Math.max(1, doors) * Math.min(1, Math.max(0, age));
+  private double doorSlack(int doors, long now) {
+    double windows = (double) (now - startedAt) / (sliceNanos * SLICES);
+    return SHARE * slack / Math.max(1, doors) * Math.min(1, Math.max(0, windows));
   }
 
   private void advance(long now) {
@@ -88,8 +91,8 @@
     }
     while (slice < current) {
       slice++;
-      firstSends[index(slice)] = 0;
-      furtherSends[index(slice)] = 0;
+      requests[index(slice)] = 0;
+      retries[index(slice)] = 0;
     }
   }
 
@@ -97,7 +100,7 @@
     return (int) Math.floorMod(slice, (long) SLICES + 1);
   }
 
-  /** Of the newest slices. */
+  /** The sum over the newest slices. */
   private long sum(long[] counts, int slices) {
     long sum = 0;
     for (int i = 0; i < slices; i++) {
--- a/router/src/main/java/nettletrail/router/stream/EventParser.java
+++ b/router/src/main/java/nettletrail/router/stream/EventParser.java
@@ -5,15 +5,14 @@
 import nettletrail.router.text.DecimalNumber;
 
 /**
- * Cuts a backend's event stream ({@code text/event-stream}) into whole events. What came of an
- * event that is not yet whole is kept here until its end comes; if the backend breaks off, it is
- * dropped and never reaches the client.
+ * Splits a backend's event stream ({@code text/event-stream}) into complete events. The bytes of an
+ * incomplete event are buffered; if the backend's response breaks off, they are dropped and never
+ * reach the client.
  *
- * <p>An event ends with an empty line, whose line ends may be LF, CRLF or CR LF mixed. Not for
- * several threads.
+ * <p>An event ends with an empty line; lines end with LF or CRLF, also mixed. Not thread-safe.
  */
 public final class EventParser implements AutoCloseable {
-  /** An event that is larger is no event of ours: what comes is not kept beyond that. */
+  /** Limit of the buffer; a larger event is an error. */
   static final int MAX_EVENT_BYTES = 256 << 10;
 
   private static final int MIN_BUFFER_BYTES = 256;
@@ -21,43 +20,43 @@
   private static final byte CR = '\r';
   private static final byte[] ID = {'i', 'd', ':'};
 
-  /** Takes whole events, in their order. */
+  /** Receives complete events, in their order. */
   public interface Sink {
     /**
-     * One whole event, its empty line included.
+     * One complete event, its empty line included.
      *
      * @param id the number in its id field, or -1 if it has none
-     * @param source holds the event's bytes; the callee does not release it and does not move its
-     *     indices
-     * @param from where the event begins
-     * @param length its bytes
+     * @param source contains the event's bytes; the callee doesn't release it and doesn't change
+     *     its indices
+     * @param from index of the event's first byte
+     * @param length of the event, in bytes
      */
-    void event(long id, ByteBuf source, int from, int length);
+    void onEvent(long id, ByteBuf source, int from, int length);
   }
 
   private final ByteBufAllocator allocator;
   private ByteBuf partial;
 
   /**
-   * @param allocator of the buffer for an event that is not yet whole
+   * @param allocator of the buffer for an incomplete event
    */
   public EventParser(ByteBufAllocator allocator) {
     this.allocator = allocator;
   }
 
   /**
-   * Takes what came next.
+   * Parses the next bytes of the stream.
    *
-   * @param bytes not released here, and read to its end
-   * @return false if an event is larger than any may be
+   * @param bytes read to its end; not released
+   * @return false if an event is larger than {@link #MAX_EVENT_BYTES}
    */
   public boolean read(ByteBuf bytes, Sink sink) {
     if (partial == null) {
       int end = emit(bytes, bytes.readerIndex(), sink);
       bytes.readerIndex(end);
-      return !bytes.isReadable() || keep(bytes);
+      return !bytes.isReadable() || buffer(bytes);
     }
-    if (!keep(bytes)) {
+    if (!buffer(bytes)) {
       return false;
     }
     int end = emit(partial, partial.readerIndex(), sink);
@@ -70,10 +69,10 @@
     return true;
   }
 
-  private boolean keep(ByteBuf bytes) {
+  private boolean buffer(ByteBuf bytes) {
     int size = bytes.readableBytes();
-    int kept = partial == null ? 0 : partial.readableBytes();
-    if (kept + size > MAX_EVENT_BYTES) {
+    int buffered = partial == null ? 0 : partial.readableBytes();
+    if (buffered + size > MAX_EVENT_BYTES) {
       return false;
     }
     if (partial == null) {
@@ -83,7 +82,7 @@
     return true;
   }
 
-  /** Gives all whole events from there on and returns where the rest begins. */
+  /** Passes all complete events from the index on; returns the index of the incomplete rest. */
   private static int emit(ByteBuf in, int from, Sink sink) {
     int event = from;
     int line = from;
@@ -96,7 +95,7 @@
       }
       int length = end > line && in.getByte(end - 1) == CR ? end - 1 - line : end - line;
       if (length == 0) {
-        sink.event(id, in, event, end + 1 - event);
+        sink.onEvent(id, in, event, end + 1 - event);
         event = end + 1;
         id = -1;
       } else if (startsWithId(in, line, length)) {
@@ -114,21 +113,21 @@
         && in.getByte(line + 2) == ID[2];
   }
 
-  /** The number in these bytes, spaces before it allowed; -1 if there is none. */
+  /** Parses a number after optional spaces; -1 if there is none. */
   private static long number(ByteBuf in, int from, int to) {
-    int at = from;
-    while (at < to && in.getByte(at) == ' ') {
-      at++;
+    int start = from;
+    while (start < to && in.getByte(start) == ' ') {
+      start++;
     }
-    return DecimalNumber.parse(in, at, to);
+    return DecimalNumber.parse(in, start, to);
   }
 
-  /** What came behind the last whole event, or null; still the parser's. */
-  public ByteBuf rest() {
+  /** The bytes after the last complete event, or null; owned by the parser. */
+  public ByteBuf incompleteEvent() {
     return partial;
   }
 
-  /** Drops what is kept. */
+  /** Drops the incomplete event. */
   @Override
   public void close() {
     if (partial != null) {
--- a/router/src/main/java/nettletrail/router/stream/StallRule.java
+++ b/router/src/main/java/nettletrail/router/stream/StallRule.java
@@ -4,44 +4,54 @@
 import nettletrail.router.balance.PrefillTimeout;
 
 /**
- * When a request whose backend is silent is better sent elsewhere. Only for requests that may run
- * again. Pure; times are in ns of the steady clock.
+ * When a stream counts as stalled, so that an idempotent request is better retried at another
+ * backend. Pure; times are in ns of the steady clock unless a name says otherwise.
  *
- * <p>A pause of one stream may have many causes, most of which pass. It counts for more if nothing
- * at all comes from that backend: a machine that went dark ends no connection.
+ * <p>A gap in one stream has many causes, most of which pass. The timeout is shorter if the backend
+ * sends nothing for any request: a host that lost its power or its network closes no connection.
  */
 public final class StallRule {
-  private static final double GAPS = 4;
-  private static final double TARGETS = 2;
-  private static final long MIN_MS = 900;
-  private static final double GAPS_OF_DARK = 2;
-  private static final long MIN_OF_DARK_MS = 500;
+  private static final double MAX_GAPS = 4;
+  private static final double MAX_TARGETS = 2;
+  private static final long MIN_TIMEOUT_MS = 900;
+  private static final double MAX_GAPS_IF_UNRESPONSIVE = 2;
+  private static final long MIN_TIMEOUT_IF_UNRESPONSIVE_MS = 500;
 
   private StallRule() {}
 
   /**
-   * Whether to give up this send.
+   * Whether the attempt has stalled.
    *
-   * @param silence since the request was sent or, if later, since the last part of its answer, ns
-   * @param answered whether a part of the answer has come
-   * @param gapMs longest pause between parts that is in time; 0 if there is none
-   * @param targetMs in which the first part is due
-   * @param promptTokens that have to be read before the first part
-   * @param backendSilent whether nothing has come from the backend for any request of late
+   * @param idleNanos since the request was sent or, if later, since the last bytes of its response
+   * @param responseStarted whether bytes of the response's body were received
+   * @param gapMs the route's longest gap between events; 0 if it has none
+   * @param targetMs the route's latency target for the first bytes
+   * @param promptTokens that are prefilled before the first bytes
+   * @param backendUnresponsive whether the backend's idle timeout has passed for all its requests
    */
   public static boolean isStalled(
-      long silence,
-      boolean answered,
+      long idleNanos,
+      boolean responseStarted,
       int gapMs,
       int targetMs,
       long promptTokens,
-      boolean backendSilent) {
-    double usual = answered && gapMs > 0 ? GAPS * gapMs : TARGETS * targetMs;
-    double max = Math.max(MIN_MS, usual);
-    if (backendSilent) {
-      max = Math.max(MIN_OF_DARK_MS, gapMs > 0 ? GAPS_OF_DARK * gapMs : targetMs);
-    }
-    double reading = answered ? 0 : promptTokens * (double) PrefillTimeout.MAX_NANOS_PER_TOKEN;
-    return silence > max * TimeUnit.MILLISECONDS.toNanos(1) + reading;
+      boolean backendUnresponsive) {
+    double timeoutMs =
+        backendUnresponsive
+            ? unresponsiveTimeoutMs(gapMs, targetMs)
+            : timeoutMs(responseStarted, gapMs, targetMs);
+    double prefillNanos =
+        responseStarted ? 0 : promptTokens * (double) PrefillTimeout.MAX_NANOS_PER_TOKEN;
+    return idleNanos > timeoutMs * TimeUnit.MILLISECONDS.toNanos(1) + prefillNanos;
+  }
+
+  private static double timeoutMs(boolean responseStarted, int gapMs, int targetMs) {
+    double usual = responseStarted && gapMs > 0 ? MAX_GAPS * gapMs : MAX_TARGETS * targetMs;
+    return Math.max(MIN_TIMEOUT_MS, usual);
+  }
+
+  private static double unresponsiveTimeoutMs(int gapMs, int targetMs) {
+    double usual = gapMs > 0 ? MAX_GAPS_IF_UNRESPONSIVE * gapMs : targetMs;
+    return Math.max(MIN_TIMEOUT_IF_UNRESPONSIVE_MS, usual);
   }
 }
--- a/router/src/main/java/nettletrail/router/stream/package-info.java
+++ b/router/src/main/java/nettletrail/router/stream/package-info.java
@@ -1,2 +1,6 @@
-/** Event streams: cut into whole events, and taken up again at another backend. */
+/**
+ * Event streams ({@code text/event-stream}): {@link nettletrail.router.stream.EventParser} splits
+ * them into complete events, {@link nettletrail.router.stream.StallRule} tells when a stream has
+ * stalled. No I/O and no clock; used on the router's event loop.
+ */
 package nettletrail.router.stream;
--- a/router/src/main/java/nettletrail/router/text/DecimalNumber.java
+++ b/router/src/main/java/nettletrail/router/text/DecimalNumber.java
@@ -3,11 +3,11 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Reads whole numbers, 0 or more, of digits alone: the standard library's parsers also take signs
- * and digits of other scripts, and throw.
+ * Parses non-negative decimal integers of ASCII digits. Unlike {@link Long#parseLong} it accepts no
+ * sign and no digits of other scripts, and doesn't throw.
  */
 public final class DecimalNumber {
-  /** What is no number reads as this. */
+  /** The result for text that is not a number. */
   public static final long NONE = -1;
 
   private static final int MAX_DIGITS = 18;
@@ -15,19 +15,19 @@
 
   private DecimalNumber() {}
 
-  /** The number that the text is; {@link #NONE} if it is null or none. */
+  /** Parses the complete text; {@link #NONE} if it is null or not a number. */
   public static long parse(CharSequence text) {
     return text == null ? NONE : parse(text, 0, text.length());
   }
 
-  /** The number that this part of the text is, or {@link #NONE}. */
+  /** Parses the text from {@code from} to below {@code to}; {@link #NONE} if not a number. */
   public static long parse(CharSequence text, int from, int to) {
     if (from >= to || to - from > MAX_DIGITS) {
       return NONE;
     }
     long value = 0;
-    for (int at = from; at < to; at++) {
-      int digit = text.charAt(at) - '0';
+    for (int i = from; i < to; i++) {
+      int digit = text.charAt(i) - '0';
       if (!isDigit(digit)) {
         return NONE;
       }
@@ -36,14 +36,14 @@
     return value;
   }
 
-  /** The number that these bytes are, or {@link #NONE}. */
+  /** Parses the bytes from {@code from} to below {@code to}; {@link #NONE} if not a number. */
   public static long parse(ByteBuf bytes, int from, int to) {
     if (from >= to || to - from > MAX_DIGITS) {
       return NONE;
     }
     long value = 0;
-    for (int at = from; at < to; at++) {
-      int digit = bytes.getByte(at) - '0';
+    for (int i = from; i < to; i++) {
+      int digit = bytes.getByte(i) - '0';
       if (!isDigit(digit)) {
         return NONE;
       }
@@ -52,10 +52,7 @@
     return value;
   }
 
-  /**
-   * The number that the text begins with from there on, or {@link #NONE} if it begins with no
-   * digit.
-   */
+  /** Parses the digits that start at {@code from}; {@link #NONE} if there are none. */
   public static long parseLeading(CharSequence text, int from) {
     int to = from;
     while (to < text.length() && isDigit(text.charAt(to) - '0')) {
--- a/router/src/test/java/nettletrail/router/admission/AdmissionControllerTest.java
+++ b/router/src/test/java/nettletrail/router/admission/AdmissionControllerTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-class CompanionTest {
+class AdmissionControllerTest {
   private static final long PERIOD = AdmissionController.PERIOD_NANOS;
 
   private static AdmissionController admissionController(int doors) {
@@ -13,46 +13,46 @@
   }
 
   @Test
-  void theStoreBeginsAtTheDoorsShareOfTheBurst() {
-    assertEquals(1_000, admissionController(4).store());
+  void theBucketStartsWithTheDoorsPartOfTheBurst() {
+    assertEquals(1_000, admissionController(4).bucketTokens());
   }
 
   @Test
-  void untilTheFirstReadingItFillsAtTheDoorsShareOfTheRate() {
+  void withoutAReadingTheBucketFillsAtTheDoorsPartOfTheRate() {
     AdmissionController admissionController = admissionController(4);
-    admissionController.used(1_000);
+    admissionController.recordUse(1_000);
     admissionController.admits(0, 4, 2_000_000_000L);
-    assertEquals(500, admissionController.store(), 1e-6);
+    assertEquals(500, admissionController.bucketTokens(), 1e-6);
   }
 
   @Test
-  void aReadingAddsWhatIsLeftOfTheRate() {
+  void aReadingAddsTheUnusedPartOfTheRate() {
     AdmissionController admissionController = admissionController(4);
     admissionController.admits(40, 4, 1);
     admissionController.admits(40, 4, 1 + PERIOD);
-    assertEquals(1_000 + 0.6 * 0.5 * 250, admissionController.store(), 1e-3);
+    assertEquals(1_000 + 0.6 * 0.5 * 250, admissionController.bucketTokens(), 1e-3);
   }
 
   @Test
-  void whileTheStoreLastsAllAreAdmitted() {
+  void allRequestsAreAdmittedWhileTheBucketHasTokens() {
     AdmissionController admissionController = admissionController(4);
     admissionController.admits(150, 4, 1);
     admissionController.admits(150, 4, 1 + PERIOD);
-    assertEquals(1, admissionController.share());
+    assertEquals(1, admissionController.admitProbability());
     for (int i = 0; i < 100; i++) {
       assertTrue(admissionController.admits(150, 4, 2 + PERIOD));
     }
   }
 
   @Test
-  void onceItIsSpentTheShareFollowsTheReadings() {
+  void theAdmitProbabilityFollowsTheReadingsOnceTheBucketIsEmpty() {
     AdmissionController admissionController = admissionController(4);
-    admissionController.used(1_000);
+    admissionController.recordUse(1_000);
     admissionController.admits(200, 4, 1);
     admissionController.admits(200, 4, 1 + PERIOD);
-    assertEquals(0.5, admissionController.share(), 1e-9);
+    assertEquals(0.5, admissionController.admitProbability(), 1e-9);
     admissionController.admits(125, 4, 1 + 2 * PERIOD);
-    assertEquals(0.4, admissionController.share(), 1e-9);
+    assertEquals(0.4, admissionController.admitProbability(), 1e-9);
     int admitted = 0;
     for (int i = 0; i < 1_000; i++) {
       admitted += admissionController.admits(125, 4, 2 + 2 * PERIOD) ? 1 : 0;
@@ -61,11 +61,11 @@
   }
 
   /**
-   * Requests are large beside a second's rate, so readings swing. After a time of high demand many
+   * Requests are large compared to a second's rate, so readings oscillate. After an overload many
    * doors must absorb that as soon as few do.
    */
   @Test
-  void afterATimeOfHighDemandSwingingReadingsBelowTheRateRefuseNobodyAtManyDoors() {
+  void afterOverloadOscillatingReadingsBelowTheRateRejectNothingAtAnyNumberOfDoors() {
     for (int doors : new int[] {4, 75, 380}) {
       AdmissionController admissionController = admissionController(doors);
       long now = 1;
@@ -73,24 +73,24 @@
         admissionController.admits(600, doors, now);
         now += PERIOD;
       }
-      int refused = 0;
+      int rejected = 0;
       for (int period = 0; period < 60; period++) {
         double pressure = period % 4 < 2 ? 120 : 34;
-        boolean settled = period > 40;
-        refused += !admissionController.admits(pressure, doors, now) && settled ? 1 : 0;
+        boolean recovered = period > 40;
+        rejected += !admissionController.admits(pressure, doors, now) && recovered ? 1 : 0;
         now += PERIOD;
       }
-      assertEquals(0, refused, doors + " doors");
+      assertEquals(0, rejected, doors + " doors");
     }
   }
 
   @Test
-  void withoutPressureAllAreAdmittedAgain() {
+  void withoutPressureAllRequestsAreAdmittedAgain() {
     AdmissionController admissionController = admissionController(4);
-    admissionController.used(1_000);
+    admissionController.recordUse(1_000);
     admissionController.admits(200, 4, 1);
     admissionController.admits(200, 4, 1 + PERIOD);
     admissionController.admits(0, 4, 1 + 2 * PERIOD);
-    assertEquals(1, admissionController.share());
+    assertEquals(1, admissionController.admitProbability());
   }
 }
--- a/router/src/test/java/nettletrail/router/admission/AdmissionQueueTest.java
+++ b/router/src/test/java/nettletrail/router/admission/AdmissionQueueTest.java
@@ -9,24 +9,25 @@
 import org.junit.jupiter.api.Test;
 
 class AdmissionQueueTest {
-  private record Request(String tenantName, int rank, int number) implements AdmissionQueue.Entry {}
+  private record Request(String tenantName, int priority, int number)
+      implements AdmissionQueue.Entry {}
 
-  private static final int NO_BOUND = 1_000;
+  private static final int NO_LIMIT = 1_000;
   private final VirtualCounters counters = new VirtualCounters();
   private final AdmissionQueue<Request> queue = new AdmissionQueue<>(counters);
 
-  private Request add(String tenant, int rank, int number) {
-    Request request = new Request(tenant, rank, number);
+  private Request add(String tenant, int priority, int number) {
+    Request request = new Request(tenant, priority, number);
     queue.add(request, 0);
     return request;
   }
 
   private Request poll() {
-    return queue.poll(NO_BOUND, request -> true);
+    return queue.poll(NO_LIMIT, request -> true);
   }
 
   @Test
-  void theOldestOfTheTenantWithTheLowestCounterGoesFirst() {
+  void theOldestRequestOfTheLowestCounterIsPolledFirst() {
     counters.charge("a", 1_000, 0);
     counters.charge("b", 10, 0);
     add("a", 0, 1);
@@ -36,7 +37,7 @@
   }
 
   @Test
-  void turnsChangeAsTheCountersGrow() {
+  void theNextTenantChangesAsTheCountersGrow() {
     Request first = add("a", 0, 1);
     Request second = add("a", 0, 2);
     Request third = add("b", 0, 3);
@@ -49,7 +50,7 @@
   }
 
   @Test
-  void aMoreUrgentRankGoesBeforeAnyCounter() {
+  void priorityPrecedesTheCounter() {
     counters.charge("a", 1_000_000, 0);
     add("b", 1, 1);
     Request urgent = add("a", 0, 2);
@@ -57,33 +58,33 @@
   }
 
   @Test
-  void theBoundOnRequestsInFlightStands() {
+  void pollReturnsNothingAtTheLimitInFlight() {
     add("a", 0, 1);
     Request second = add("a", 0, 2);
     queue.poll(1, request -> true);
     assertNull(queue.poll(1, request -> true));
-    queue.released();
+    queue.releaseSlot();
     assertEquals(second, queue.poll(1, request -> true));
   }
 
   @Test
-  void aTenantWhoseOldestMayNotGoLetsOthersGo() {
+  void anIneligibleRequestDoesNotBlockOtherTenants() {
     Request waiting = add("a", 0, 1);
     Request other = add("b", 0, 2);
-    assertEquals(other, queue.poll(NO_BOUND, request -> !request.equals(waiting)));
-    assertNull(queue.poll(NO_BOUND, request -> !request.equals(waiting)));
+    assertEquals(other, queue.poll(NO_LIMIT, request -> !request.equals(waiting)));
+    assertNull(queue.poll(NO_LIMIT, request -> !request.equals(waiting)));
     assertEquals(waiting, poll());
   }
 
   @Test
-  void aTenantsRequestsKeepTheirOrderWhileTheFirstMayNotGo() {
+  void anIneligibleRequestBlocksLaterOnesOfItsTenant() {
     Request first = add("a", 0, 1);
     add("a", 0, 2);
-    assertNull(queue.poll(NO_BOUND, request -> !request.equals(first)));
+    assertNull(queue.poll(NO_LIMIT, request -> !request.equals(first)));
   }
 
   @Test
-  void whatIsRemovedDoesNotGo() {
+  void aRemovedRequestIsNotPolled() {
     Request first = add("a", 0, 1);
     Request second = add("a", 0, 2);
     assertTrue(queue.remove(first));
@@ -95,9 +96,9 @@
   }
 
   @Test
-  void itTellsWhoWaits() {
+  void containsAnyFindsTenantsWithQueuedRequests() {
     add("a", 0, 1);
-    assertTrue(queue.holdsAny(List.of("b", "a")));
-    assertFalse(queue.holdsAny(List.of("b")));
+    assertTrue(queue.containsAny(List.of("b", "a")));
+    assertFalse(queue.containsAny(List.of("b")));
   }
 }
--- a/router/src/test/java/nettletrail/router/admission/VirtualCountersTest.java
+++ b/router/src/test/java/nettletrail/router/admission/VirtualCountersTest.java
@@ -17,22 +17,22 @@
   }
 
   @Test
-  void whatTheAnswerShowsIsSettled() {
+  void outputTokensAreChargedAtTheEnd() {
     counters.charge("a", 1_000, 0);
-    counters.settle("a", 1_000, true, 50, 1);
+    counters.chargeOutput("a", 50, 1);
     assertEquals(
         VirtualCounters.chargeFor(1_000) + 50 * VirtualCounters.OUTPUT_WEIGHT, counters.of("a"));
   }
 
   @Test
-  void whatDidNotRunIsNotCharged() {
+  void aRequestThatDidNotRunIsRefunded() {
     counters.charge("a", 1_000, 0);
-    counters.settle("a", 1_000, false, 0, 1);
+    counters.refund("a", 1_000, 1);
     assertEquals(0, counters.of("a"));
   }
 
   @Test
-  void aReturnerIsLiftedToTheLeastThatWaits() {
+  void aReturningTenantIsLiftedToTheMinimumOfTheQueuedTenants() {
     counters.charge("a", 1_000, 0);
     counters.charge("b", 5_000, 0);
     counters.lift("c", List.of("a", "b"), 1);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aTenantWithARequestInFlightIsNoReturner() {
+  void aTenantWithARequestInFlightIsNotLifted() {
     counters.charge("a", 5_000, 0);
     counters.charge("c", 1, 0);
     double before = counters.of("c");
@@ -49,9 +49,9 @@
   }
 
   @Test
-  void aLiftNeverLowers() {
+  void aLiftNeverLowersACounter() {
     counters.charge("a", 5_000, 0);
-    counters.settle("a", 5_000, true, 0, 1);
+    counters.chargeOutput("a", 0, 1);
     counters.charge("b", 10, 1);
     double before = counters.of("a");
     counters.lift("a", List.of("b"), 2);
@@ -59,12 +59,12 @@
   }
 
   @Test
-  void idleCountersAreForgottenAndOthersKept() {
+  void onlyIdleCountersAreDropped() {
     counters.charge("idle", 10, 0);
-    counters.settle("idle", 10, true, 0, 1);
-    counters.charge("open", 10, 0);
-    counters.forgetIdle(2 + VirtualCounters.FORGET_NANOS);
+    counters.chargeOutput("idle", 0, 1);
+    counters.charge("in-flight", 10, 0);
+    counters.dropIdle(2 + VirtualCounters.IDLE_EXPIRY_NANOS);
     assertEquals(1, counters.size());
-    assertEquals(VirtualCounters.chargeFor(10), counters.of("open"));
+    assertEquals(VirtualCounters.chargeFor(10), counters.of("in-flight"));
   }
 }
--- a/router/src/test/java/nettletrail/router/balance/PromptPrefixTest.java
+++ b/router/src/test/java/nettletrail/router/balance/PromptPrefixTest.java
@@ -7,7 +7,7 @@
 
 class PromptPrefixTest {
   @Test
-  void allPartsButTheLastAreShared() {
+  void theKeyCoversAllSegmentsButTheLast() {
     PromptPrefix prefix = PromptPrefix.parse("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "m");
     assertEquals(1_210, prefix.tokens());
     assertEquals(prefix, PromptPrefix.parse("5c1e07a2:800,91bd3f06:410,ffff:9", "m"));
@@ -18,14 +18,14 @@
   }
 
   @Test
-  void withoutSharedPartsThereIsNone() {
+  void withoutSharedSegmentsThereIsNoPrefix() {
     assertEquals(PromptPrefix.NONE, PromptPrefix.parse(null, "m"));
     assertEquals(PromptPrefix.NONE, PromptPrefix.parse("", "m"));
     assertEquals(PromptPrefix.NONE, PromptPrefix.parse("5c1e07a2:800", "m"));
   }
 
   @Test
-  void whatCantBeReadGuidesNothing() {
+  void aMalformedHeaderIsNoPrefix() {
     assertEquals(PromptPrefix.NONE, PromptPrefix.parse("abc,def:1", "m"));
     assertEquals(PromptPrefix.NONE, PromptPrefix.parse("abc:x,def:1", "m"));
     assertEquals(PromptPrefix.NONE, PromptPrefix.parse("abc:99999999999,def:1", "m"));
--- a/router/src/test/java/nettletrail/router/balance/ServiceBackendsTest.java
+++ b/router/src/test/java/nettletrail/router/balance/ServiceBackendsTest.java
@@ -41,12 +41,12 @@
   }
 
   @Test
-  void withoutBackendsThereIsNoChoice() {
+  void chooseReturnsNullWithoutBackends() {
     assertNull(choose(PREFIX, ENGINE));
   }
 
   @Test
-  void oneThatWasTriedIsNotChosenAgain() {
+  void aTriedBackendIsNotChosenAgain() {
     update("b1", "b2");
     assertEquals("b2", choose(PREFIX, ENGINE, "b1").endpoint().id());
     assertEquals("b1", choose(PREFIX, null, "b2").endpoint().id());
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aPrefixGoesBackToWhereItWasSent() {
+  void aPrefixStaysAtTheBackendThatItWasSentTo() {
     update("b1", "b2", "b3", "b4", "b5", "b6");
     String first = choose(PREFIX, ENGINE).endpoint().id();
     for (int i = 0; i < 20; i++) {
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void allDoorsSendAPrefixToTheSameBackend() {
+  void allDoorsPreferTheSameBackendForAPrefix() {
     Set<String> chosen = new HashSet<>();
     for (int seed = 0; seed < 20; seed++) {
       ServiceBackends door = new ServiceBackends("zone-a", seed);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aBackendWithMuchToReadIsLeftForAnother() {
+  void aBackendWithALongPrefillQueueIsAvoided() {
     update("b1", "b2", "b3", "b4", "b5", "b6");
     BackendLoad first = choose(PREFIX, ENGINE);
     first.sent(60_000, 60_000, 60_000, 0);
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aBackendWhoseMemoryIsFullIsLeftForAnother() {
+  void aBackendWithAFullKvCacheIsAvoided() {
     update("b1", "b2");
     BackendLoad first = choose(PREFIX, ENGINE);
     first.sent(0, 0, 550_000, 0);
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void aLongPromptOfThisDoorDoesNotFillAllBackendsOfManyDoors() {
+  void theEstimateOfOtherDoorsMemoryIsBounded() {
     update("b1", "b2", "b3", "b4", "b5", "b6");
     String home = choose(PREFIX, ENGINE).endpoint().id();
     BackendLoad other = choose(PromptPrefix.NONE, ENGINE, home);
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void ofPlainBackendsTheLessLoadedIsChosen() {
+  void withoutAnEngineTheLessLoadedBackendIsChosen() {
     update("b1", "b2");
     BackendLoad first = choose(PromptPrefix.NONE, null);
     for (int i = 0; i < 4; i++) {
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void theOwnZoneIsChosenUnlessItIsFuller() {
+  void theLocalZoneIsPreferredUnlessItIsMoreLoaded() {
     backends.update(List.of(endpoint("near", "zone-a"), endpoint("far", "zone-b")));
     BackendLoad near = choose(PromptPrefix.NONE, null);
     assertEquals("near", near.endpoint().id());
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void anEjectedBackendGetsNothingUnlessThatLeavesOutMoreThanHalf() {
+  void ejectedBackendsAreSkippedUnlessTheyAreMoreThanHalf() {
     update("b1", "b2", "b3");
     BackendLoad ejected = choose(PromptPrefix.NONE, null);
     for (int i = 0; i < 3; i++) {
@@ -147,34 +147,34 @@
   }
 
   @Test
-  void aSilentBackendIsToldOnceAndLeftOut() {
+  void anUnresponsiveBackendIsReportedOnceAndSkipped() {
     update("b1", "b2", "b3");
-    BackendLoad silent = choose(PromptPrefix.NONE, null);
-    silent.sent(0, 0, 0, 0);
-    long later = BackendHealth.SILENCE_NANOS + 1;
-    assertNotEquals(silent, backends.choose(request(PromptPrefix.NONE), null, 1, later));
-    assertEquals(List.of(silent.endpoint().id()), backends.takeEjected());
-    assertTrue(backends.takeEjected().isEmpty());
+    BackendLoad unresponsive = choose(PromptPrefix.NONE, null);
+    unresponsive.sent(0, 0, 0, 0);
+    long later = OutlierDetector.IDLE_TIMEOUT_NANOS + 1;
+    assertNotEquals(unresponsive, backends.choose(request(PromptPrefix.NONE), null, 1, later));
+    assertEquals(List.of(unresponsive.endpoint().id()), backends.pollEjected());
+    assertTrue(backends.pollEjected().isEmpty());
   }
 
   @Test
-  void aBackendThatReadsALongPromptIsNotSilent() {
+  void aBackendInALongPrefillIsNotUnresponsive() {
     update("b1", "b2", "b3");
-    BackendLoad reading = choose(PREFIX, ENGINE);
-    reading.sent(40_000, 40_000, 40_000, 0);
-    long later = BackendHealth.SILENCE_NANOS + 1;
+    BackendLoad prefilling = choose(PREFIX, ENGINE);
+    prefilling.sent(40_000, 40_000, 40_000, 0);
+    long later = OutlierDetector.IDLE_TIMEOUT_NANOS + 1;
     backends.choose(request(PREFIX), ENGINE, 1, later);
-    assertTrue(backends.takeEjected().isEmpty());
+    assertTrue(backends.pollEjected().isEmpty());
   }
 
   @Test
-  void aSlowBackendGetsLess() {
+  void aSlowBackendIsAvoided() {
     update("b1", "b2");
     BackendLoad slow = choose(PromptPrefix.NONE, null);
     BackendLoad other = choose(PromptPrefix.NONE, null, slow.endpoint().id());
     for (int i = 0; i < 20; i++) {
-      backends.answerBegan(other, 1, 10_000_000, 0);
-      backends.answerBegan(slow, 1, 80_000_000, 0);
+      backends.responseStarted(other, 1, 10_000_000, 0);
+      backends.responseStarted(slow, 1, 80_000_000, 0);
     }
     for (int i = 0; i < 10; i++) {
       assertEquals(other, choose(PromptPrefix.NONE, null));
@@ -182,17 +182,21 @@
   }
 
   @Test
-  void aBackendThatFailsAPartOfItsRequestsIsPutBehind() {
+  void aBackendWithAFailureRateIsAvoided() {
     update("b1", "b2");
-    BackendLoad grey = choose(PromptPrefix.NONE, null);
+    BackendLoad failing = choose(PromptPrefix.NONE, null);
     for (int i = 0; i < 10; i++) {
-      grey.served(i % 2 == 0, 0);
+      if (i % 2 == 0) {
+        failing.succeeded(0);
+      } else {
+        failing.respondedWithError(0);
+      }
     }
-    assertNotEquals(grey, choose(PromptPrefix.NONE, null));
+    assertNotEquals(failing, choose(PromptPrefix.NONE, null));
   }
 
   @Test
-  void backendsThatAreGoneAreTold() {
+  void updateReturnsTheRemovedBackends() {
     update("b1", "b2");
     assertEquals(List.of("b1"), backends.update(List.of(endpoint("b2", "zone-a"))));
     assertFalse(backends.isReady("b1"));
--- a/router/src/test/java/nettletrail/router/retry/RetryBudgetTest.java
+++ b/router/src/test/java/nettletrail/router/retry/RetryBudgetTest.java
@@ -23,85 +23,85 @@
   }
 
   @Test
-  void aNewProcessHasNone() {
-    assertFalse(budget().take(1, 0));
+  void aNewProcessHasNoBudget() {
+    assertFalse(budget().tryAcquire(1, 0));
   }
 
   @Test
-  void firstSendsEarnHalfOfTheRatio() {
+  void requestsEarnHalfOfTheRatio() {
     RetryBudget budget = budget();
     for (int i = 0; i < 10; i++) {
-      budget.firstSend(1);
+      budget.recordRequest(1);
     }
-    assertTrue(budget.take(1_000, 2));
-    assertFalse(budget.take(1_000, 3));
+    assertTrue(budget.tryAcquire(1_000, 2));
+    assertFalse(budget.tryAcquire(1_000, 3));
   }
 
   @Test
-  void whatWasNotSentIsGivenBack() {
+  void aRefundedRetryIsAvailableAgain() {
     RetryBudget budget = budget();
     for (int i = 0; i < 10; i++) {
-      budget.firstSend(1);
+      budget.recordRequest(1);
     }
-    assertTrue(budget.take(1_000, 2));
+    assertTrue(budget.tryAcquire(1_000, 2));
     budget.refund(3);
-    assertTrue(budget.take(1_000, 4));
+    assertTrue(budget.tryAcquire(1_000, 4));
   }
 
   @Test
-  void theSlackIsSharedByTheDoorsAndGrowsInOneWindow() {
+  void theSlackIsDividedByTheDoorsAndGrowsWithinOneWindow() {
     RetryBudget budget = budget();
-    int taken = 0;
-    while (budget.take(2, WINDOW)) {
-      taken++;
+    int acquired = 0;
+    while (budget.tryAcquire(2, WINDOW)) {
+      acquired++;
     }
-    assertEquals(13, taken, "half of 52, by two doors");
+    assertEquals(13, acquired, "half of 52, by two doors");
   }
 
   @Test
-  void whatWasEarnedLongAgoIsNotSpent() {
+  void requestsOutsideTheWindowEarnNothing() {
     RetryBudget budget = budget();
     for (int i = 0; i < 100; i++) {
-      budget.firstSend(1);
+      budget.recordRequest(1);
     }
-    assertFalse(budget.take(1_000_000, 3 * WINDOW));
+    assertFalse(budget.tryAcquire(1_000_000, 3 * WINDOW));
   }
 
   /**
-   * The deployment's rule: in any window, further sends are at most ratio * requests + slack, over
-   * all doors.
+   * The deployment's rule: in any window, retries are at most ratio * requests + slack, over all
+   * doors.
    */
   @Property(tries = 300)
-  void noWindowHasMoreThanTheDeploymentAllows(
+  void noWindowExceedsTheDeploymentsLimit(
       @ForAll @Size(min = 1, max = 400) List<@IntRange(min = 0, max = 1_000_000) Integer> steps,
       @ForAll @IntRange(min = 1, max = 4) int doors) {
     List<RetryBudget> budgets = new ArrayList<>();
     for (int i = 0; i < doors; i++) {
       budgets.add(budget());
     }
-    List<Long> firsts = new ArrayList<>();
-    List<Long> furthers = new ArrayList<>();
+    List<Long> requests = new ArrayList<>();
+    List<Long> retries = new ArrayList<>();
     long now = 0;
     for (int step : steps) {
       now += step % 1_000 * TimeUnit.MILLISECONDS.toNanos(1);
       RetryBudget budget = budgets.get(step % doors);
       if (step / 1_000 % 3 == 0) {
         for (int i = 0; i < step / 3_000 % 40; i++) {
-          budget.firstSend(now);
-          firsts.add(now);
+          budget.recordRequest(now);
+          requests.add(now);
         }
       } else {
-        while (budget.take(doors, now)) {
-          furthers.add(now);
+        while (budget.tryAcquire(doors, now)) {
+          retries.add(now);
         }
       }
     }
-    for (long end : furthers) {
-      long spent = within(furthers, end);
+    for (long end : retries) {
+      long spent = within(retries, end);
       long max =
           Math.max(
-              within(firsts, end),
-              Math.max(within(firsts, end - WINDOW), within(firsts, end - WINDOW / 2)));
+              within(requests, end),
+              Math.max(within(requests, end - WINDOW), within(requests, end - WINDOW / 2)));
       assertTrue(spent <= RATIO * max + SLACK, spent + " for " + max);
     }
   }
--- a/router/src/test/java/nettletrail/router/stream/EventParserTest.java
+++ b/router/src/test/java/nettletrail/router/stream/EventParserTest.java
@@ -44,24 +44,24 @@
   }
 
   @Test
-  void wholeEventsArePassedWithTheirIds() {
+  void completeEventsArePassedWithTheirIds() {
     assertTrue(read(STREAM));
     assertEquals(IDS, ids);
     assertEquals(STREAM, passed.toString());
-    assertNull(parser.rest());
+    assertNull(parser.incompleteEvent());
   }
 
   @Test
-  void aPartOfAnEventIsHeldBack() {
+  void anIncompleteEventIsBuffered() {
     read("id: 1\ndata: one\n\nid: 2\ndata: t");
     assertEquals("id: 1\ndata: one\n\n", passed.toString());
-    assertEquals("id: 2\ndata: t", parser.rest().toString(StandardCharsets.UTF_8));
+    assertEquals("id: 2\ndata: t", parser.incompleteEvent().toString(StandardCharsets.UTF_8));
     parser.close();
-    assertNull(parser.rest());
+    assertNull(parser.incompleteEvent());
   }
 
   @Property(tries = 300)
-  void itDoesNotMatterHowTheBytesAreCut(
+  void theEventsDoNotDependOnTheChunks(
       @ForAll @Size(max = 20) List<@IntRange(min = 0, max = 90) Integer> cuts) {
     ids.clear();
     passed.setLength(0);
@@ -74,11 +74,11 @@
     read(STREAM.substring(from));
     assertEquals(IDS, ids);
     assertEquals(STREAM, passed.toString());
-    assertNull(parser.rest());
+    assertNull(parser.incompleteEvent());
   }
 
   @Test
-  void anEventWithoutAnEndIsNotKeptForEver() {
+  void anEventAboveTheLimitIsAnError() {
     String line = "data: " + "x".repeat(10_000) + "\n";
     boolean fits = true;
     for (int i = 0; i <= EventParser.MAX_EVENT_BYTES / line.length(); i++) {
