--- a/router/src/main/java/nettletrail/router/BufferedAnswer.java
+++ b/router/src/main/java/nettletrail/router/BufferedResponse.java
@@ -5,9 +5,9 @@
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** An answer that is passed on when it is whole. */
-final class BufferedAnswer implements AnswerRelay {
-  /** A larger one is taken for spoilt. */
+/** A response that is forwarded once it is complete. */
+final class BufferedResponse implements ResponseRelay {
+  /** A larger one counts as invalid. */
   static final int MAX_BYTES = 4 << 20;
 
   private final HttpResponse head;
@@ -15,7 +15,7 @@
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private boolean tooLarge;
 
-  BufferedAnswer(HttpResponse head, ByteBufAllocator allocator) {
+  BufferedResponse(HttpResponse head, ByteBufAllocator allocator) {
     this.head = head;
     this.allocator = allocator;
   }
@@ -24,6 +24,7 @@
     return head;
   }
 
+  /** The body so far; released by {@link #release}. */
   ByteBuf body() {
     return body;
   }
@@ -64,7 +65,7 @@
   }
 
   @Override
-  public void drop() {
+  public void release() {
     body.release();
     body = Unpooled.EMPTY_BUFFER;
   }
--- a/router/src/main/java/nettletrail/router/ChunkWriter.java
+++ b/router/src/main/java/nettletrail/router/ChunkWriter.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 
-/** Gathers bytes of a body and frames them as one chunk (RFC 9112 section 7.1), in one buffer. */
+/** Collects bytes of a body and frames them as one chunk (RFC 9112, section 7.1). */
 final class ChunkWriter {
   private static final byte[] HEX =
       "0123456789abcdef".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
@@ -11,14 +11,14 @@
   private static final int DIGIT_MASK = 0xF;
   private static final int DIGIT_BITS = 4;
 
-  /** Room for the size in hex and its line end. */
+  /** Space for the size in hexadecimal digits and its line end. */
   private static final int SIZE_LINE_BYTES = 10;
 
   private static final int END_BYTES = 2;
 
   private ByteBuf buffer;
 
-  /** Adds bytes; the source's indices are not moved. */
+  /** Adds bytes; the source's indices don't change. */
   void add(ByteBufAllocator allocator, ByteBuf source, int from, int length) {
     if (buffer == null) {
       buffer = allocator.ioBuffer(SIZE_LINE_BYTES + length + END_BYTES);
@@ -31,27 +31,27 @@
     return buffer == null;
   }
 
-  /** The chunk, or null if nothing was added; the caller's from now on. */
-  ByteBuf take() {
+  /** Removes the framed chunk, which the caller releases; null if it is empty. */
+  ByteBuf poll() {
     ByteBuf chunk = buffer;
     buffer = null;
     if (chunk == null) {
       return null;
     }
-    int left = chunk.readableBytes() - SIZE_LINE_BYTES;
-    int at = SIZE_LINE_BYTES;
-    chunk.setByte(--at, '\n');
-    chunk.setByte(--at, '\r');
+    int remaining = chunk.readableBytes() - SIZE_LINE_BYTES;
+    int start = SIZE_LINE_BYTES;
+    chunk.setByte(--start, '\n');
+    chunk.setByte(--start, '\r');
     do {
-      chunk.setByte(--at, HEX[left & DIGIT_MASK]);
-      left >>>= DIGIT_BITS;
-    } while (left > 0);
-    chunk.readerIndex(at);
+      chunk.setByte(--start, HEX[remaining & DIGIT_MASK]);
+      remaining >>>= DIGIT_BITS;
+    } while (remaining > 0);
+    chunk.readerIndex(start);
     chunk.writeByte('\r').writeByte('\n');
     return chunk;
   }
 
-  /** Drops what was added. */
+  /** Releases the added bytes. */
   void drop() {
     if (buffer != null) {
       buffer.release();
--- a/router/src/main/java/nettletrail/router/ClientConnection.java
+++ b/router/src/main/java/nettletrail/router/ClientConnection.java
@@ -1,8 +1,5 @@
 package nettletrail.router;
 
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufAllocator;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -10,34 +7,27 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.AsciiString;
 import io.netty.util.ReferenceCountUtil;
-import java.util.ArrayDeque;
-import java.util.OptionalLong;
-import java.util.concurrent.TimeUnit;
 import nettletrail.configuration.Limits;
 import nettletrail.core.Unread;
 import nettletrail.http.Farewell;
 import nettletrail.http.HeadRules;
 import nettletrail.http.RequestAggregator;
 import nettletrail.http.RequestDecoder;
-import nettletrail.upstream.HeadBytes;
 
 /**
- * One connection of a client. Its requests are answered one at a time, in the order in which they
- * came; what comes meanwhile waits, up to a bound, beyond which nothing more is read until it is
- * answered.
+ * One connection of a client, the last handler of its pipeline. Dispatches its requests one at a
+ * time in the order of their arrival; pipelined ones are queued up to a limit, above which the
+ * socket is not read. All on the event loop.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter
-    implements ExpectationGate.Connection {
-  private static final int MAX_WAITING = 16;
-  private static final int MAX_WAITING_BYTES = 512 << 10;
-  private static final AsciiString[] ONCE =
+    implements ExpectContinueHandler.Connection, ClientResponder.Connection {
+  /** Headers that a request may have only once. */
+  private static final AsciiString[] SINGLE_HEADERS =
       HeadRules.once(
           RequestHeaders.ATTEMPT_ID,
           RequestHeaders.KEY,
@@ -45,65 +35,60 @@
           RequestHeaders.TOKEN_COUNT,
           RequestHeaders.PROMPT_PREFIX,
           RequestHeaders.LAST_EVENT_ID);
-  private static final long MAX_DEAF_AT_END_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  /** What a connection needs of the router. */
-  interface Owner {
-    /** Takes a request that is to be answered by {@link ClientConnection}'s methods, once. */
-    Exchange arrived(ClientConnection connection, ClientRequest request);
+  /** The router, as its connections see it. */
+  interface Owner extends PartialRequestTracker.DeadlineSource {
+    /** Creates the exchange of a request; its response is written by {@link #responder()}. */
+    Exchange createExchange(ClientConnection connection, ClientRequest request);
 
-    /** Begins with it; it may be answered before this returns. */
+    /** Starts an exchange; it may end before this returns. */
     void start(Exchange exchange);
 
+    /** Whether responses should close their connections, since the process shuts down. */
     boolean isDraining();
 
-    /** When a request must be answered whose head came at {@code since}; nothing if unknown. */
-    OptionalLong deadline(HttpRequest head, long since);
-
     void opened(ClientConnection connection);
 
     void closed(ClientConnection connection);
   }
 
-  private record Waiting(FullHttpRequest request, long arrivedAt) {}
-
   private final Owner owner;
   private final RequestDecoder decoder;
-  private final ExpectationGate expectations = new ExpectationGate(this);
-  private final PartialRequest partial = new PartialRequest();
-  private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
+  private final ExpectContinueHandler expectations = new ExpectContinueHandler(this);
+  private final PartialRequestTracker partial = new PartialRequestTracker();
+  private final PipelinedRequests pipelined = new PipelinedRequests();
   private Channel channel;
   private ResponseWriter writer;
+  private ClientResponder responder;
+  private ClientTimeouts timeouts;
 
-  private Exchange open;
+  /** Of the request that is not answered yet; null if there is none. */
+  private Exchange current;
 
-  /** The client asked for the end of the connection, or sent what can't be read. */
-  private boolean leaving;
+  /** The client sent its last request, or one that can't be parsed: no more are accepted. */
+  private boolean closing;
 
-  /** The last answer is on its way: nothing more is handled. */
+  /** The last response is being written: no more requests are dispatched. */
   private boolean ended;
 
-  private boolean handling;
-  private boolean readSomething;
-  private int waitingBytes;
-  private long idleSince;
+  private boolean dispatching;
 
-  /** Since when a part of a request lies here; 0 if none does. */
-  private long partSince;
+  /** A complete request was read since the last {@link #channelReadComplete}. */
+  private boolean requestRead;
 
   private ClientConnection(Owner owner, Limits limits) {
     this.owner = owner;
     decoder = new RequestDecoder(limits.headerBytes(), limits.headerBytes());
   }
 
-  /** Puts all that a client's connection is made of into its pipeline. */
-  static void add(ChannelPipeline pipeline, Owner owner, Limits limits) {
+  /** Adds all handlers of a client connection to a new channel's pipeline. */
+  static void addTo(ChannelPipeline pipeline, Owner owner, Limits limits) {
     ClientConnection connection = new ClientConnection(owner, limits);
     RequestAggregator aggregator =
         new RequestAggregator(
             limits.bodyBytes(),
-            () -> connection.refuseUnread(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE));
-    // The encoder is the aggregator's, for its 100 Continue; answers are written from before it.
+            () -> connection.rejectUnread(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE));
+    // The encoder is for the aggregator's 100 Continue; responses are written from before it.
     pipeline.addLast(
         connection.decoder,
         connection.partial,
@@ -117,65 +102,71 @@
   @Override
   public void channelActive(ChannelHandlerContext context) {
     channel = context.channel();
-    idleSince = System.nanoTime();
+    responder = new ClientResponder(channel, writer, this);
+    timeouts = new ClientTimeouts(channel, this, writer, partial, owner);
     owner.opened(this);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    gone();
+    disconnected();
   }
 
-  private void gone() {
+  /** May be called twice: by {@link #isClientConnected} and by the channel's own event. */
+  private void disconnected() {
     owner.closed(this);
-    for (Waiting next = waiting.pollFirst(); next != null; next = waiting.pollFirst()) {
-      next.request().release();
-    }
+    pipelined.releaseAll();
     writer.drop();
-    Exchange left = open;
-    open = null;
-    if (left != null) {
-      left.clientDisconnected();
+    Exchange unanswered = current;
+    current = null;
+    if (unanswered != null) {
+      unanswered.clientDisconnected();
     }
   }
 
+  /** The writer of the response to the current request. */
+  ClientResponder responder() {
+    return responder;
+  }
+
+  /** The connection's time limits. */
+  ClientTimeouts timeouts() {
+    return timeouts;
+  }
+
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
-    if (ended || leaving || !(message instanceof FullHttpRequest request)) {
+    if (ended || closing || !(message instanceof FullHttpRequest request)) {
       ReferenceCountUtil.release(message);
       return;
     }
-    readSomething = true;
-    expectations.bodyCame();
-    partSince = 0;
-    waitingBytes += request.content().readableBytes();
-    waiting.addLast(new Waiting(request, partial.since()));
-    leaving = !HttpUtil.isKeepAlive(request) || ClientRequest.isHttp10(request);
-    if (waiting.size() >= MAX_WAITING || waitingBytes >= MAX_WAITING_BYTES && open != null) {
+    requestRead = true;
+    expectations.bodyReceived();
+    partial.resetFirstBytes();
+    pipelined.add(request, partial.headArrivedAt());
+    closing = !HttpUtil.isKeepAlive(request) || ClientRequest.isHttp10(request);
+    if (pipelined.isFull() || pipelined.hasMaxBytes() && current != null) {
       channel.config().setAutoRead(false);
     }
   }
 
-  /**
-   * Requests are taken up here: not while bytes are being decoded, so that the socket may be looked
-   * at.
-   */
+  /** Dispatches here and not while bytes are decoded, so that the socket may be read again. */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    boolean came = decoder.tookBytes();
-    if (came && !readSomething && open == null && waiting.isEmpty() && partSince == 0) {
-      partSince = System.nanoTime();
+    boolean bytesRead = decoder.tookBytes();
+    if (bytesRead && !requestRead && current == null && pipelined.isEmpty()) {
+      partial.bytesRead();
     }
-    readSomething = false;
-    handleNext();
+    requestRead = false;
+    dispatchNext();
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
-    if (open != null) {
-      open.clientWritable(channel.isWritable());
+    if (current != null) {
+      current.clientWritable(channel.isWritable());
     } else {
-      handleNext();
+      dispatchNext();
     }
   }
 
@@ -184,228 +175,116 @@
     channel.close();
   }
 
-  /**
-   * In a loop: what is answered at once would otherwise bring up the next ever deeper on the stack.
-   */
-  private void handleNext() {
-    if (handling) {
+  /** Iterates, since an immediate response would otherwise recurse for each pipelined request. */
+  private void dispatchNext() {
+    if (dispatching) {
       return;
     }
-    handling = true;
+    dispatching = true;
     try {
-      while (open == null && !ended && channel.isActive() && channel.isWritable()) {
-        Waiting next = waiting.pollFirst();
+      while (current == null && !ended && channel.isActive() && channel.isWritable()) {
+        PipelinedRequests.Pipelined next = pipelined.poll();
         if (next == null) {
           break;
         }
-        waitingBytes -= next.request().content().readableBytes();
         if (!channel.config().isAutoRead()) {
           channel.config().setAutoRead(true);
         }
-        handle(next.request(), next.arrivedAt());
+        dispatch(next.request(), next.arrivedAt());
       }
     } finally {
-      handling = false;
+      dispatching = false;
     }
   }
 
-  private void handle(FullHttpRequest request, long arrivedAt) {
-    HeadRules.Fault fault = HeadRules.fault(request, ONCE);
-    boolean odd = isOdd(request);
-    if (odd || fault != null) {
-      leaving |= odd || !fault.framed();
+  private void dispatch(FullHttpRequest request, long arrivedAt) {
+    HeadRules.Fault fault = HeadRules.fault(request, SINGLE_HEADERS);
+    boolean invalidBody = hasInvalidBody(request);
+    if (invalidBody || fault != null) {
+      closing |= invalidBody || !fault.framed();
       request.release();
-      answer(new Refusal(odd ? HttpResponseStatus.BAD_REQUEST : fault.status(), 0));
+      HttpResponseStatus status = invalidBody ? HttpResponseStatus.BAD_REQUEST : fault.status();
+      responder.reject(new Rejection(status, 0));
       return;
     }
     String target = HeadRules.target(request.method(), request.uri());
-    ClientRequest taken = new ClientRequest(request, target, arrivedAt);
-    Exchange exchange = owner.arrived(this, taken);
-    open = exchange;
-    owner.start(exchange);
+    current = owner.createExchange(this, new ClientRequest(request, target, arrivedAt));
+    owner.start(current);
   }
 
   /**
-   * What is left of Transfer-Encoding here is no chunks, so the body's end was guessed; nor has a
-   * GET a body.
+   * The decoder removes the chunked coding; any other one leaves the end of the body unknown. A GET
+   * has no body.
    */
-  private static boolean isOdd(FullHttpRequest request) {
+  private static boolean hasInvalidBody(FullHttpRequest request) {
     return request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
         || request.method().equals(HttpMethod.GET) && request.content().isReadable();
   }
 
   @Override
-  public boolean owesAnswers() {
-    return open != null || !waiting.isEmpty() || leaving || ended;
+  public boolean hasPendingResponses() {
+    return current != null || !pipelined.isEmpty() || closing || ended;
   }
 
   @Override
-  public void refuseUnread(HttpResponseStatus status) {
-    if (!ended && open == null && waiting.isEmpty()) {
-      leaving = true;
-      answer(new Refusal(status, 0));
+  public void rejectUnread(HttpResponseStatus status) {
+    if (!ended && current == null && pipelined.isEmpty()) {
+      rejectAndClose(status);
     } else if (!ended) {
-      leaving = true; // behind others: those are answered, then the connection ends
+      closing = true; // closes after the responses to the earlier requests
       Farewell.stopReading(channel.pipeline());
     }
   }
 
+  /** Writes a last response to a request that was not dispatched. */
+  void rejectAndClose(HttpResponseStatus status) {
+    closing = true;
+    responder.reject(new Rejection(status, 0));
+  }
+
   /**
-   * Looks whether the client is still there: reads all that has come. Not while its bytes are being
-   * decoded.
-   *
-   * @return whether it is
+   * Whether the client is still connected, after reading all that has arrived on the socket. Not to
+   * be called while bytes are decoded.
    */
-  boolean look() {
+  boolean isClientConnected() {
     if (channel.isActive()) {
       Unread.take(channel);
       if (!channel.isActive()) {
-        gone(); // the channel itself tells it only in a turn of its own
+        disconnected(); // the channel's own event comes in a later turn of the loop
       }
     }
     return channel.isActive();
   }
 
-  // ---- Answers: each request gets one, by answer, forward, or the stream's methods ----
-
-  /** The router's own answer. */
-  void answer(Refusal refusal) {
-    boolean last = isLast();
-    finish(ResponseHead.ofRefusal(refusal, last), Unpooled.EMPTY_BUFFER, last);
-  }
-
-  /**
-   * A backend's whole answer.
-   *
-   * @param body not released here
-   * @param bodiless whether the answer has no body by its nature
-   */
-  void forward(HttpResponse answer, ByteBuf body, boolean bodiless) {
-    boolean last = isLast();
-    long length = bodiless ? ResponseHead.LENGTH_AS_ANSWERED : body.readableBytes();
-    finish(ResponseHead.of(answer, length, last), body, last);
-  }
-
-  private void finish(HeadBytes head, ByteBuf body, boolean last) {
-    if (channel.isActive()) {
-      writer.write(head, body, last);
-    }
-    answered(last);
+  @Override
+  public boolean closesAfterResponse() {
+    return pipelined.isEmpty() && (closing || owner.isDraining());
   }
 
-  private void answered(boolean last) {
+  @Override
+  public void responseEnded(boolean last) {
     ended |= last;
-    open = null;
-    partSince = 0;
-    idleSince = System.nanoTime();
-    handleNext();
-    if (!owesAnswers()) {
-      expectations.allAnswered();
+    current = null;
+    timeouts.responseEnded();
+    dispatchNext();
+    if (!hasPendingResponses()) {
+      expectations.allResponsesSent();
     }
   }
 
-  /** Whether the connection ends with the answer to the request in hand. */
-  private boolean isLast() {
-    return waiting.isEmpty() && (leaving || owner.isDraining());
-  }
-
-  /** Whether the head of a streamed answer is written. */
-  boolean isStreaming() {
-    return writer.isStreaming();
-  }
-
-  /** Begins an answer whose body comes in parts. */
-  void beginStream(HttpResponse answer) {
-    writer.beginStream(answer, isLast());
-  }
-
-  /** Adds bytes to the body; they go out with {@link #flushStream}. */
-  void streamBytes(ByteBuf source, int from, int length) {
-    writer.streamBytes(source, from, length);
-  }
-
-  /** Sends what was added. */
-  void flushStream() {
-    writer.flushStream();
-  }
-
-  /** The streamed answer is whole. */
-  void endStream() {
-    answered(writer.endStream());
-  }
-
-  /** The streamed answer will not be whole: the connection ends without its last chunk. */
-  void breakStream() {
+  @Override
+  public void responseBroken() {
     ended = true;
-    open = null;
-    writer.breakStream();
-  }
-
-  ByteBufAllocator allocator() {
-    return channel.alloc();
-  }
-
-  // ---- Time limits ----
-
-  /** Whether no request is in hand, waits or is in part here. */
-  private boolean isIdle() {
-    return isResting() && !hasPart() && writer.unwritten() == 0;
-  }
-
-  /** Whether no whole request is here and another one may come. */
-  private boolean isResting() {
-    return !ended && open == null && waiting.isEmpty();
-  }
-
-  private boolean hasPart() {
-    return partSince != 0 || partial.head() != null;
-  }
-
-  /** Whether a part of a request lies here and none is in hand. */
-  private boolean isHalf() {
-    return isResting() && hasPart();
-  }
-
-  /** Whether the part of a request has stood too long, or the whole would come too late. */
-  private boolean isPartOverdue(long now, long maxNanos) {
-    if (partSince != 0 && now - partSince > maxNanos) {
-      return true;
-    }
-    HttpRequest head = partial.head();
-    if (head == null) {
-      return false;
-    }
-    OptionalLong deadline = owner.deadline(head, partial.since());
-    return deadline.isPresent() && now - deadline.getAsLong() > 0;
+    current = null;
   }
 
-  /** Ends what has stood too long; what lies unread is read first. */
-  void sweep(long now, Limits limits) {
-    long idleNanos = TimeUnit.MILLISECONDS.toNanos(limits.idleMs());
-    long partNanos = Math.max(idleNanos, TimeUnit.MILLISECONDS.toNanos(limits.headerMs()));
-    if (writer.isStuck(now, ended ? MAX_DEAF_AT_END_NANOS : idleNanos)) {
-      channel.close();
-    } else if (isHalf() && isPartOverdue(now, partNanos)) {
-      if (look() && isHalf()) {
-        leaving = true;
-        answer(new Refusal(HttpResponseStatus.REQUEST_TIMEOUT, 0));
-      }
-    } else if (now - idleSince > idleNanos) {
-      closeIfIdle();
-    }
+  /** Whether the last response is written or being written. */
+  boolean hasEnded() {
+    return ended;
   }
 
-  /**
-   * Closes it if nobody is owed anything on it: what lies unread is read first, for it may be a
-   * request.
-   *
-   * @return whether it did
-   */
-  boolean closeIfIdle() {
-    if (isIdle() && look() && isIdle()) {
-      channel.close();
-      return true;
-    }
-    return false;
+  /** Whether there is no complete request and another one may arrive. */
+  boolean awaitsRequest() {
+    return !ended && current == null && pipelined.isEmpty();
   }
 }
--- a/router/src/main/java/nettletrail/router/ClientRequest.java
+++ b/router/src/main/java/nettletrail/router/ClientRequest.java
@@ -10,8 +10,8 @@
 import nettletrail.router.text.DecimalNumber;
 
 /**
- * One try of a client, whole, as its headers tell. It holds the request's buffers until {@link
- * #release}.
+ * A complete request of a client with typed access to its headers. Owns the request's buffers until
+ * {@link #release}.
  */
 final class ClientRequest {
   private final FullHttpRequest request;
@@ -20,8 +20,9 @@
   private final long arrivedAt;
 
   /**
+   * @param request its reference is taken over
    * @param target path and query
-   * @param arrivedAt when its head was read, ns
+   * @param arrivedAt when its head was decoded, ns
    */
   ClientRequest(FullHttpRequest request, String target, long arrivedAt) {
     this.request = request;
@@ -40,12 +41,12 @@
     return request.method();
   }
 
-  /** Whether the client knows no chunks (RFC 9112 section 7). */
+  /** Whether it is an HTTP/1.0 request. */
   boolean isHttp10() {
     return isHttp10(request);
   }
 
-  /** Whether it is of HTTP/1.0, which knows neither chunks nor our way to keep a connection. */
+  /** Whether it is an HTTP/1.0 request: no chunked coding, and the connection is not kept alive. */
   static boolean isHttp10(HttpRequest request) {
     return request.protocolVersion().minorVersion() == 0;
   }
@@ -70,38 +71,38 @@
     return arrivedAt;
   }
 
-  /** The Host header; "" if there is none, as HTTP/1.0 allows. */
+  /** The Host header; empty if there is none, as HTTP/1.0 permits. */
   String host() {
     String host = request.headers().get(HttpHeaderNames.HOST);
     return host == null ? "" : host;
   }
 
-  /** The id of the try, or null. */
+  /** The id of the client's attempt, or null. */
   String attemptId() {
     return request.headers().get(RequestHeaders.ATTEMPT_ID);
   }
 
-  /** The key that it carries, or null. */
+  /** The API key, or null. */
   String key() {
     return request.headers().get(RequestHeaders.KEY);
   }
 
-  /** How long the client waits, ms; -1 if it does not say. */
+  /** How long the client waits, in ms; -1 if it doesn't state it. */
   long timeLeftMs() {
     return RequestDeadline.timeLeftMs(request.headers());
   }
 
-  /** The id of the last event that the client has; -1 if it names none. */
+  /** The id of the last event that the client has; -1 if it states none. */
   long lastEventId() {
     return DecimalNumber.parse(request.headers().get(RequestHeaders.LAST_EVENT_ID));
   }
 
-  /** Tokens of its prompt, and the most that are to be generated; null if it does not say. */
+  /** Tokens of its prompt and its response; null if it doesn't state them. */
   TokenCount tokenCount() {
     return TokenCount.parse(request.headers().get(RequestHeaders.TOKEN_COUNT));
   }
 
-  /** What its prompt shares with others. */
+  /** The shared prefix of its prompt. */
   PromptPrefix promptPrefix() {
     return PromptPrefix.parse(
         request.headers().get(RequestHeaders.PROMPT_PREFIX),
--- a/router/src/main/java/nettletrail/router/ControlView.java
+++ b/router/src/main/java/nettletrail/router/ControlView.java
@@ -4,47 +4,46 @@
 import nettletrail.configuration.RoutingTable;
 
 /**
- * What the control plane has told this door, as the router sees it. All methods are called on the
- * router's event loop and return at once. The implementation tells the router of changes by {@link
- * Router#routingChanged}, {@link Router#backendsChanged} and {@link Router#quotaGranted}.
+ * The control plane's state at this door, as the router reads it. All methods are called on the
+ * router's event loop and must not block. The implementation notifies the router of changes by
+ * {@link Router#routingChanged}, {@link Router#backendsChanged} and {@link Router#quotaGranted}.
  */
 public interface ControlView {
-  /** The routing in force, or null while none is known. */
+  /** The active routing table, or null while there is none. */
   RoutingTable routing();
 
   /**
-   * Whether requests may be routed by it. False once a newer one is known that may have been
-   * acknowledged too long ago, though it hasn't come yet.
+   * Whether requests may be routed by it. False once a newer one that has not arrived yet may have
+   * been acknowledged to the operator too long ago.
    *
-   * @param nowNanos the steady clock
+   * @param nowNanos the steady clock, in ns
    */
   boolean routingIsCurrent(long nowNanos);
 
   /**
-   * Whether keys may be used: the routing was confirmed to be the newest so lately that no key
-   * which it holds can have been revoked for longer than the deployment allows.
+   * Whether keys may be used: the routing table was confirmed as the newest so lately that none of
+   * its keys can have been revoked for longer than the deployment permits.
    *
-   * @param nowNanos the steady clock
+   * @param nowNanos the steady clock, in ns
    */
   boolean keysConfirmed(long nowNanos);
 
   /**
-   * Whether the routing was confirmed lately enough to be the newest that requests may be refused
-   * for good by it: with 401 or 404, after which clients don't try again.
+   * Whether the routing table was confirmed as the newest lately enough for final rejections: 401
+   * and 404, after which clients don't retry.
    *
-   * @param nowNanos the steady clock
+   * @param nowNanos the steady clock, in ns
    */
   boolean routingConfirmed(long nowNanos);
 
   /**
-   * The backends of a service that are ready for requests; empty if there are none. Not to be
-   * changed.
+   * The ready backends of a service; empty if there are none. The router doesn't modify the list.
    */
   List<BackendEndpoint> backends(String service);
 
-  /** Doors that serve, this one included; at least 1. */
+  /** Number of serving doors, this one included; at least 1. */
   int doorCount();
 
-  /** The tokens that this door may spend. */
+  /** The quota grants of this door. */
   QuotaSource quota();
 }
--- a/router/src/main/java/nettletrail/router/Exchange.java
+++ b/router/src/main/java/nettletrail/router/Exchange.java
@@ -1,161 +1,118 @@
 package nettletrail.router;
 
 import io.netty.buffer.ByteBuf;
+import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.concurrent.TimeUnit;
-import nettletrail.configuration.Engine;
 import nettletrail.configuration.Route;
 import nettletrail.configuration.RouteKind;
 import nettletrail.router.admission.AdmissionQueue;
 import nettletrail.router.balance.BackendChoice;
-import nettletrail.router.balance.BackendLoad;
-import nettletrail.router.balance.PromptPrefix;
-import nettletrail.router.balance.ServiceBackends;
-import nettletrail.router.stream.StallRule;
 import nettletrail.router.upstream.Attempt;
 import nettletrail.router.upstream.AttemptFailure;
-import nettletrail.router.upstream.UpstreamPool;
 import nettletrail.upstream.HeadBytes;
 
 /**
- * One try of a client from its arrival to its answer: what it waits for, where it was sent, and
- * what that proves. The decisions are {@link RequestDispatcher}'s.
+ * One request of a client from its arrival to its response: the state that the router's handlers
+ * share. The current attempt's connection calls its {@link Attempt} methods, which it passes to
+ * {@link ExchangeHandlers}. On the event loop; instants are ns of the steady clock.
  */
 final class Exchange implements Attempt, AdmissionQueue.Entry {
-  /** How far it is. */
+  /** The phases of an exchange. It may return from SENDING to QUEUED while nothing was sent. */
   enum State {
-    /** In the queue of its service. */
-    WAITING,
-    /** At a backend, or on its way to one. */
+    /** In its service's admission queue, or not yet there. */
+    QUEUED,
+    /** Uses a slot of its service. */
     SENDING,
-    /** Answered, or its client has left. */
-    OVER
+    /** Its response is written, or its client has disconnected. */
+    ENDED
   }
 
   private static final long NANOS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
 
-  final ClientConnection client;
-  final ClientRequest request;
-  final TokenCount tokens;
-  final PromptPrefix prefix;
+  private final ExchangeHandlers handlers;
+  private final ClientConnection connection;
+  private final ClientRequest request;
+  private final RequestSize size;
 
-  /** Which of a route's services it goes to; the same however often it is looked up. */
-  final double draw;
+  /** Selects one of a route's services by weight; constant, so that each resolution agrees. */
+  private final double draw;
 
-  private final AttemptSender sender;
-  private final AnswerHandler answers;
-  private final Completion completion;
-  State state = State.WAITING;
+  private final ExchangeAttempts attempts;
+  private final QuotaReservation quota = new QuotaReservation();
+  private State state = State.QUEUED;
   private Resolution resolution;
-
-  /** When it must be answered, ns; nearer only, never later, once a route is known. */
   private long deadline;
-
-  ServiceState service;
+  private ServiceState service;
   private String tenantName = "";
-  private int rank;
-  Future<?> timer;
-
-  /** Tokens of the quota that are taken; 0 if none are. */
-  long quotaTaken;
-
-  String quotaTenant;
-  boolean quotaShort;
-
-  BackendLoad backend;
-  UpstreamPool.Ticket ticket;
-
-  /** Grows with each send that is begun, so that a late return knows that it is late. */
-  int attemptNumber;
-
-  /** The send in hand is being written or has been: it may run. */
-  boolean currentSent;
-
-  /** When the send in hand was written, or its answer last gave something. */
-  private long heardAt;
+  private int priority;
+  private boolean charged;
+  private Future<?> timer;
+  private ResponseRelay relay;
 
-  private long sentAt;
-  private double workBefore;
-  private boolean prefilled;
-
-  /** An earlier send may have run. */
-  boolean mayHaveRunBefore;
-
-  /** Sends that reached a backend, or may have. */
-  int sends;
-
-  int connectFailures;
-  final List<String> tried = new ArrayList<>(2);
-  boolean confirming;
-  boolean charged;
-  AnswerRelay relay;
-
-  /** What a further backend answers in the middle of a stream, if it can't go on with it. */
-  BufferedAnswer rejected;
-
-  /** Of the service that it was sent to, or null. */
-  Engine engine;
+  /** Head of a backend's response which can't resume the client's stream; else null. */
+  private HttpResponse unusableResume;
 
+  /**
+   * @param draw from 0 to below 1
+   */
   Exchange(
-      AttemptSender sender,
-      AnswerHandler answers,
-      Completion completion,
-      ClientConnection client,
-      ClientRequest request,
-      double draw) {
-    this.sender = sender;
-    this.answers = answers;
-    this.completion = completion;
-    this.client = client;
+      ExchangeHandlers handlers, ClientConnection connection, ClientRequest request, double draw) {
+    this.handlers = handlers;
+    this.connection = connection;
     this.request = request;
     this.draw = draw;
-    tokens = request.tokenCount();
-    prefix = request.promptPrefix();
+    size = RequestSize.of(request);
+    attempts = new ExchangeAttempts(size);
   }
 
-  // ---- What it is ----
+  // ---- Client side ----
 
-  @Override
-  public String tenantName() {
-    return tenantName;
+  ClientRequest request() {
+    return request;
   }
 
-  @Override
-  public int priority() {
-    return rank;
+  /** Writes the response. */
+  ClientResponder client() {
+    return connection.responder();
   }
 
-  /** It waits for this service from now on, as the routing now says. */
-  void queuedIn(ServiceState next) {
-    service = next;
-    tenantName = resolution.tenantName();
-    rank = resolution.priority();
+  /** Whether the client is still connected; reads its socket. */
+  boolean isClientConnected() {
+    return connection.isClientConnected();
   }
 
-  /** Whether the routing still sends it where it waited, for the same tenant. */
-  boolean isForItsQueue() {
-    return resolution.service().name().equals(service.name)
-        && resolution.tenantName().equals(tenantName);
+  void clientDisconnected() {
+    handlers.completion().abandon(this);
+  }
+
+  void clientWritable(boolean writable) {
+    attempts.setReading(writable);
   }
 
+  // ---- Routing ----
+
+  double draw() {
+    return draw;
+  }
+
+  /** By the latest routing table that it was resolved with; null before the first. */
   Resolution resolution() {
     return resolution;
   }
 
   /**
-   * What the routing says of it now. A route with a shorter timeout moves the deadline nearer; one
-   * with a longer timeout leaves it, so that no further send outlasts an earlier one.
+   * Sets what the active routing table says. A shorter timeout moves the deadline; a longer one
+   * doesn't, so that no attempt outlasts an earlier one.
    */
   void resolved(Resolution latest) {
-    boolean isFirst = resolution == null;
+    boolean first = resolution == null;
     resolution = latest;
     if (latest.route() != null) {
       long ofRoute = RequestDeadline.of(latest.route(), request.headers(), request.arrivedAt());
-      deadline = isFirst || ofRoute - deadline < 0 ? ofRoute : deadline;
+      deadline = first || ofRoute - deadline < 0 ? ofRoute : deadline;
     }
   }
 
@@ -163,108 +120,117 @@
     return resolution.route();
   }
 
-  boolean isOver() {
-    return state == State.OVER;
-  }
-
-  /** Whether it may run more than once. */
+  /** Whether it may run more than once (RFC 9110, section 9.2.2). */
   boolean isIdempotent() {
     RouteKind kind = route().kind();
     return kind == RouteKind.REPEATABLE || kind == RouteKind.STREAM && route().resume();
   }
 
-  /**
-   * Whether another backend can go on where the answer stands: at its beginning, or behind an event
-   * that has an id.
-   */
-  boolean canGoOnElsewhere() {
-    return relay == null || !relay.hasBegun() || relay.resumeAfter() >= 0;
+  /** When it must be answered. */
+  long deadline() {
+    return deadline;
   }
 
-  /** Whether any backend may have run it. */
-  boolean mayHaveRun() {
-    return mayHaveRunBefore || currentSent;
+  long timeLeftMs(long now) {
+    return (deadline - now) / NANOS_PER_MS;
   }
 
-  /** When it must be answered, ns. */
-  long deadline() {
-    return deadline;
+  // ---- Admission ----
+
+  /** The tenant it was queued for; empty if there is none. */
+  @Override
+  public String tenantName() {
+    return tenantName;
   }
 
-  long timeLeftMs(long now) {
-    return (deadline() - now) / NANOS_PER_MS;
+  @Override
+  public int priority() {
+    return priority;
   }
 
-  long inputTokens() {
-    return tokens == null ? 0 : tokens.input();
+  State state() {
+    return state;
   }
 
-  BackendChoice choice() {
-    return new BackendChoice(prefix, inputTokens(), tokens == null ? 0 : tokens.sum(), tried);
+  /** It joins this service's queue, with tenant and priority of the latest resolution. */
+  void queuedIn(ServiceState next) {
+    state = State.QUEUED;
+    service = next;
+    tenantName = resolution.tenantName();
+    priority = resolution.priority();
   }
 
-  /** Tokens that it adds to what a backend has to read. */
-  long prefillTokens() {
-    return Math.max(0, inputTokens() - prefix.tokens());
+  /** It was polled from its queue and uses a slot. */
+  void polled() {
+    state = State.SENDING;
   }
 
-  /** Tokens that its answer has shown. */
-  long outputTokens() {
-    long events = relay == null ? 0 : relay.events();
-    return events * (engine == null ? 1 : engine.tokensPerEvent());
+  /** The service it is or was queued for; null before that. */
+  ServiceState service() {
+    return service;
   }
 
-  /** Whether its backend is silent for so long that it is better sent elsewhere. */
-  boolean isStalled(long now) {
-    return StallRule.isStalled(
-        now - heardAt,
-        prefilled,
-        route().gapMs(),
-        route().targetMs(),
-        inputTokens(),
-        backend.isUnresponsive(now));
+  /** Whether the latest resolution still has the service and tenant it was queued for. */
+  boolean isInRightQueue() {
+    return resolution.service().name().equals(service.name())
+        && resolution.tenantName().equals(tenantName);
   }
 
-  // ---- What it holds ----
+  /** Its reserved quota tokens. */
+  QuotaReservation quota() {
+    return quota;
+  }
 
-  void cancelTimer() {
-    if (timer != null) {
-      timer.cancel(false);
-      timer = null;
-    }
+  /** Tokens that the client states, or null. */
+  TokenCount tokens() {
+    return size.tokens();
   }
 
-  void dropRelay() {
-    if (relay != null) {
-      relay.drop();
-      relay = null;
-    }
+  long inputTokens() {
+    return size.inputTokens();
   }
 
-  // ---- What its client does ----
+  /** Marks its tenant's virtual counter as charged; returns whether it wasn't before. */
+  boolean markCharged() {
+    boolean first = !charged;
+    charged = true;
+    return first;
+  }
 
-  void clientDisconnected() {
-    completion.abandon(this);
+  boolean isCharged() {
+    return charged;
   }
 
-  void clientWritable(boolean writable) {
-    if (ticket != null) {
-      ticket.setReading(writable);
-    }
+  // ---- Attempts ----
+
+  ExchangeAttempts attempts() {
+    return attempts;
+  }
+
+  BackendChoice choice() {
+    return size.choice(attempts.tried());
+  }
+
+  /** Whether the route permits another attempt. */
+  boolean hasAttemptLeft() {
+    return attempts.sent() < route().attempts();
   }
 
-  // ---- The send in hand ----
+  boolean isStalled(long now) {
+    return attempts.isStalled(route(), now);
+  }
 
   @Override
   public boolean confirmSend() {
-    return sender.confirmSend(this);
+    return handlers.sender().confirmSend(this);
   }
 
   @Override
   public HeadBytes head() {
     long left = Math.max(1, timeLeftMs(System.nanoTime()));
     long resumeAfter = relay == null ? -1 : relay.resumeAfter();
-    return RequestHead.write(request, resolution, backend.endpoint().id(), left, resumeAfter);
+    String backendId = attempts.backend().endpoint().id();
+    return RequestHead.write(request, resolution, backendId, left, resumeAfter);
   }
 
   @Override
@@ -282,70 +248,115 @@
     return request.attemptId();
   }
 
-  /** The send in hand is written from now on. */
-  void sent(long now) {
-    workBefore = ServiceBackends.workBefore(backend, prefillTokens(), engine);
-    sentAt = now;
-    currentSent = true;
-    prefilled = false;
-    heardAt = now;
-    backend.sent(inputTokens(), prefillTokens(), tokens == null ? 0 : tokens.sum(), now);
+  @Override
+  public void failed(AttemptFailure failure) {
+    handlers.retrier().attemptFailed(this, failure);
   }
 
-  /** The prompt is read, or never will be. */
-  void notePrefilled() {
-    if (!prefilled) {
-      prefilled = true;
-      backend.prefilled(inputTokens(), prefillTokens());
-    }
-  }
+  // ---- Response ----
 
-  /**
-   * The send in hand is over.
-   *
-   * @param ran whether it may have run
-   */
-  void sendOver(boolean ran) {
-    if (currentSent) {
-      notePrefilled();
-      backend.over(tokens == null ? 0 : tokens.sum());
-      currentSent = false;
-      mayHaveRunBefore |= ran;
-    }
-    ticket = null;
+  @Override
+  public void responseStarted(HttpResponse head) {
+    attempts.backend().heard(System.nanoTime());
+    handlers.responses().started(this, head);
   }
 
   @Override
-  public void answerBegan(HttpResponse head) {
-    backend.heard(System.nanoTime());
-    answers.began(this, head);
+  public void responseContent(ByteBuf content) {
+    attempts.contentReceived(service.backends());
+    handlers.responses().content(this, content);
   }
 
   @Override
-  public void answerContent(ByteBuf content) {
-    heardAt = System.nanoTime();
-    if (!prefilled) {
-      service.backends.responseStarted(backend, workBefore, heardAt - sentAt, heardAt);
-      notePrefilled();
+  public void responseReadComplete() {
+    attempts.backend().heard(System.nanoTime());
+    if (relay != null) {
+      relay.flush();
     }
-    answers.content(this, content);
   }
 
   @Override
-  public void answerFlush() {
-    backend.heard(System.nanoTime());
+  public void responseEnded() {
+    handlers.responses().ended(this);
+  }
+
+  /** Relays the response to the client; null if there is none. */
+  ResponseRelay relay() {
+    return relay;
+  }
+
+  /** Replaces the relay; the previous one is released. */
+  void relayWith(ResponseRelay next) {
+    releaseRelay();
+    relay = next;
+  }
+
+  void releaseRelay() {
     if (relay != null) {
-      relay.flush();
+      relay.release();
+      relay = null;
     }
   }
 
-  @Override
-  public void answerEnded() {
-    answers.ended(this);
+  /** Releases the relay unless the client has received a part of the response. */
+  void releaseRelayIfNotBegun() {
+    if (relay != null && !relay.hasBegun()) {
+      releaseRelay();
+    }
   }
 
-  @Override
-  public void failed(AttemptFailure failure) {
-    sender.failed(this, failure);
+  /**
+   * Whether another backend can continue the response: from its beginning, or after an event that
+   * has an id.
+   */
+  boolean canResumeElsewhere() {
+    return relay == null || !relay.hasBegun() || relay.resumeAfter() >= 0;
+  }
+
+  /** Head of the current response if it can't resume the client's stream; else null. */
+  HttpResponse unusableResume() {
+    return unusableResume;
+  }
+
+  void setUnusableResume(HttpResponse head) {
+    unusableResume = head;
+  }
+
+  void clearUnusableResume() {
+    unusableResume = null;
+  }
+
+  /** Generated tokens in the response so far, by its events. */
+  long outputTokens() {
+    return attempts.tokensOf(relay == null ? 0 : relay.events());
+  }
+
+  // ---- End and timer ----
+
+  boolean hasEnded() {
+    return state == State.ENDED;
+  }
+
+  void end() {
+    state = State.ENDED;
+  }
+
+  /** Replaces its timer. */
+  void scheduleTimer(EventLoop loop, long at, long now, Runnable task) {
+    cancelTimer();
+    long left = Math.max(0, at - now);
+    timer = loop.schedule(() -> timerFired(task), left, TimeUnit.NANOSECONDS);
+  }
+
+  private void timerFired(Runnable task) {
+    timer = null;
+    task.run();
+  }
+
+  void cancelTimer() {
+    if (timer != null) {
+      timer.cancel(false);
+      timer = null;
+    }
   }
 }
--- /dev/null
+++ b/router/src/main/java/nettletrail/router/ExchangeCompletion.java
@@ -0,0 +1,153 @@
+package nettletrail.router;
+
+import io.netty.channel.EventLoop;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import nettletrail.router.admission.VirtualCounters;
+
+/**
+ * Ends exchanges: with a rejection, at their deadline, or because the client has disconnected; and
+ * releases what they use (quota, buffers, slot). On the event loop.
+ *
+ * <p>429 and 503 are sent only if no backend can have run the request. A request that may have run
+ * and has no response gets 502, or 504 at its deadline.
+ */
+final class ExchangeCompletion {
+  private final EventLoop loop;
+  private final QuotaEnforcer quota;
+  private final VirtualCounters counters;
+  private final SplittableRandom random;
+  private final long maxBufferedBytes;
+  private final Consumer<ServiceState> slotReleased;
+  private long bufferedBytes;
+
+  /**
+   * @param random for the jitter of Retry-After
+   * @param maxBufferedBytes limit of the bodies of all exchanges together
+   * @param slotReleased called, in a later turn of the loop, with a service that has queued
+   *     requests and a free slot
+   */
+  ExchangeCompletion(
+      EventLoop loop,
+      QuotaEnforcer quota,
+      VirtualCounters counters,
+      SplittableRandom random,
+      long maxBufferedBytes,
+      Consumer<ServiceState> slotReleased) {
+    this.loop = loop;
+    this.quota = quota;
+    this.counters = counters;
+    this.random = random;
+    this.maxBufferedBytes = maxBufferedBytes;
+    this.slotReleased = slotReleased;
+  }
+
+  /** Counts the exchange's body until its end; returns whether the limit permits it. */
+  boolean reserveBuffer(Exchange exchange) {
+    bufferedBytes += exchange.body().readableBytes();
+    return bufferedBytes <= maxBufferedBytes;
+  }
+
+  /** No backend can take it, or no other attempt is permitted. */
+  void rejectUnavailable(Exchange exchange) {
+    reject(exchange, Rejection.unavailable(RetryAfter.withJitterMs(random)));
+  }
+
+  /** This door shuts down before the deadline: the client may retry at another one at once. */
+  void rejectDraining(Exchange exchange) {
+    reject(exchange, Rejection.unavailable(0));
+  }
+
+  /** The service has no ready backend. */
+  void rejectWithoutBackends(Exchange exchange) {
+    reject(exchange, Rejection.unavailable(afterOutageMs(exchange)));
+  }
+
+  /** The tenant's quota is exhausted, or its grants are missing. */
+  void rejectOverQuota(Exchange exchange) {
+    boolean outage = quota.isStarved(exchange, System.nanoTime());
+    long retryAfterMs = outage ? afterOutageMs(exchange) : RetryAfter.withJitterMs(random);
+    reject(exchange, Rejection.overQuota(retryAfterMs));
+  }
+
+  private static long afterOutageMs(Exchange exchange) {
+    return RetryAfter.afterOutageMs(exchange.timeLeftMs(System.nanoTime()));
+  }
+
+  /** Ends it with this rejection if no backend can have run it, else with 502. */
+  void reject(Exchange exchange, Rejection rejection) {
+    respond(exchange, exchange.attempts().mayHaveRun() ? Rejection.BAD_GATEWAY : rejection);
+  }
+
+  /** Its deadline has passed. */
+  void expire(Exchange exchange) {
+    exchange.attempts().cancel();
+    respond(
+        exchange,
+        exchange.attempts().mayHaveRun()
+            ? Rejection.GATEWAY_TIMEOUT
+            : Rejection.unavailable(RetryAfter.withJitterMs(random)));
+  }
+
+  private void respond(Exchange exchange, Rejection rejection) {
+    end(exchange);
+    exchange.releaseRelay();
+    if (exchange.client().isStreaming()) {
+      exchange.client().breakStream();
+    } else {
+      exchange.client().reject(rejection);
+    }
+  }
+
+  /** Its client has disconnected. Without effect if it has ended. */
+  void abandon(Exchange exchange) {
+    if (exchange.hasEnded()) {
+      return;
+    }
+    if (exchange.state() == Exchange.State.QUEUED && exchange.service() != null) {
+      exchange.service().queue().remove(exchange);
+    } else {
+      exchange.attempts().cancel();
+    }
+    end(exchange);
+    exchange.releaseRelay();
+  }
+
+  /** Releases all that it uses except the relay. Without effect if it has ended. */
+  void end(Exchange exchange) {
+    if (exchange.hasEnded()) {
+      return;
+    }
+    boolean hadSlot = exchange.state() == Exchange.State.SENDING;
+    exchange.end();
+    exchange.cancelTimer();
+    long now = System.nanoTime();
+    if (!exchange.attempts().mayHaveRun()) {
+      quota.refund(exchange, now);
+    }
+    updateCounter(exchange, now);
+    bufferedBytes -= exchange.body().readableBytes();
+    exchange.request().release();
+    if (hadSlot) {
+      releaseSlot(exchange.service());
+    }
+  }
+
+  private void releaseSlot(ServiceState service) {
+    service.queue().releaseSlot();
+    if (service.queue().size() > 0) {
+      loop.execute(() -> slotReleased.accept(service));
+    }
+  }
+
+  private void updateCounter(Exchange exchange, long now) {
+    if (!exchange.isCharged()) {
+      return;
+    }
+    if (exchange.attempts().mayHaveRun()) {
+      counters.chargeOutput(exchange.tenantName(), exchange.outputTokens(), now);
+    } else {
+      counters.refund(exchange.tenantName(), exchange.inputTokens(), now);
+    }
+  }
+}
--- a/router/src/main/java/nettletrail/router/QuotaSource.java
+++ b/router/src/main/java/nettletrail/router/QuotaSource.java
@@ -1,26 +1,26 @@
 package nettletrail.router;
 
 /**
- * The tokens of tenants' quotas that were granted to this door. On the router's event loop; {@code
- * now} is in ns.
+ * The quota tokens that were granted to this door for each tenant. Called on the router's event
+ * loop; {@code now} is in ns of the steady clock.
  */
 public interface QuotaSource {
   /**
-   * Spends tokens, or none if the grants don't cover them all.
+   * Acquires tokens: all, or none if the grants don't cover them.
    *
-   * @return whether they were spent; always true for a tenant without a limit
+   * @return whether they were acquired; always true for a tenant without a rate limit
    */
   boolean take(String tenant, long tokens, long now);
 
-  /** Returns tokens that were taken for a request which no backend ran. */
+  /** Returns tokens that were acquired for a request which no backend ran. */
   void refund(String tenant, long tokens, long now);
 
   /**
-   * How much of the tenant's rate all doors together use, in percent; above 100 it asks for more
-   * than it has.
+   * The tenant's pressure: its use at all doors together, in per cent of its rate. Above 100 while
+   * its demand exceeds the rate.
    */
   double pressurePercent(String tenant);
 
-  /** Doors that serve requests of this tenant, this one included; at least 1. */
+  /** Number of doors that serve requests of this tenant, this one included; at least 1. */
   int doorsServing(String tenant);
 }
--- a/router/src/main/java/nettletrail/router/ReadyServer.java
+++ b/router/src/main/java/nettletrail/router/ReadinessServer.java
@@ -21,18 +21,22 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.function.BooleanSupplier;
 
-/** Answers the platform's question whether this door takes clients. */
-final class ReadyServer extends SimpleChannelInboundHandler<FullHttpRequest> {
+/** HTTP server for the platform's readiness check of this door. On the event loop. */
+final class ReadinessServer extends SimpleChannelInboundHandler<FullHttpRequest> {
   static final String PATH = "/nettletrail/ready";
-  private static final int MAX_BODY = 4_096;
+  private static final int MAX_BODY_BYTES = 4_096;
 
   private final BooleanSupplier ready;
 
-  private ReadyServer(BooleanSupplier ready) {
+  private ReadinessServer(BooleanSupplier ready) {
     this.ready = ready;
   }
 
-  /** Listens; the future is done when it does. */
+  /**
+   * Opens the listening socket. May be called from any thread.
+   *
+   * @return completes once it is bound
+   */
   static ChannelFuture listen(EventLoop loop, String host, int port, BooleanSupplier ready) {
     return new ServerBootstrap()
         .group(loop)
@@ -46,8 +50,8 @@
                     .pipeline()
                     .addLast(
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(MAX_BODY),
-                        new ReadyServer(ready));
+                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                        new ReadinessServer(ready));
               }
             })
         .bind(host, port);
@@ -61,11 +65,11 @@
           ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
     }
     boolean keepAlive = HttpUtil.isKeepAlive(request);
-    DefaultFullHttpResponse answer =
+    DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
-    answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    HttpUtil.setKeepAlive(answer, keepAlive);
-    ChannelFuture written = context.writeAndFlush(answer);
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+    HttpUtil.setKeepAlive(response, keepAlive);
+    ChannelFuture written = context.writeAndFlush(response);
     if (!keepAlive) {
       written.addListener(ChannelFutureListener.CLOSE);
     }
--- a/router/src/main/java/nettletrail/router/RequestDispatcher.java
+++ b/router/src/main/java/nettletrail/router/RequestDispatcher.java
@@ -6,32 +6,17 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
 import nettletrail.configuration.RoutingTable;
 import nettletrail.configuration.Service;
 import nettletrail.router.admission.VirtualCounters;
 import nettletrail.router.upstream.UpstreamPool;
 
 /**
- * Takes each request from its arrival through the queue of its service to its sending: looks it up,
- * has it wait for a slot, for tokens of its tenant's quota and for a backend, and refuses it soon
- * if they don't come. On one event loop.
+ * Admits each request: resolves its route, queues it until its service has a slot and its tenant
+ * has quota, then passes it to {@link AttemptSender}. Rejects it early if that takes too long. On
+ * the event loop.
  */
 final class RequestDispatcher {
-  /**
-   * The part of a request's target that it may wait here before it is refused: a refusal is worth
-   * more soon.
-   */
-  static final double MAX_WAIT_OF_TARGET = 0.22;
-
-  /**
-   * The part of its time that a request may wait for the first backend of its service after a
-   * start: these are heard of within a beat, and a late answer is worth more than none.
-   */
-  private static final double MOST_WAIT_OF_TIME_AT_START = 0.3;
-
-  private static final long STARTING_NANOS = TimeUnit.SECONDS.toNanos(3);
-
   private final EventLoop loop;
   private final ControlView control;
   private final RouterSettings settings;
@@ -40,16 +25,14 @@
   private final VirtualCounters counters = new VirtualCounters();
   private final Map<String, ServiceState> services = new HashMap<>();
   private final long startedAt = System.nanoTime();
-  private final QuotaGate quota;
-  private final Completion completion;
-  private final AttemptSender sender;
-  private final AnswerHandler answers;
-  private boolean draining;
-
-  /** Draining only: requests that come later than the one must be over by the other, ns. */
-  private long drainLateFrom;
+  private final QueueTimeout queueTimeout = new QueueTimeout(startedAt);
+  private final RouteResolver resolver;
+  private final QuotaEnforcer quota;
+  private final ExchangeHandlers handlers;
+  private final StallMonitor stallMonitor;
 
-  private long drainEnd;
+  /** Null unless the process shuts down. */
+  private DrainWindow drainWindow;
 
   RequestDispatcher(
       EventLoop loop, RouterSettings settings, ControlView control, UpstreamPool pool) {
@@ -58,192 +41,173 @@
     this.control = control;
     this.pool = pool;
     random = new SplittableRandom(settings.seed());
-    quota = new QuotaGate(control, settings.seed());
-    completion =
-        new Completion(loop, quota, counters, random, settings.maxBufferedBytes(), this::pump);
-    sender = new AttemptSender(loop, control, pool, counters, completion, this::requeue);
-    answers = new AnswerHandler(sender, completion);
-  }
-
-  Exchange exchange(ClientConnection client, ClientRequest request) {
-    return new Exchange(sender, answers, completion, client, request, random.nextDouble());
+    resolver = new RouteResolver(control);
+    quota = new QuotaEnforcer(control, settings.seed());
+    ExchangeCompletion completion =
+        new ExchangeCompletion(
+            loop, quota, counters, random, settings.maxBufferedBytes(), this::dispatchQueued);
+    Retrier retrier = new Retrier(loop, control, completion);
+    stallMonitor = new StallMonitor(loop, retrier);
+    AttemptSender sender =
+        new AttemptSender(loop, control, pool, counters, completion, stallMonitor);
+    sender.onMoved(this::requeue);
+    retrier.onRetry(sender::resend);
+    handlers =
+        new ExchangeHandlers(sender, retrier, new ResponseHandler(retrier, completion), completion);
+  }
+
+  /** Creates an exchange; draws a random number. */
+  Exchange createExchange(ClientConnection client, ClientRequest request) {
+    return new Exchange(handlers, client, request, random.nextDouble());
   }
 
   // ---- Arrival ----
 
+  /** Starts an exchange; it may end before this returns. */
   void start(Exchange exchange) {
     long now = System.nanoTime();
-    if (!completion.holds(exchange)) {
-      completion.unserved(exchange);
+    ExchangeCompletion completion = handlers.completion();
+    if (!completion.reserveBuffer(exchange)) {
+      completion.rejectUnavailable(exchange);
       return;
     }
-    sender.resolve(exchange, now);
-    if (exchange.resolution().refusal() != null) {
-      completion.refuse(exchange, exchange.resolution().refusal());
+    resolver.resolve(exchange, now);
+    if (exchange.resolution().rejection() != null) {
+      completion.reject(exchange, exchange.resolution().rejection());
       return;
     }
-    if (isTooLateForDrain(exchange)) {
-      completion.drained(exchange);
+    if (drainWindow != null && drainWindow.isTooLate(exchange)) {
+      completion.rejectDraining(exchange);
       return;
     }
     if (!quota.admits(exchange, now)) {
-      completion.withoutTokens(exchange);
+      completion.rejectOverQuota(exchange);
       return;
     }
-    await(exchange, now);
-  }
-
-  /** Whether it came so late in the drain that the end of the process could cut it. */
-  private boolean isTooLateForDrain(Exchange exchange) {
-    return draining
-        && exchange.request.arrivedAt() - drainLateFrom >= 0
-        && exchange.deadline() - drainEnd >= 0;
-  }
-
-  /** Queues it; it may be sent at once. */
-  private void await(Exchange exchange, long now) {
-    exchange.queuedIn(service(exchange.resolution().service().name()));
-    exchange.service.queue.add(exchange, now);
-    pump(exchange.service);
-    if (exchange.state == Exchange.State.WAITING) {
-      schedule(exchange, Math.min(exchange.deadline(), waitEnd(exchange)), now);
-    }
-  }
-
-  private long waitEnd(Exchange exchange) {
-    double maxMs = exchange.route().targetMs() * MAX_WAIT_OF_TARGET;
-    long usual = (long) (maxMs * TimeUnit.MILLISECONDS.toNanos(1));
-    boolean starting = exchange.request.arrivedAt() - startedAt < STARTING_NANOS;
-    if (!starting || exchange.service.backends.size() > 0) {
-      return exchange.request.arrivedAt() + usual;
+    enqueue(exchange, now);
+  }
+
+  /** Queues it; it may be sent before this returns. */
+  private void enqueue(Exchange exchange, long now) {
+    ServiceState service = service(exchange.resolution().service().name());
+    exchange.queuedIn(service);
+    service.queue().add(exchange, now);
+    dispatchQueued(service);
+    if (exchange.state() == Exchange.State.QUEUED) {
+      long until = Math.min(exchange.deadline(), queueTimeout.queuedUntil(exchange));
+      exchange.scheduleTimer(loop, until, now, () -> queueTimedOut(exchange));
     }
-    long all = exchange.deadline() - exchange.request.arrivedAt();
-    return exchange.request.arrivedAt()
-        + Math.max(usual, (long) (all * MOST_WAIT_OF_TIME_AT_START));
   }
 
-  /**
-   * The routing has moved it to another service or tenant before it was sent: it begins anew there.
-   */
+  /** A routing change has moved it to another service or tenant before it was sent. */
   private void requeue(Exchange exchange) {
     long now = System.nanoTime();
-    exchange.service.queue.releaseSlot();
+    exchange.service().queue().releaseSlot();
     quota.refund(exchange, now);
-    exchange.state = Exchange.State.WAITING;
-    await(exchange, now);
+    enqueue(exchange, now);
   }
 
   private ServiceState service(String name) {
     ServiceState state = services.get(name);
     if (state == null) {
       state = new ServiceState(name, settings, counters, startedAt);
-      state.backends.update(control.backends(name));
+      state.backends().update(control.backends(name));
       services.put(name, state);
     }
     return state;
   }
 
-  private void schedule(Exchange exchange, long at, long now) {
-    exchange.cancelTimer();
-    long left = Math.max(0, at - now);
-    exchange.timer = loop.schedule(() -> timeUp(exchange), left, TimeUnit.NANOSECONDS);
-  }
-
-  private void timeUp(Exchange exchange) {
-    exchange.timer = null;
-    if (exchange.state != Exchange.State.WAITING) {
+  private void queueTimedOut(Exchange exchange) {
+    if (exchange.state() != Exchange.State.QUEUED) {
       return;
     }
-    exchange.service.queue.remove(exchange);
-    if (exchange.service.backends.size() == 0) {
-      completion.withoutBackends(exchange);
-    } else if (exchange.quotaShort) {
-      completion.withoutTokens(exchange);
+    exchange.service().queue().remove(exchange);
+    ExchangeCompletion completion = handlers.completion();
+    if (exchange.service().backends().size() == 0) {
+      completion.rejectWithoutBackends(exchange);
+    } else if (exchange.quota().wasDenied()) {
+      completion.rejectOverQuota(exchange);
     } else {
-      completion.unserved(exchange);
+      completion.rejectUnavailable(exchange);
     }
   }
 
   // ---- The queue ----
 
-  /** Sends all that may go. */
-  private void pump(ServiceState service) {
-    if (service.queue.size() == 0) {
+  /** Sends queued requests while the service has free slots. */
+  private void dispatchQueued(ServiceState service) {
+    if (service.queue().size() == 0) {
       return;
     }
     long now = System.nanoTime();
     while (true) {
-      Exchange next = service.queue.poll(bound(service), exchange -> isEligible(exchange, now));
+      Exchange next =
+          service.queue().poll(maxInFlight(service), exchange -> isEligible(exchange, now));
       if (next == null) {
         return;
       }
-      next.state = Exchange.State.SENDING;
-      if (next.resolution().refusal() != null) {
-        completion.refuse(next, next.resolution().refusal());
-      } else if (!next.isForItsQueue()) {
+      next.polled();
+      if (next.resolution().rejection() != null) {
+        handlers.completion().reject(next, next.resolution().rejection());
+      } else if (!next.isInRightQueue()) {
         requeue(next);
       } else {
-        sender.send(next);
+        handlers.sender().send(next);
       }
     }
   }
 
   /**
-   * Requests in flight, at most; none while there is no backend. Without a bound for a service that
-   * the routing no longer has: what waits for it goes elsewhere or is refused.
+   * Limit of requests in flight; 0 while there is no routing table or no backend. Unlimited for a
+   * service that the routing table doesn't contain: its requests are moved or rejected.
    */
-  private int bound(ServiceState service) {
+  private int maxInFlight(ServiceState service) {
     RoutingTable routing = control.routing();
     if (routing == null) {
       return 0;
     }
-    Service configured = routing.service(service.name);
+    Service configured = routing.service(service.name());
     if (configured == null) {
       return Integer.MAX_VALUE;
     }
-    return service.backends.size() == 0 ? 0 : service.bound(configured, control.doorCount());
+    return service.backends().size() == 0
+        ? 0
+        : service.maxInFlight(configured, control.doorCount());
   }
 
-  /** Whether it may go, or is to be refused, now. */
+  /** Whether it may be sent, or has to be rejected, now. Acquires its quota. */
   private boolean isEligible(Exchange exchange, long now) {
-    sender.resolve(exchange, now);
-    return exchange.resolution().refusal() != null || quota.take(exchange, now);
+    resolver.resolve(exchange, now);
+    return exchange.resolution().rejection() != null || quota.acquire(exchange, now);
   }
 
-  // ---- What the control plane tells ----
+  // ---- Changes of the control plane's state ----
 
   void routingChanged() {
     quota.routingChanged();
-    new ArrayList<>(services.values()).forEach(this::pump);
+    new ArrayList<>(services.values()).forEach(this::dispatchQueued);
   }
 
   void backendsChanged(String name) {
     ServiceState service = services.get(name);
     if (service != null) {
-      service.backends.update(control.backends(name)).forEach(pool::retire);
-      pump(service);
+      service.backends().update(control.backends(name)).forEach(pool::retire);
+      dispatchQueued(service);
     }
   }
 
   void quotaGranted(Collection<String> tenants) {
     for (ServiceState service : new ArrayList<>(services.values())) {
-      if (service.queue.size() > 0 && service.queue.containsAny(tenants)) {
-        pump(service);
+      if (service.queue().size() > 0 && service.queue().containsAny(tenants)) {
+        dispatchQueued(service);
       }
     }
   }
 
-  /**
-   * The process ends soon.
-   *
-   * @param lateFrom requests that come after this are refused if they could outlast the drain, ns
-   * @param end of the drain, ns
-   */
-  void drain(long lateFrom, long end) {
-    draining = true;
-    drainLateFrom = lateFrom;
-    drainEnd = end;
-    sender.drain();
+  /** The process shuts down: requests that could outlast the window are rejected. */
+  void drain(DrainWindow window) {
+    drainWindow = window;
+    stallMonitor.stop();
   }
 
   /** To be called a few times a second. */
--- a/router/src/main/java/nettletrail/router/RequestHead.java
+++ b/router/src/main/java/nettletrail/router/RequestHead.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 import nettletrail.upstream.HeadBytes;
 
-/** Writes a request's head as a backend gets it. */
+/** Serialises the head of a request to a backend. */
 final class RequestHead {
   private static final int EXPECTED_BYTES = 640;
 
-  /** Priorities are digits, 0 the most urgent. */
-  private static final int MIN_URGENT = 9;
+  /** Priorities on the wire are one digit, 0 the most urgent. */
+  private static final int LOWEST_PRIORITY = 9;
 
   private static final byte[] SPACE = HeadBytes.constant(" ");
   private static final byte[] VERSION = HeadBytes.constant(" HTTP/1.1\r\n");
@@ -28,10 +28,12 @@
   private RequestHead() {}
 
   /**
-   * @param backendId of the incarnation that may run it
-   * @param timeLeftMs what is left of the time that it may take
-   * @param resumeAfter the event after which the backend is to go on, or -1 for what the client
-   *     said
+   * The head for one attempt.
+   *
+   * @param backendId the incarnation that may run it
+   * @param timeLeftMs until the deadline
+   * @param resumeAfter id of the event after which the backend continues; -1 to forward the
+   *     client's own header
    */
   static HeadBytes write(
       ClientRequest request,
@@ -46,7 +48,9 @@
     if (resolution.tenant() != null) {
       head.add(SENDER).add(resolution.tenantName()).add(LINE_END);
     }
-    head.add(PRIORITY).add(Math.min(MIN_URGENT, Math.max(0, resolution.priority()))).add(LINE_END);
+    head.add(PRIORITY)
+        .add(Math.min(LOWEST_PRIORITY, Math.max(0, resolution.priority())))
+        .add(LINE_END);
     head.add(TIME_LEFT).add(timeLeftMs).add(LINE_END);
     if (resumeAfter >= 0) {
       head.add(LAST_EVENT_ID).add(resumeAfter).add(LINE_END);
--- a/router/src/main/java/nettletrail/router/RequestHeaders.java
+++ b/router/src/main/java/nettletrail/router/RequestHeaders.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Names of the headers that the router reads or writes, and which of them concern one connection
- * only.
+ * Names of the headers that the router reads or writes, and whether they are hop-by-hop, end-to-end
+ * or replaced by the router.
  */
 final class RequestHeaders {
   static final AsciiString ATTEMPT_ID = AsciiString.cached("X-Attempt-Id");
@@ -48,27 +48,27 @@
   private RequestHeaders() {}
 
   /**
-   * Whether a header concerns one connection only, or the framing, which is written anew (RFC 9110
-   * section 7.6.1).
+   * Whether a header is for one connection only (RFC 9110, section 7.6.1), or describes the
+   * framing, which the router writes itself.
    */
   static boolean isHopByHop(CharSequence name) {
     return contains(HOP_BY_HOP, name);
   }
 
-  /** Whether the router drops what the client sent under this name and may put its own in place. */
+  /** Whether the router removes the client's header, and may write its own. */
   static boolean isReplaced(CharSequence name) {
     return contains(REPLACED, name);
   }
 
   /**
-   * Whether a header is for the backend whatever a Connection header lists: without it the backend
+   * Whether a header is forwarded even if a Connection header lists it: without it the backend
    * would run another request than the client's.
    */
   static boolean isEndToEnd(CharSequence name) {
     return contains(END_TO_END, name);
   }
 
-  /** The names that a message's Connection headers list, in lower case; empty for most. */
+  /** The names in a message's Connection headers, in lower case. */
   static Set<String> listedByConnection(HttpHeaders headers) {
     if (!headers.contains(HttpHeaderNames.CONNECTION)) {
       return Set.of();
--- a/router/src/main/java/nettletrail/router/Resolution.java
+++ b/router/src/main/java/nettletrail/router/Resolution.java
@@ -8,66 +8,67 @@
 import nettletrail.configuration.Tenant;
 
 /**
- * What the routing in force says of a request: its route, the service that the request goes to, and
- * the tenant that its key stands for, or why it is refused. Pure.
+ * What the active routing table says about a request: its route, service and tenant, or why it is
+ * rejected. Pure.
  *
- * @param edition of the routing
- * @param route null if refused
- * @param service null if refused
- * @param tenant null where the route needs no key and there is none that is known
- * @param refusal null if the request may be sent
+ * @param edition of the routing table; -1 if there is none
+ * @param route null if rejected
+ * @param service null if rejected
+ * @param tenant null if the route needs no key and the request has no known one
+ * @param rejection null if the request may be sent
  */
-record Resolution(long edition, Route route, Service service, Tenant tenant, Refusal refusal) {
+record Resolution(long edition, Route route, Service service, Tenant tenant, Rejection rejection) {
   /**
-   * Looks a request up.
+   * Resolves a request.
    *
-   * @param routing null if none is known
-   * @param keysConfirmed whether keys may be used now
-   * @param refusalsConfirmed whether the routing is known to be new enough to refuse for good by it
-   * @param draw from 0 to below 1: which of the route's services the request goes to by their
-   *     weights
+   * @param routing null if there is none
+   * @param keysConfirmed whether keys may be used now ({@link ControlView#keysConfirmed})
+   * @param rejectionsConfirmed whether final rejections, which clients don't retry, are permitted
+   *     ({@link ControlView#routingConfirmed})
+   * @param draw from 0 to below 1; selects one of the route's services by weight
    */
   static Resolution of(
       RoutingTable routing,
       ClientRequest request,
       boolean keysConfirmed,
-      boolean refusalsConfirmed,
+      boolean rejectionsConfirmed,
       double draw) {
     if (routing == null) {
-      return refused(-1, Refusal.controlPlaneMissing(request));
+      return rejected(-1, Rejection.controlPlaneMissing(request));
     }
     Route route = routing.match(request.host(), request.path());
     if (route == null) {
-      return refused(routing.edition(), finalRefusal(Refusal.NO_ROUTE, refusalsConfirmed, request));
+      return rejected(
+          routing.edition(), finalRejection(Rejection.NO_ROUTE, rejectionsConfirmed, request));
     }
-    boolean keyNeeded = routing.keysRequired() && !route.open();
-    if (keyNeeded && !keysConfirmed) {
-      return refused(routing.edition(), Refusal.controlPlaneMissing(request));
+    boolean keyRequired = routing.keysRequired() && !route.open();
+    if (keyRequired && !keysConfirmed) {
+      return rejected(routing.edition(), Rejection.controlPlaneMissing(request));
     }
     String key = request.key();
     Tenant tenant = key == null || !keysConfirmed ? null : routing.tenantOfKey(key);
-    if (keyNeeded && tenant == null) {
-      return refused(
-          routing.edition(), finalRefusal(Refusal.UNKNOWN_KEY, refusalsConfirmed, request));
+    if (keyRequired && tenant == null) {
+      return rejected(
+          routing.edition(), finalRejection(Rejection.UNKNOWN_KEY, rejectionsConfirmed, request));
     }
-    Service service = routing.service(drawn(route.services(), draw));
+    Service service = routing.service(selectByWeight(route.services(), draw));
     if (service == null) {
-      return refused(routing.edition(), Refusal.unavailable(0));
+      return rejected(routing.edition(), Rejection.unavailable(0));
     }
     return new Resolution(routing.edition(), route, service, tenant, null);
   }
 
-  /** A newer routing may allow what one allows not that nobody has confirmed. */
-  private static Refusal finalRefusal(
-      Refusal refusal, boolean refusalsConfirmed, ClientRequest request) {
-    return refusalsConfirmed ? refusal : Refusal.controlPlaneMissing(request);
+  /** A newer routing table may permit what an unconfirmed one rejects. */
+  private static Rejection finalRejection(
+      Rejection rejection, boolean rejectionsConfirmed, ClientRequest request) {
+    return rejectionsConfirmed ? rejection : Rejection.controlPlaneMissing(request);
   }
 
-  private static Resolution refused(long edition, Refusal refusal) {
-    return new Resolution(edition, null, null, null, refusal);
+  private static Resolution rejected(long edition, Rejection rejection) {
+    return new Resolution(edition, null, null, null, rejection);
   }
 
-  private static String drawn(List<ServiceShare> shares, double draw) {
+  private static String selectByWeight(List<ServiceShare> shares, double draw) {
     if (shares.size() == 1) {
       return shares.get(0).service();
     }
@@ -89,22 +90,22 @@
     return last;
   }
 
-  /** The priority that a request is sent with, 0 first. */
+  /** The tenant's priority if it has one, else the route's; 0 first. */
   int priority() {
-    boolean tenantHasOne = tenant != null && tenant.priority() != Tenant.NO_PRIORITY;
-    return tenantHasOne ? tenant.priority() : route.priority();
+    boolean tenantHasPriority = tenant != null && tenant.priority() != Tenant.NO_PRIORITY;
+    return tenantHasPriority ? tenant.priority() : route.priority();
   }
 
-  /** The tenant's name; "" if there is none. */
+  /** The tenant's name; empty if there is none. */
   String tenantName() {
     return tenant == null ? "" : tenant.name();
   }
 
   /**
-   * What the request takes of its tenant's quota.
+   * The request's cost in quota tokens.
    *
    * @param count as the client states it, or null
-   * @return 0 for a tenant without a limit
+   * @return 0 for a tenant without a rate limit
    */
   long quotaCost(TokenCount count) {
     if (tenant == null || tenant.ratePerSecond() <= 0) {
--- a/router/src/main/java/nettletrail/router/ResponseHead.java
+++ b/router/src/main/java/nettletrail/router/ResponseHead.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import nettletrail.upstream.HeadBytes;
 
-/** Writes an answer's head as the client gets it. */
+/** Serialises the head of a response to a client. */
 final class ResponseHead {
   private static final int EXPECTED_BYTES = 320;
   private static final byte[] VERSION = HeadBytes.constant("HTTP/1.1 ");
@@ -21,30 +21,31 @@
   private static final byte[] RETRY_AFTER = HeadBytes.constant("Retry-After: ");
   private static final double MS_PER_SECOND = 1000;
 
-  /** The body's length is told by chunks. */
+  /** For a body with the chunked transfer coding. */
   static final long LENGTH_CHUNKED = -1;
 
-  /** The backend's own length is passed on, of an answer without a body: that to HEAD. */
-  static final long LENGTH_AS_ANSWERED = -2;
+  /** For a response without a body, as to HEAD: the backend's Content-Length is forwarded. */
+  static final long LENGTH_OF_BACKEND = -2;
 
   private ResponseHead() {}
 
   /**
-   * A backend's answer.
+   * The head of a backend's response.
    *
-   * @param length of the body, or one of the constants above
+   * @param length of the body in bytes, or {@link #LENGTH_CHUNKED} or {@link #LENGTH_OF_BACKEND}
+   * @param close whether the connection closes after the response
    */
-  static HeadBytes of(HttpResponse answer, long length, boolean close) {
+  static HeadBytes of(HttpResponse response, long length, boolean close) {
     HeadBytes head = new HeadBytes(EXPECTED_BYTES);
-    head.add(VERSION).add(answer.status().code()).add(SPACE);
-    head.add(answer.status().reasonPhrase()).add(LINE_END);
-    Set<String> listed = RequestHeaders.listedByConnection(answer.headers());
-    Iterator<Map.Entry<CharSequence, CharSequence>> all = answer.headers().iteratorCharSequence();
+    head.add(VERSION).add(response.status().code()).add(SPACE);
+    head.add(response.status().reasonPhrase()).add(LINE_END);
+    Set<String> listed = RequestHeaders.listedByConnection(response.headers());
+    Iterator<Map.Entry<CharSequence, CharSequence>> all = response.headers().iteratorCharSequence();
     while (all.hasNext()) {
       Map.Entry<CharSequence, CharSequence> header = all.next();
       CharSequence name = header.getKey();
       boolean keptLength =
-          length == LENGTH_AS_ANSWERED && mayTellLength(answer) && isContentLength(name);
+          length == LENGTH_OF_BACKEND && mayHaveContentLength(response) && isContentLength(name);
       boolean dropped =
           RequestHeaders.isHopByHop(name) && !keptLength
               || !listed.isEmpty() && listed.contains(name.toString().toLowerCase(Locale.ROOT));
@@ -56,21 +57,21 @@
   }
 
   /** Not a 204: some clients would wait for a body (RFC 9110 section 8.6). */
-  private static boolean mayTellLength(HttpResponse answer) {
-    return !answer.status().equals(HttpResponseStatus.NO_CONTENT);
+  private static boolean mayHaveContentLength(HttpResponse response) {
+    return !response.status().equals(HttpResponseStatus.NO_CONTENT);
   }
 
   private static boolean isContentLength(CharSequence name) {
     return "content-length".contentEquals(name.toString().toLowerCase(Locale.ROOT));
   }
 
-  /** An answer of the router's own, without a body. */
-  static HeadBytes ofRefusal(Refusal refusal, boolean close) {
+  /** The head of the router's own response, which has no body. */
+  static HeadBytes ofRejection(Rejection rejection, boolean close) {
     HeadBytes head = new HeadBytes(EXPECTED_BYTES);
-    head.add(VERSION).add(refusal.status().code()).add(SPACE);
-    head.add(refusal.status().reasonPhrase()).add(LINE_END);
-    if (refusal.retryAfterMs() > 0) {
-      String seconds = Double.toString(refusal.retryAfterMs() / MS_PER_SECOND);
+    head.add(VERSION).add(rejection.status().code()).add(SPACE);
+    head.add(rejection.status().reasonPhrase()).add(LINE_END);
+    if (rejection.retryAfterMs() > 0) {
+      String seconds = Double.toString(rejection.retryAfterMs() / MS_PER_SECOND);
       head.add(RETRY_AFTER).add(seconds).add(LINE_END);
     }
     return end(head, 0, close);
--- a/router/src/main/java/nettletrail/router/AnswerRules.java
+++ b/router/src/main/java/nettletrail/router/ResponseValidator.java
@@ -4,12 +4,12 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 
-/** What a backend's answer proves, and whether it may be passed on. Pure. */
-final class AnswerRules {
-  private AnswerRules() {}
+/** What the head of a backend's response proves, and whether it may be forwarded. Pure. */
+final class ResponseValidator {
+  private ResponseValidator() {}
 
   /**
-   * Whether a success is the backend's own, and to this request.
+   * Whether a success was written by the backend itself, for this request.
    *
    * @param attemptId of the request, or null if it has none
    */
@@ -18,26 +18,26 @@
         && (attemptId == null || attemptId.equals(head.headers().get(RequestHeaders.ATTEMPT_ID)));
   }
 
-  /** Whether the backend says that it has not run the request and never will. */
-  static boolean isNotRun(HttpResponse head) {
+  /** Whether the backend states that it has not run the request and never will. */
+  static boolean provesNotRun(HttpResponse head) {
     return head.status().codeClass() != HttpStatusClass.SUCCESS
         && (head.headers().contains(RequestHeaders.NOT_RUN)
             || head.status().equals(HttpResponseStatus.MISDIRECTED_REQUEST));
   }
 
   /**
-   * Whether an answer of a backend that ran the request may reach the client. A success needs its
-   * seal and the request's id. A status that promises that the request has not run would be a lie,
-   * unless the backend itself has sealed it.
+   * Whether the response of a backend that ran the request may be forwarded. A success needs the
+   * backend's seal and the request's id. A status that means "not run" would be wrong, unless the
+   * backend itself has sealed it.
    */
-  static boolean mayPass(HttpResponse head, String attemptId) {
+  static boolean mayForward(HttpResponse head, String attemptId) {
     if (head.status().codeClass() == HttpStatusClass.SUCCESS) {
       return isGenuine(head, attemptId);
     }
-    return !isPromise(head.status()) || head.headers().contains(RequestHeaders.SEAL);
+    return !meansNotRun(head.status()) || head.headers().contains(RequestHeaders.SEAL);
   }
 
-  private static boolean isPromise(HttpResponseStatus status) {
+  private static boolean meansNotRun(HttpResponseStatus status) {
     return status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
         || status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
         || status.equals(HttpResponseStatus.REQUEST_TIMEOUT);
--- a/router/src/main/java/nettletrail/router/ResponseWriter.java
+++ b/router/src/main/java/nettletrail/router/ResponseWriter.java
@@ -11,8 +11,8 @@
 import nettletrail.upstream.HeadBytes;
 
 /**
- * Writes answers to one client's connection: whole ones, or such whose body comes in parts. An
- * answer that is the last one ends the connection in a way that lets the client read it. On the
+ * Writes responses to one client connection: complete ones, or streams in chunks. After the last
+ * response the connection is closed by a lingering close, so that the client can read it. On the
  * event loop.
  */
 final class ResponseWriter {
@@ -20,117 +20,116 @@
 
   private final Channel channel;
 
-  /** From where on there are only bytes. */
-  private final ChannelHandlerContext wire;
+  /** The decoder's context: bytes written from here pass no HTTP handler. */
+  private final ChannelHandlerContext byteContext;
 
   private final ChunkWriter chunks = new ChunkWriter();
   private boolean streaming;
-  private boolean lastAfterStream;
+  private boolean closeAfterStream;
 
-  /**
-   * Bytes of answers that the client had not taken when that was last asked, and since when it has
-   * taken none of them.
-   */
-  private long unwrittenBefore;
+  /** Unwritten bytes at the latest {@link #isStalled}, and since when their number is the same. */
+  private long lastUnwritten;
 
-  private long unwrittenSince;
+  private long lastUnwrittenSince;
 
-  ResponseWriter(ChannelHandlerContext wire) {
-    this.wire = wire;
-    channel = wire.channel();
+  ResponseWriter(ChannelHandlerContext byteContext) {
+    this.byteContext = byteContext;
+    channel = byteContext.channel();
   }
 
   /**
-   * Writes a whole answer.
+   * Writes a complete response.
    *
    * @param body not released here
-   * @param last whether the connection ends with it
+   * @param last whether the connection closes after it
    */
   void write(HeadBytes head, ByteBuf body, boolean last) {
     if (last) {
       Farewell.stopReading(channel.pipeline());
-      head.writeTo(wire, body, channel.newPromise())
+      head.writeTo(byteContext, body, channel.newPromise())
           .addListener(written -> Farewell.end((SocketChannel) channel));
     } else {
-      head.writeTo(wire, body, channel.voidPromise());
+      head.writeTo(byteContext, body, channel.voidPromise());
     }
   }
 
-  /** Whether an answer has begun whose body comes in parts. */
+  /** Whether a streamed response has begun and not ended. */
   boolean isStreaming() {
     return streaming;
   }
 
-  /** Begins such an answer. */
-  void beginStream(HttpResponse answer, boolean last) {
+  /** Writes the head of a streamed response. */
+  void beginStream(HttpResponse response, boolean last) {
     streaming = true;
-    lastAfterStream = last;
-    ResponseHead.of(answer, ResponseHead.LENGTH_CHUNKED, last)
-        .writeTo(wire, Unpooled.EMPTY_BUFFER, channel.voidPromise());
+    closeAfterStream = last;
+    ResponseHead.of(response, ResponseHead.LENGTH_CHUNKED, last)
+        .writeTo(byteContext, Unpooled.EMPTY_BUFFER, channel.voidPromise());
   }
 
   /**
-   * Adds bytes to the body; they go out with {@link #flushStream}. The source's indices are not
-   * moved.
+   * Adds bytes to the body; they are sent with {@link #flushStream}. The source's indices don't
+   * change.
    */
-  void streamBytes(ByteBuf source, int from, int length) {
+  void addToStream(ByteBuf source, int from, int length) {
     if (channel.isActive()) {
       chunks.add(channel.alloc(), source, from, length);
     }
   }
 
-  /** Sends what was added. */
+  /** Sends the added bytes as one chunk. */
   void flushStream() {
-    ByteBuf chunk = chunks.take();
+    ByteBuf chunk = chunks.poll();
     if (chunk != null) {
-      wire.writeAndFlush(chunk, channel.voidPromise());
+      byteContext.writeAndFlush(chunk, channel.voidPromise());
     }
   }
 
   /**
-   * The streamed answer is whole.
+   * Completes the streamed response.
    *
-   * @return whether the connection ends with it
+   * @return whether the connection closes after it
    */
   boolean endStream() {
     flushStream();
     streaming = false;
     ByteBuf end = Unpooled.wrappedBuffer(LAST_CHUNK);
-    if (!lastAfterStream) {
-      wire.writeAndFlush(end, channel.voidPromise());
+    if (!closeAfterStream) {
+      byteContext.writeAndFlush(end, channel.voidPromise());
       return false;
     }
     Farewell.stopReading(channel.pipeline());
-    wire.writeAndFlush(end, channel.newPromise())
+    byteContext
+        .writeAndFlush(end, channel.newPromise())
         .addListener(written -> Farewell.end((SocketChannel) channel));
     return true;
   }
 
-  /** The streamed answer will not be whole: the connection ends without its last chunk. */
+  /** Ends the streamed response without its last chunk, and closes the connection. */
   void breakStream() {
     flushStream();
     streaming = false;
-    wire.writeAndFlush(Unpooled.EMPTY_BUFFER, channel.newPromise())
+    byteContext
+        .writeAndFlush(Unpooled.EMPTY_BUFFER, channel.newPromise())
         .addListener(written -> channel.close());
   }
 
-  /** Bytes of answers that the kernel has not taken yet. */
+  /** Bytes of responses that the kernel has not accepted. */
   long unwritten() {
     ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
     return out == null ? 0 : out.totalPendingWriteBytes();
   }
 
-  /** Whether the client has taken nothing of its answers for so long. */
-  boolean isStuck(long now, long maxNanos) {
-    long left = unwritten();
-    if (left == 0 || left != unwrittenBefore) {
-      unwrittenBefore = left;
-      unwrittenSince = now;
+  /** Whether the kernel has accepted none of the unwritten bytes for a time. */
+  boolean isStalled(long now, long timeoutNanos) {
+    long unwritten = unwritten();
+    if (unwritten == 0 || unwritten != lastUnwritten) {
+      lastUnwritten = unwritten;
+      lastUnwrittenSince = now;
     }
-    return left > 0 && now - unwrittenSince > maxNanos;
+    return unwritten > 0 && now - lastUnwrittenSince > timeoutNanos;
   }
 
-  /** Frees what was added and not sent. */
+  /** Releases the bytes that were added and not sent. */
   void drop() {
     chunks.drop();
   }
--- a/router/src/main/java/nettletrail/router/RetryAfter.java
+++ b/router/src/main/java/nettletrail/router/RetryAfter.java
@@ -2,13 +2,13 @@
 
 import java.util.SplittableRandom;
 
-/** When a client that is refused may come again, in ms. */
+/** Values of Retry-After for rejected clients, in ms. */
 final class RetryAfter {
   private static final long MIN_MS = 250;
-  private static final int SPREAD_MS = 250;
+  private static final int JITTER_MS = 250;
 
-  /** Clients wait no longer than that part of the time that they have left. */
-  private static final long MAX_PART_OF_TIME_LEFT = 3;
+  /** Clients wait at most this fraction of their time left: one divided by it. */
+  private static final long TIME_LEFT_DIVISOR = 3;
 
   private static final long MAX_MS = 2_500;
   private static final long DEFAULT_OUTAGE_MS = 500;
@@ -16,23 +16,23 @@
   private RetryAfter() {}
 
   /**
-   * Where it is only full: soon, and spread, so that clients that were refused together don't come
-   * back together.
+   * After an overload: short, with jitter, so that clients which were rejected together don't retry
+   * together.
    */
-  static long whenFullMs(SplittableRandom random) {
-    return MIN_MS + random.nextInt(SPREAD_MS);
+  static long withJitterMs(SplittableRandom random) {
+    return MIN_MS + random.nextInt(JITTER_MS);
   }
 
   /**
-   * Where it is the control plane or all backends that are missing: those take a second or so to
-   * come back, and most clients come again but once. So it is as late as a client will wait.
+   * While the control plane or all backends are missing: their recovery takes about a second and
+   * most clients retry only once, so it is as late as a client will wait.
    *
-   * @param timeLeftMs of the client; negative if it does not say
+   * @param timeLeftMs of the client; negative if it doesn't state it
    */
   static long afterOutageMs(long timeLeftMs) {
     if (timeLeftMs < 0) {
       return DEFAULT_OUTAGE_MS;
     }
-    return Math.max(MIN_MS, Math.min(MAX_MS, timeLeftMs / MAX_PART_OF_TIME_LEFT));
+    return Math.max(MIN_MS, Math.min(MAX_MS, timeLeftMs / TIME_LEFT_DIVISOR));
   }
 }
--- a/router/src/main/java/nettletrail/router/Router.java
+++ b/router/src/main/java/nettletrail/router/Router.java
@@ -21,25 +21,16 @@
 import nettletrail.router.upstream.UpstreamPool;
 
 /**
- * The data plane of a door: takes requests from clients and passes them to backends, as the {@link
- * ControlView} says. All of it runs on one event loop; every method is to be called there unless it
- * says otherwise.
+ * The data plane of a door: accepts requests from clients and forwards them to backends, by the
+ * state in {@link ControlView}. All of it runs on one event loop; every method is to be called
+ * there unless it says otherwise.
  */
 public final class Router {
   private static final long TICK_MS = 250;
   private static final int BACKLOG = 1_024;
 
-  /**
-   * For how long a draining door waits for requests on connections that stand idle before it closes
-   * them.
-   */
-  private static final long DRAIN_IDLE_MS = 2_500;
-
   private static final long DRAIN_CHECK_MS = 100;
 
-  /** Before the process is killed: what is still open then is left to its fate. */
-  private static final long DRAIN_MARGIN_MS = 300;
-
   private final EventLoop loop;
   private final ControlView control;
   private final RequestDispatcher dispatcher;
@@ -47,16 +38,13 @@
   private final int maxClients;
   private final Owner owner = new Owner();
   private Channel listener;
-  private boolean draining;
-
-  /** Draining only: from when on idle connections are closed, and when the rest is cut, ns. */
-  private long idleClosedFrom;
 
-  private long drainEnd;
+  /** Null unless the process shuts down. */
+  private DrainWindow drainWindow;
 
   /**
    * @param loop on which everything runs
-   * @param control what the control plane has told
+   * @param control the control plane's state at this door
    */
   public Router(EventLoop loop, RouterSettings settings, ControlView control) {
     this.loop = loop;
@@ -67,7 +55,11 @@
     dispatcher = new RequestDispatcher(loop, settings, control, pool);
   }
 
-  /** Listens for clients; the future is done when it does. May be called from any thread. */
+  /**
+   * Opens the listening socket for clients. May be called from any thread.
+   *
+   * @return completes once it is bound
+   */
   public ChannelFuture listen(String host, int port) {
     ChannelFuture bound =
         new ServerBootstrap()
@@ -80,7 +72,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel client) {
-                    ClientConnection.add(client.pipeline(), owner, limits());
+                    ClientConnection.addTo(client.pipeline(), owner, limits());
                   }
                 })
             .bind(host, port);
@@ -91,50 +83,53 @@
   }
 
   /**
-   * Answers {@code GET /nettletrail/ready} on another address: 200 if {@link #ready}. May be called
-   * from any thread.
+   * Serves the readiness check, {@code GET /nettletrail/ready}, on another address: 200 if {@link
+   * #ready}, else 503. May be called from any thread.
+   *
+   * @return completes once the address is bound
    */
   public ChannelFuture listenForProbes(String host, int port) {
-    return ReadyServer.listen(loop, host, port, this::ready);
+    return ReadinessServer.listen(loop, host, port, this::ready);
   }
 
-  /** Whether clients should be sent here. */
+  /** Whether this door accepts new clients: the result of its readiness check. */
   public boolean ready() {
     RoutingTable routing = control.routing();
     long now = System.nanoTime();
-    if (listener == null || draining || routing == null || !control.routingIsCurrent(now)) {
+    if (listener == null || isDraining() || routing == null || !control.routingIsCurrent(now)) {
       return false;
     }
     return !routing.keysRequired() || control.keysConfirmed(now);
   }
 
   /**
-   * Ends the router without losing a request that was read: it calls itself unready, goes on to
-   * accept and serve, tells clients to close, and after some seconds closes what is idle and takes
-   * only requests whose deadline comes before the end.
+   * Shuts down gracefully, without losing a request that was read: the readiness check fails,
+   * responses carry {@code Connection: close}, and after some seconds idle connections are closed
+   * and requests whose deadline is after the end are rejected. Without effect if called again.
    *
    * @param graceMs until the process is killed
-   * @param done run once no connection is left, or shortly before the grace ends
+   * @param done run once no connection is left, or shortly before the grace period ends
    */
   public void drain(long graceMs, Runnable done) {
-    if (draining) {
+    if (isDraining()) {
       return;
     }
-    draining = true;
-    long begun = System.nanoTime();
-    idleClosedFrom = begun + TimeUnit.MILLISECONDS.toNanos(Math.min(DRAIN_IDLE_MS, graceMs / 2));
-    drainEnd = begun + TimeUnit.MILLISECONDS.toNanos(Math.max(0, graceMs - DRAIN_MARGIN_MS));
-    dispatcher.drain(idleClosedFrom, drainEnd);
+    drainWindow = DrainWindow.of(System.nanoTime(), graceMs);
+    dispatcher.drain(drainWindow);
     checkDrain(done);
   }
 
+  private boolean isDraining() {
+    return drainWindow != null;
+  }
+
   private void checkDrain(Runnable done) {
     long now = System.nanoTime();
-    boolean idleCloses = now - idleClosedFrom >= 0;
-    if (idleCloses) {
-      new ArrayList<>(connections).forEach(ClientConnection::closeIfIdle);
+    boolean closesIdle = drainWindow.closesIdle(now);
+    if (closesIdle) {
+      new ArrayList<>(connections).forEach(connection -> connection.timeouts().closeIfIdle());
     }
-    if (now - drainEnd >= 0 || idleCloses && connections.isEmpty()) {
+    if (drainWindow.hasEnded(now) || closesIdle && connections.isEmpty()) {
       stopListening();
       done.run();
       return;
@@ -142,7 +137,7 @@
     loop.schedule(() -> checkDrain(done), DRAIN_CHECK_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** In the turn that finds no connection: none can be accepted between that and the end. */
+  /** In the turn that finds no connection, so that none can be accepted after it. */
   private void stopListening() {
     if (listener != null) {
       listener.close();
@@ -150,34 +145,34 @@
     }
   }
 
-  /** Ends what has stood too long. Called by the router itself; harmless if called more often. */
+  /** Applies time limits. Called periodically by the router itself; more calls are harmless. */
   public void tick(long now) {
     dispatcher.tick(now);
     Limits limits = limits();
     for (ClientConnection connection : new ArrayList<>(connections)) {
-      connection.sweep(now, limits);
+      connection.timeouts().check(now, limits);
     }
   }
 
-  /** The routing in force is another one. */
+  /** The active routing table has changed. */
   public void routingChanged() {
     dispatcher.routingChanged();
   }
 
-  /** The ready backends of a service are others. */
+  /** The ready backends of a service have changed. */
   public void backendsChanged(String service) {
     dispatcher.backendsChanged(service);
   }
 
-  /** More tokens may be spent for these tenants. */
+  /** New quota was granted for these tenants. */
   public void quotaGranted(Collection<String> tenants) {
     dispatcher.quotaGranted(tenants);
   }
 
-  /** Makes room for a connection: the oldest that is idle goes. */
-  private void closeOneIdle() {
+  /** Closes the oldest idle connection in favour of a new one. */
+  private void closeOldestIdle() {
     for (ClientConnection connection : new ArrayList<>(connections)) {
-      if (connection.closeIfIdle()) {
+      if (connection.timeouts().closeIfIdle()) {
         return;
       }
     }
@@ -188,11 +183,11 @@
     return routing == null ? Limits.DEFAULT : routing.limits();
   }
 
-  /** What its connections need of it. */
+  /** The router, as its connections see it. */
   private final class Owner implements ClientConnection.Owner {
     @Override
-    public Exchange arrived(ClientConnection connection, ClientRequest request) {
-      return dispatcher.exchange(connection, request);
+    public Exchange createExchange(ClientConnection connection, ClientRequest request) {
+      return dispatcher.createExchange(connection, request);
     }
 
     @Override
@@ -202,24 +197,24 @@
 
     @Override
     public boolean isDraining() {
-      return draining;
+      return Router.this.isDraining();
     }
 
     @Override
-    public OptionalLong deadline(HttpRequest head, long since) {
+    public OptionalLong deadline(HttpRequest head, long arrivedAt) {
       RoutingTable routing = control.routing();
       String host = head.headers().get(HttpHeaderNames.HOST, "");
       Route route = routing == null ? null : routing.match(host, ClientRequest.pathOf(head.uri()));
       return route == null
           ? OptionalLong.empty()
-          : OptionalLong.of(RequestDeadline.of(route, head.headers(), since));
+          : OptionalLong.of(RequestDeadline.of(route, head.headers(), arrivedAt));
     }
 
     @Override
     public void opened(ClientConnection connection) {
       connections.add(connection);
       if (connections.size() > maxClients) {
-        closeOneIdle();
+        closeOldestIdle();
       }
     }
 
--- a/router/src/main/java/nettletrail/router/RouterSettings.java
+++ b/router/src/main/java/nettletrail/router/RouterSettings.java
@@ -1,16 +1,15 @@
 package nettletrail.router;
 
 /**
- * What the router is told at its start.
+ * Settings of the router that don't change while it runs.
  *
- * @param zone where this door stands
- * @param retryRatio further sends that all doors may make for each request to a service, from 0 to
- *     1
- * @param retrySlack further sends that all doors may make beside, in a window
- * @param retryWindowMs of these two
- * @param maxConnections sockets to clients and backends together, at most
- * @param maxBufferedBytes bytes of requests that are held at once, at most
- * @param connectTimeoutMs after which a connection to a backend that is not up has failed
+ * @param zone failure domain that this door runs in
+ * @param retryRatio retries that all doors may make for each request to a service, from 0 to 1
+ * @param retrySlack retries that all doors may make in a window in addition, 0 or more
+ * @param retryWindowMs window of the retry budget, in ms; at least 1
+ * @param maxConnections to clients and backends together; at least 2
+ * @param maxBufferedBytes of the bodies of all requests in progress; at least 1
+ * @param connectTimeoutMs for connections to backends, in ms; at least 1
  * @param seed of all random choices
  */
 public record RouterSettings(
@@ -22,13 +21,13 @@
     long maxBufferedBytes,
     int connectTimeoutMs,
     long seed) {
-  /** Many times the way there and back within a region. */
+  /** Many round trips within a region. */
   public static final int DEFAULT_CONNECT_TIMEOUT_MS = 300;
 
-  /** The window of the deployments that are known. */
+  /** The usual window of the retry budget. */
   public static final long DEFAULT_RETRY_WINDOW_MS = 10_000;
 
-  /** With the usual window of retries. */
+  /** Settings with the default window of the retry budget. */
   public RouterSettings(
       String zone,
       double retryRatio,
@@ -48,7 +47,11 @@
         seed);
   }
 
-  /** Checks the ranges. */
+  /**
+   * Checks the ranges.
+   *
+   * @throws IllegalArgumentException if a value is out of its range
+   */
   public RouterSettings {
     if (retryRatio < 0 || retryRatio > 1 || retrySlack < 0) {
       throw new IllegalArgumentException(
--- a/router/src/main/java/nettletrail/router/ServiceState.java
+++ b/router/src/main/java/nettletrail/router/ServiceState.java
@@ -7,33 +7,34 @@
 import nettletrail.router.balance.ServiceBackends;
 import nettletrail.router.retry.RetryBudget;
 
-/** All that the router keeps about one service. */
+/** The router's state of one service: queue, backends and retry budget. On the event loop. */
 final class ServiceState {
   /**
-   * Requests in flight for each slot of the service, shared out among the doors: what waits at
-   * backends is included.
+   * Requests in flight for each slot of the service, divided by the doors; includes requests that
+   * are queued at backends.
    */
   private static final double ENGINE_HEADROOM = 4;
 
   private static final double PLAIN_HEADROOM = 6;
-  private static final int MIN_BOUND = 8;
+  private static final int MIN_IN_FLIGHT = 8;
 
-  /** A door's share of a backend's connections; the rest is for doors that count too few others. */
+  /** The rest of a backend's connections is for doors whose count of the doors is outdated. */
   private static final double CONNECTION_SHARE = 0.9;
 
-  final String name;
-  final AdmissionQueue<Exchange> queue;
-  final ServiceBackends backends;
-  final RetryBudget budget;
+  private final String name;
+  private final AdmissionQueue<Exchange> queue;
+  private final ServiceBackends backends;
+  private final RetryBudget retryBudget;
 
   /**
-   * @param startedAt when the router began, ns: its retry budget grows from then on
+   * @param counters shared by the queues of all services
+   * @param startedAt when the router started, ns: its retry budget grows from then on
    */
   ServiceState(String name, RouterSettings settings, VirtualCounters counters, long startedAt) {
     this.name = name;
     queue = new AdmissionQueue<>(counters);
     backends = new ServiceBackends(settings.zone(), settings.seed() ^ name.hashCode());
-    budget =
+    retryBudget =
         new RetryBudget(
             settings.retryRatio(),
             settings.retrySlack(),
@@ -41,14 +42,34 @@
             startedAt);
   }
 
-  /** Requests in flight, at most, from this door. */
-  int bound(Service service, int doors) {
+  String name() {
+    return name;
+  }
+
+  AdmissionQueue<Exchange> queue() {
+    return queue;
+  }
+
+  ServiceBackends backends() {
+    return backends;
+  }
+
+  RetryBudget retryBudget() {
+    return retryBudget;
+  }
+
+  /**
+   * Limit of requests in flight from this door.
+   *
+   * @param doors that serve, this one included
+   */
+  int maxInFlight(Service service, int doors) {
     double headroom = service.engine() == null ? PLAIN_HEADROOM : ENGINE_HEADROOM;
-    return Math.max(MIN_BOUND, (int) Math.ceil(backends.slots() * headroom / doors));
+    return Math.max(MIN_IN_FLIGHT, (int) Math.ceil(backends.slots() * headroom / doors));
   }
 
-  /** Connections to one backend, at most, from this door. */
-  static int connectionBound(Service service, int doors) {
+  /** Limit of connections from this door to one backend. */
+  static int maxConnectionsToBackend(Service service, int doors) {
     return Math.max(1, (int) (service.connectionCap() * CONNECTION_SHARE / doors));
   }
 }
--- a/router/src/main/java/nettletrail/router/TokenCount.java
+++ b/router/src/main/java/nettletrail/router/TokenCount.java
@@ -3,13 +3,13 @@
 import nettletrail.router.text.DecimalNumber;
 
 /**
- * The size of a generation, as a client states it.
+ * Token counts of a request, as its client states them.
  *
  * @param input tokens of the prompt
- * @param output tokens that are generated, at most
+ * @param output generated tokens at most
  */
 record TokenCount(long input, long output) {
-  /** Reads {@code INPUT,OUTPUT}; null if it is absent or can't be read. */
+  /** Parses {@code INPUT,OUTPUT}; null if the header is null or malformed. */
   static TokenCount parse(String header) {
     if (header == null) {
       return null;
--- a/router/src/main/java/nettletrail/router/upstream/Attempt.java
+++ b/router/src/main/java/nettletrail/router/upstream/Attempt.java
@@ -5,42 +5,42 @@
 import nettletrail.upstream.HeadBytes;
 
 /**
- * One send of a request to one backend, as its connection sees it. All on the event loop. Ends with
- * exactly one of {@link #answerEnded}, {@link #failed} and the caller's own {@link
- * UpstreamPool.Ticket#cancel}; nothing is called after that.
+ * One attempt to send a request to one backend, as its connection sees it. All methods are called
+ * on the event loop. It ends with exactly one of {@link #responseEnded}, {@link #failed} and the
+ * caller's own {@link AttemptHandle#cancel}; no method is called after that.
  */
 public interface Attempt {
   /**
-   * Asked directly before the first byte is written, on a connection that is up.
+   * Called directly before the first byte is written, on an open connection.
    *
-   * @return false to send nothing; then nothing more is called
+   * @return false to send nothing; then no other method is called
    */
   boolean confirmSend();
 
-  /** The head to be written; asked once, after {@link #confirmSend}. */
+  /** The request's head; called once, after {@link #confirmSend}. */
   HeadBytes head();
 
-  /** The body to be written; not released by the callee. */
+  /** The request's body; not released by the connection. */
   ByteBuf body();
 
-  /** Whether the method is HEAD, so that the answer has no body. */
+  /** Whether the method is HEAD, so that the response has no body. */
   boolean isHeadRequest();
 
-  /** The id that the answer must echo, or null if the request has none. */
+  /** The id that the response must echo, or null if the request has none. */
   String attemptId();
 
-  /** The head of the final answer; it may come before the whole request is written. */
-  void answerBegan(HttpResponse head);
+  /** The head of the final response; it may precede the end of the request's write. */
+  void responseStarted(HttpResponse head);
 
-  /** A part of the body; not released by the callee. */
-  void answerContent(ByteBuf content);
+  /** Bytes of the response's body; released by the connection when this returns. */
+  void responseContent(ByteBuf content);
 
-  /** All that was decoded of one read has been told. */
-  void answerFlush();
+  /** All bytes of one read of the socket were passed on. */
+  void responseReadComplete();
 
-  /** The answer is whole. */
-  void answerEnded();
+  /** The response is complete. */
+  void responseEnded();
 
-  /** No whole answer will come. */
+  /** There will be no complete response. */
   void failed(AttemptFailure failure);
 }
--- a/router/src/main/java/nettletrail/router/upstream/AttemptFailure.java
+++ b/router/src/main/java/nettletrail/router/upstream/AttemptFailure.java
@@ -1,21 +1,21 @@
 package nettletrail.router.upstream;
 
-/** Why no whole answer came. */
+/** Why an attempt has no complete response. */
 public enum AttemptFailure {
-  /** No connection came up, or none is to be had: nothing was written. */
-  NOT_CONNECTED,
-  /** The connection broke before the kernel took the first byte of the request. */
+  /** No connection could be opened, or the limit of connections is reached: nothing was written. */
+  CONNECT_FAILED,
+  /** The connection closed before the kernel accepted the first byte of the request. */
   NOT_WRITTEN,
   /**
-   * The connection broke after the first byte of the request: it may have run, since a backend may
-   * begin before it has read the whole body.
+   * The connection closed after the first byte of the request. The request may have run, since a
+   * backend may start before it has read the complete body.
    */
-  BROKEN,
-  /** What came is no answer to this request, of which a byte may have left: it may have run. */
-  GARBLED;
+  CONNECTION_LOST,
+  /** The response is invalid or belongs to another request. The request may have run. */
+  INVALID_RESPONSE;
 
   /** Whether the backend can't have run the request. */
   public boolean provesNotRun() {
-    return this == NOT_CONNECTED || this == NOT_WRITTEN;
+    return this == CONNECT_FAILED || this == NOT_WRITTEN;
   }
 }
--- a/router/src/main/java/nettletrail/router/upstream/UpstreamConnection.java
+++ b/router/src/main/java/nettletrail/router/upstream/UpstreamConnection.java
@@ -9,102 +9,85 @@
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import nettletrail.router.upstream.BackendChannels.Ride;
 import nettletrail.upstream.AnswerDecoder;
+import nettletrail.upstream.IdleAges;
 import nettletrail.upstream.PeekingChannel;
 
-/** One connection to a backend; it carries one request at a time. */
+/**
+ * One connection to a backend, the last handler of its pipeline. Carries one request at a time. All
+ * on the event loop.
+ */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter
     implements ChannelFutureListener {
-  private static final String ATTEMPT_ID = "X-Attempt-Id";
-
-  private enum Echo {
-    OURS,
-    /** Of an earlier request on this connection. */
-    EARLIER,
-    UNPROVEN
-  }
-
-  private final BackendChannels backend;
-  private final UpstreamPool pool;
+  private final BackendConnectionPool backend;
   private final AnswerDecoder decoder = new AnswerDecoder();
-  private final WriteMonitor monitor = new WriteMonitor();
+  private final WriteMonitor writeMonitor = new WriteMonitor();
+  private final ResponseMatcher matcher = new ResponseMatcher();
+  private final ConnectionReuse reuse;
   private Channel channel;
 
-  /** From where on there are only bytes. */
-  private ChannelHandlerContext wire;
+  /** The decoder's context: bytes written from here pass no HTTP handler. */
+  private ChannelHandlerContext byteContext;
 
-  private Ride ride;
+  /** The attempt that it carries, or null. */
+  private PooledAttempt current;
 
-  /** Done when the last byte of the request is in the kernel's hands, or never will be. */
+  /** Done once the kernel has accepted the request's last byte, or the write has failed. */
   private ChannelFuture write;
 
-  private boolean used;
-  private HttpResponse head;
-  private AnswerFraming framing;
-
-  /** What is read belongs to an answer of an earlier request. */
-  private boolean skipping;
-
-  private boolean skipped;
-  private long idleSince;
-
-  /**
-   * For how long it had stood idle when its request came; -1 if that is its first, or once it is
-   * told.
-   */
-  private long idleAge = -1;
-
-  private long idleLimit = IdleLimit.DEFAULT_NANOS;
-  private boolean resting;
-  private long restEnd;
-
-  UpstreamConnection(BackendChannels backend, UpstreamPool pool) {
+  UpstreamConnection(BackendConnectionPool backend, IdleAges idleAges) {
     this.backend = backend;
-    this.pool = pool;
+    reuse = new ConnectionReuse(idleAges);
   }
 
-  void addTo(Channel opened) {
+  /** Adds its handlers to a new channel. */
+  void initChannel(Channel opened) {
     channel = opened;
-    opened.pipeline().addLast(monitor, decoder, this);
-    wire = opened.pipeline().context(decoder);
+    opened.pipeline().addLast(writeMonitor, decoder, this);
+    byteContext = opened.pipeline().context(decoder);
   }
 
-  BackendChannels backend() {
+  BackendConnectionPool backend() {
     return backend;
   }
 
+  ConnectionReuse reuse() {
+    return reuse;
+  }
+
   /**
-   * Sends a request if it still wants to be sent.
+   * Sends an attempt's request if it confirms.
    *
-   * @return whether the connection is taken
+   * @return whether the connection is in use or closed; if false, it is free
    */
-  boolean carry(Ride next) {
-    next.boarded(this);
-    ride = next;
+  boolean carry(PooledAttempt next) {
+    next.assignedTo(this);
+    current = next;
     write = null;
-    head = null;
-    if (!next.attempt.confirmSend()) {
-      boolean still = ride == next;
-      ride = null;
-      next.left();
-      if (!still || !channel.isActive()) {
-        return true; // cancelled meanwhile, and closed by that
-      }
-      return false;
+    matcher.requestStarted();
+    Attempt attempt = next.attempt();
+    if (!attempt.confirmSend()) {
+      return isClosedAfterRejection(next);
     }
-    decoder.expectAnswerTo(next.attempt.isHeadRequest());
-    idleAge = used ? System.nanoTime() - idleSince : -1;
-    monitor.beginRequest();
-    write = next.attempt.head().writeTo(wire, next.attempt.body(), channel.newProgressivePromise());
+    decoder.expectAnswerTo(attempt.isHeadRequest());
+    reuse.requestSent();
+    writeMonitor.beginRequest();
+    write = attempt.head().writeTo(byteContext, attempt.body(), channel.newProgressivePromise());
     write.addListener(this);
     return true;
   }
 
+  /** The attempt may have been cancelled while it was asked, which closes the connection. */
+  private boolean isClosedAfterRejection(PooledAttempt rejecting) {
+    boolean stillAssigned = current == rejecting;
+    current = null;
+    rejecting.detached();
+    return !stillAssigned || !channel.isActive();
+  }
+
   @Override
   public void operationComplete(ChannelFuture done) {
     if (!done.isSuccess()) {
@@ -113,8 +96,8 @@
   }
 
   /**
-   * Whether the whole request is in the kernel's hands, so that the next bytes on this connection
-   * may be another one's. Asked of the promise itself, whose listeners may hear of it later.
+   * Whether the complete request is in the kernel's hands, so that another may follow. Reads the
+   * promise itself, since its listeners may be notified later.
    */
   private boolean isWritten() {
     return write != null && write.isSuccess();
@@ -123,79 +106,50 @@
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     try {
-      if (ride == null) {
-        channel.close(); // nobody asked: the next request would get another's answer
+      if (current == null) {
+        channel.close(); // unsolicited: the next request would get another one's response
         return;
       }
       if (((HttpObject) message).decoderResult().isFailure()) {
-        garbled();
+        failInvalid();
         return;
       }
       if (message instanceof HttpResponse start) {
-        began(start);
+        readHead(start);
       }
-      if (message instanceof HttpContent content && head != null) {
-        take(content);
+      if (message instanceof HttpContent content && matcher.isInResponse()) {
+        readContent(content);
       }
     } finally {
       ReferenceCountUtil.release(message);
     }
   }
 
-  /** An answer may come before the whole request is written; what it says counts all the same. */
-  private void began(HttpResponse start) {
-    head = start;
-    framing = AnswerFraming.of(start, ride.attempt.isHeadRequest());
-    if (framing == AnswerFraming.AMBIGUOUS) {
-      garbled();
-      return;
-    }
-    if (isInformational(start)) {
-      return;
-    }
-    switch (echoOf(start)) {
-      case OURS -> ride.attempt.answerBegan(start);
-      case EARLIER -> {
-        skipping = true; // ours comes behind it
-        skipped = true;
-      }
-      case UNPROVEN -> garbled();
+  /** A response may precede the end of the request's write; it is valid all the same. */
+  private void readHead(HttpResponse start) {
+    Attempt attempt = current.attempt();
+    switch (matcher.responseStarted(start, attempt, reuse.isUsed())) {
+      case CURRENT -> attempt.responseStarted(start);
+      case INVALID -> failInvalid();
+      case SKIPPED -> {} // the final response follows
     }
   }
 
-  /**
-   * Whose answer one is, by the id that it echoes. Without an id, on a connection that was used
-   * before, it may be a late one to an earlier request.
-   */
-  private Echo echoOf(HttpResponse start) {
-    String expected = ride.attempt.attemptId();
-    String echoed = start.headers().get(ATTEMPT_ID);
-    if (expected == null || expected.equals(echoed) || echoed == null && !used) {
-      return Echo.OURS;
+  private void readContent(HttpContent content) {
+    if (!matcher.matchesContent(content)) {
+      return;
     }
-    return echoed != null && used && !skipped ? Echo.EARLIER : Echo.UNPROVEN;
-  }
-
-  private void take(HttpContent content) {
-    boolean last = content instanceof LastHttpContent;
-    if (isInformational(head)) {
-      head = last ? null : head;
-    } else if (skipping) {
-      skipping = !last;
-      head = last ? null : head;
-    } else {
-      if (content.content().isReadable()) {
-        ride.attempt.answerContent(content.content());
-      }
-      if (last && ride != null) {
-        answered();
-      }
+    if (content.content().isReadable()) {
+      current.attempt().responseContent(content.content());
+    }
+    if (content instanceof LastHttpContent && current != null) {
+      endResponse();
     }
   }
 
   /**
-   * The backend has ended its side in good order. The decoder has heard of it before: it has ended
-   * an answer that ends with its connection.
+   * The backend closed its side in order. The decoder was notified before: it has ended a response
+   * that ends with its connection.
    */
   @Override
   public void userEventTriggered(ChannelHandlerContext context, Object event) {
@@ -206,72 +160,59 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    if (ride != null) {
-      ride.attempt.answerFlush();
-    }
-  }
-
-  private void tellIdleAge(boolean broke) {
-    if (idleAge >= 0) {
-      pool.idleAges().used(idleAge, broke, System.nanoTime());
-      idleAge = -1;
+    if (current != null) {
+      current.attempt().responseReadComplete();
     }
   }
 
-  private void answered() {
-    tellIdleAge(false);
-    Ride ended = ride;
-    HttpResponse answer = head;
-    ride = null;
-    head = null;
-    ended.left();
-    used = true;
+  private void endResponse() {
+    reuse.reportIdleAge(false);
+    PooledAttempt ended = current;
+    current = null;
+    HttpResponse response = matcher.responseEnded();
+    ended.detached();
     long now = System.nanoTime();
-    idleLimit = IdleLimit.of(answer);
+    reuse.responseEnded(KeepAliveTimeout.nanosOf(response));
     channel.config().setAutoRead(true);
-    if (mayBeUsedAfter(answer) && channel.isActive()) {
-      idleSince = now;
-      backend.answered(this, now);
+    if (isReusableAfter(response) && channel.isActive()) {
+      reuse.idleFrom(now);
+      backend.responseEnded(this, now);
     } else {
       channel.close();
     }
-    ended.attempt.answerEnded();
+    ended.attempt().responseEnded();
   }
 
-  private boolean mayBeUsedAfter(HttpResponse answer) {
-    boolean bothEnded = isWritten() && !decoder.hasMore() && !skipped;
-    boolean kept = HttpUtil.isKeepAlive(answer) && framing != AnswerFraming.UNTIL_CLOSE;
-    return bothEnded && kept && idleLimit > 0;
+  private boolean isReusableAfter(HttpResponse response) {
+    boolean bothEnded = isWritten() && !decoder.hasMore() && !matcher.hasSkipped();
+    boolean keptAlive = HttpUtil.isKeepAlive(response) && !matcher.endsWithConnection();
+    return bothEnded && keptAlive && reuse.isKeptAlive();
   }
 
-  private void garbled() {
-    Ride ended = ride;
-    ride = null;
-    ended.left();
+  private void failInvalid() {
+    PooledAttempt failed = current;
+    current = null;
+    failed.detached();
     channel.close();
-    ended.attempt.failed(failureAfterWrite(AttemptFailure.GARBLED));
-  }
-
-  /** What a failure proves: nothing once a byte of the request may have left. */
-  private AttemptFailure failureAfterWrite(AttemptFailure ifBegun) {
-    return monitor.hasBegun() ? ifBegun : AttemptFailure.NOT_WRITTEN;
+    failed.attempt().failed(failureAfterWrite(AttemptFailure.INVALID_RESPONSE));
   }
 
-  private static boolean isInformational(HttpResponse answer) {
-    return answer.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+  /** Only a request of which no byte was written provably has not run. */
+  private AttemptFailure failureAfterWrite(AttemptFailure ifWritten) {
+    return writeMonitor.hasBegun() ? ifWritten : AttemptFailure.NOT_WRITTEN;
   }
 
-  /** Comes before the decoder hears of the end. */
+  /** The channel has closed; called before the decoder is notified. */
   void closed() {
-    Ride broken = ride;
-    if (broken != null && head == null && !decoder.hasMore()) {
-      tellIdleAge(true);
+    PooledAttempt lost = current;
+    if (lost != null && !matcher.isInResponse() && !decoder.hasMore()) {
+      reuse.reportIdleAge(true);
     }
-    ride = null;
+    current = null;
     backend.closed(this);
-    if (broken != null) {
-      broken.left();
-      broken.attempt.failed(failureAfterWrite(AttemptFailure.BROKEN));
+    if (lost != null) {
+      lost.detached();
+      lost.attempt().failed(failureAfterWrite(AttemptFailure.CONNECTION_LOST));
     }
   }
 
@@ -279,9 +220,9 @@
     channel.config().setAutoRead(on);
   }
 
-  /** Closes it under its request. */
+  /** Closes the connection under a cancelled attempt. */
   void abort() {
-    ride = null;
+    current = null;
     channel.close();
   }
 
@@ -298,40 +239,17 @@
     return channel != null && channel.isActive();
   }
 
-  /** Whether nothing has come on it that is not read yet, its end included; to be closed if not. */
-  boolean isQuiet() {
+  /** Whether the socket has neither unread bytes nor an unread end. */
+  boolean hasNothingUnread() {
     return channel.isActive() && (!(channel instanceof PeekingChannel socket) || socket.quiet());
   }
 
-  boolean isFresh(long now) {
-    long age = now - idleSince;
-    return age < idleLimit && (!used || age <= pool.idleAges().most(now));
-  }
-
-  void idleFrom(long now) {
-    if (!used) {
-      idleSince = now;
+  /**
+   * It waits for a request: a new connection is idle from now on, a used one since its response.
+   */
+  void becomesIdle(long now) {
+    if (!reuse.isUsed()) {
+      reuse.idleFrom(now);
     }
   }
-
-  long idleSince() {
-    return idleSince;
-  }
-
-  void restUntil(long end) {
-    resting = true;
-    restEnd = end;
-  }
-
-  void endRest() {
-    resting = false;
-  }
-
-  boolean isResting() {
-    return resting;
-  }
-
-  long restEnd() {
-    return restEnd;
-  }
 }
--- a/router/src/main/java/nettletrail/router/upstream/UpstreamPool.java
+++ b/router/src/main/java/nettletrail/router/upstream/UpstreamPool.java
@@ -3,123 +3,100 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Map;
-import java.util.concurrent.TimeUnit;
 import nettletrail.router.BackendEndpoint;
 import nettletrail.upstream.IdleAges;
 import nettletrail.upstream.PeekingChannel;
 
 /**
- * The connections of this door to all backends. Each incarnation of a backend has its own, so that
- * a request never goes to whoever uses the address next. On one event loop.
+ * The connections of this door to all backends. Each incarnation of a backend has its own pool, so
+ * that a request never reaches another process which uses the same address later. All methods are
+ * called on the event loop.
  */
 public final class UpstreamPool {
-  /**
-   * An answered connection rests so long before its next request, so that what a backend sends
-   * behind its answer shows: bytes that come after the next request was written would be taken for
-   * that one's answer.
-   */
-  static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
-
-  /** A send that was asked for. */
-  public interface Ticket {
-    /**
-     * Gives the send up: the connection, if it has one, is closed. The attempt hears nothing more.
-     */
-    void cancel();
-
-    /**
-     * Whether more of the answer is read for now.
-     *
-     * @param on false while the client does not take what was read
-     */
-    void setReading(boolean on);
-  }
-
   private final EventLoop loop;
   private final Bootstrap bootstrap;
   private final int maxConnections;
-  private final Map<String, BackendChannels> backends = new HashMap<>();
-
-  /** Connections that rest, the first to have rested first; some of them may have closed since. */
-  private final ArrayDeque<UpstreamConnection> resting = new ArrayDeque<>();
-
+  private final Map<String, BackendConnectionPool> backends = new HashMap<>();
+  private final CooldownQueue cooldowns;
   private final IdleAges idleAges = new IdleAges(System.nanoTime());
   private int connections;
 
   /**
-   * @param connectTimeoutMs after which a connection that is not up has failed
+   * @param connectTimeoutMs timeout for opening a connection, in ms
    * @param maxConnections to all backends together
    */
   public UpstreamPool(EventLoop loop, int connectTimeoutMs, int maxConnections) {
     this.loop = loop;
     this.maxConnections = maxConnections;
+    cooldowns = new CooldownQueue(loop);
     bootstrap =
         new Bootstrap()
             .group(loop)
             .channelFactory(PeekingChannel.factory())
             .option(ChannelOption.TCP_NODELAY, true)
-            // The backend's orderly end is told apart from a reset: an answer may end with it.
+            // Tells an orderly end from a reset: a response may end with the connection.
             .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
   }
 
   /**
-   * Sends a request, now or when a connection is free.
+   * Sends a request, now or when a connection is free. Methods of the attempt may be called before
+   * this returns.
    *
    * @param maxToBackend connections that this door may have to the backend
    */
-  public Ticket send(BackendEndpoint endpoint, int maxToBackend, Attempt attempt) {
+  public AttemptHandle send(BackendEndpoint endpoint, int maxToBackend, Attempt attempt) {
     long now = System.nanoTime();
-    endRests(now);
-    BackendChannels backend =
-        backends.computeIfAbsent(endpoint.id(), id -> new BackendChannels(this, endpoint));
+    cooldowns.endElapsed(now);
+    BackendConnectionPool backend =
+        backends.computeIfAbsent(endpoint.id(), id -> new BackendConnectionPool(this, endpoint));
     return backend.send(attempt, maxToBackend, now);
   }
 
-  /** Closes what is idle at this incarnation and forgets it once its last connection has closed. */
+  /** Closes the idle connections to an incarnation; the others close after their response. */
   public void retire(String backendId) {
-    BackendChannels backend = backends.get(backendId);
+    BackendConnectionPool backend = backends.get(backendId);
     if (backend != null) {
       backend.retire();
-      forgetIfUnused(backend);
+      removeIfUnused(backend);
     }
   }
 
-  /**
-   * Closes what is idle at this incarnation: its next request shows by a new connection whether it
-   * is there.
-   */
+  /** Closes the idle connections to an incarnation, so that its next request opens a new one. */
   public void closeIdle(String backendId) {
-    BackendChannels backend = backends.get(backendId);
+    BackendConnectionPool backend = backends.get(backendId);
     if (backend != null) {
       backend.closeIdle();
     }
   }
 
-  /** Ends rests and closes what was idle for too long. To be called about every second. */
+  /** Ends cooldowns and closes stale connections; to be called about once a second. */
   public void tick(long now) {
-    endRests(now);
-    for (BackendChannels backend : new ArrayList<>(backends.values())) {
+    cooldowns.endElapsed(now);
+    for (BackendConnectionPool backend : new ArrayList<>(backends.values())) {
       backend.closeStale(now);
-      forgetIfUnused(backend);
+      removeIfUnused(backend);
     }
   }
 
-  void forgetIfUnused(BackendChannels backend) {
+  void removeIfUnused(BackendConnectionPool backend) {
     if (backend.isRetired() && backend.isUnused()) {
       backends.remove(backend.id(), backend);
     }
   }
 
-  /** What breaks of reused connections have taught. */
+  /** The idle times at which reused connections turned out to be closed. */
   IdleAges idleAges() {
     return idleAges;
   }
 
+  CooldownQueue cooldowns() {
+    return cooldowns;
+  }
+
   EventLoop loop() {
     return loop;
   }
@@ -128,7 +105,11 @@
     return bootstrap.clone();
   }
 
-  /** Counts one more connection; false if there is no room for it. */
+  /**
+   * Counts a new connection; at the limit the least recently used idle one is closed for it.
+   *
+   * @return false if the limit is reached and no connection is idle
+   */
   boolean reserveConnection() {
     if (connections >= maxConnections && !closeOldestIdle()) {
       return false;
@@ -142,50 +123,13 @@
   }
 
   private boolean closeOldestIdle() {
-    BackendChannels holder = null;
-    for (BackendChannels backend : backends.values()) {
-      if (backend.idleSince() != 0
-          && (holder == null || backend.idleSince() - holder.idleSince() < 0)) {
-        holder = backend;
-      }
-    }
-    return holder != null && holder.closeOldestIdle();
-  }
-
-  /** A connection whose answer is whole rests. */
-  void rest(UpstreamConnection connection, long now) {
-    connection.restUntil(now + REST_NANOS);
-    resting.addLast(connection);
-  }
-
-  /**
-   * Some request waits for a connection that rests: the loop is woken when the first one has
-   * rested.
-   */
-  void wakeAtRestOf(BackendChannels backend, long now) {
-    for (UpstreamConnection each : resting) {
-      if (each.isResting() && each.backend() == backend) {
-        long left = Math.max(0, each.restEnd() - now);
-        loop.schedule(() -> endRests(System.nanoTime()), left, TimeUnit.NANOSECONDS);
-        return;
-      }
-    }
-  }
-
-  /** Connections that have rested are free, if nothing has come behind their answers. */
-  private void endRests(long now) {
-    for (UpstreamConnection first = resting.peekFirst();
-        first != null && first.restEnd() - now <= 0;
-        first = resting.peekFirst()) {
-      resting.pollFirst();
-      if (!first.isResting()) {
-        continue; // it has closed since
-      }
-      if (first.isQuiet()) {
-        first.backend().rested(first, now);
-      } else {
-        first.close();
+    BackendConnectionPool oldest = null;
+    for (BackendConnectionPool backend : backends.values()) {
+      if (backend.oldestIdleSince() != 0
+          && (oldest == null || backend.oldestIdleSince() - oldest.oldestIdleSince() < 0)) {
+        oldest = backend;
       }
     }
+    return oldest != null && oldest.closeOldestIdle();
   }
 }
--- a/router/src/main/java/nettletrail/router/upstream/WriteMonitor.java
+++ b/router/src/main/java/nettletrail/router/upstream/WriteMonitor.java
@@ -8,15 +8,15 @@
 import io.netty.channel.ChannelPromise;
 
 /**
- * Tells whether the kernel has taken any byte of the request that is being written on a connection.
- * It is told of each partial write on the event loop, before the write returns, so that its word
- * holds also if the next write to the same socket fails.
+ * Records whether the kernel has accepted any byte of the current request. It is notified of each
+ * partial write on the event loop before the write returns, so its state is up to date also if the
+ * next write to the same socket fails.
  */
 final class WriteMonitor extends ChannelOutboundHandlerAdapter
     implements ChannelProgressiveFutureListener {
   private boolean begun;
 
-  /** Another request is written from now on. */
+  /** Resets the state for the next request. */
   void beginRequest() {
     begun = false;
   }
@@ -26,7 +26,7 @@
     return begun;
   }
 
-  /** A void promise can't tell of partial writes, so it is replaced by one that can. */
+  /** A void promise doesn't report partial writes, so it is replaced by one that does. */
   @Override
   public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
     ChannelProgressivePromise monitored =
@@ -44,6 +44,6 @@
 
   @Override
   public void operationComplete(ChannelProgressiveFuture write) {
-    // A write that fails later has progressed before, or no byte of it has left.
+    // A failed write has reported its progress before, or none of its bytes left.
   }
 }
