--- a/router/src/main/java/nettletrail/router/AttemptSender.java
+++ b/router/src/main/java/nettletrail/router/AttemptSender.java
@@ -62,7 +62,9 @@
     int number = exchange.attempts().begin(backend, configured.engine());
     AttemptHandle handle =
         pool.send(
-            backend.endpoint(), ServiceState.maxConnectionsToBackend(configured, doors), exchange);
+            backend.endpoint(),
+            ServiceState.maxConnectionsToBackend(configured, doors),
+            exchange.attempt());
     if (exchange.attempts().isCurrent(number) && !exchange.hasEnded()) {
       exchange.attempts().setHandle(handle);
     }
--- a/router/src/main/java/nettletrail/router/ClientConnection.java
+++ b/router/src/main/java/nettletrail/router/ClientConnection.java
@@ -5,12 +5,9 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPipeline;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.util.AsciiString;
 import io.netty.util.ReferenceCountUtil;
 import nettletrail.configuration.Limits;
 import nettletrail.core.Unread;
@@ -26,16 +23,6 @@
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter
     implements ExpectContinueHandler.Connection, ClientResponder.Connection {
-  /** Headers that a request may have only once. */
-  private static final AsciiString[] SINGLE_HEADERS =
-      HeadRules.once(
-          RequestHeaders.ATTEMPT_ID,
-          RequestHeaders.KEY,
-          RequestHeaders.TIME_LEFT,
-          RequestHeaders.TOKEN_COUNT,
-          RequestHeaders.PROMPT_PREFIX,
-          RequestHeaders.LAST_EVENT_ID);
-
   /** The router, as its connections see it. */
   interface Owner extends PartialRequestTracker.DeadlineSource {
     /** Creates the exchange of a request; its response is written by {@link #responder()}. */
@@ -198,13 +185,11 @@
   }
 
   private void dispatch(FullHttpRequest request, long arrivedAt) {
-    HeadRules.Fault fault = HeadRules.fault(request, SINGLE_HEADERS);
-    boolean invalidBody = hasInvalidBody(request);
-    if (invalidBody || fault != null) {
-      closing |= invalidBody || !fault.framed();
+    ClientRequestValidator.Invalid invalid = ClientRequestValidator.validate(request);
+    if (invalid != null) {
+      closing |= invalid.closesConnection();
       request.release();
-      HttpResponseStatus status = invalidBody ? HttpResponseStatus.BAD_REQUEST : fault.status();
-      responder.reject(new Rejection(status, 0));
+      responder.reject(new Rejection(invalid.status(), 0));
       return;
     }
     String target = HeadRules.target(request.method(), request.uri());
@@ -212,15 +197,6 @@
     owner.start(current);
   }
 
-  /**
-   * The decoder removes the chunked coding; any other one leaves the end of the body unknown. A GET
-   * has no body.
-   */
-  private static boolean hasInvalidBody(FullHttpRequest request) {
-    return request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
-        || request.method().equals(HttpMethod.GET) && request.content().isReadable();
-  }
-
   @Override
   public boolean hasPendingResponses() {
     return current != null || !pipelined.isEmpty() || closing || ended;
--- a/router/src/main/java/nettletrail/router/Exchange.java
+++ b/router/src/main/java/nettletrail/router/Exchange.java
@@ -1,9 +1,6 @@
 package nettletrail.router;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.EventLoop;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import nettletrail.configuration.Route;
@@ -11,15 +8,14 @@
 import nettletrail.router.admission.AdmissionQueue;
 import nettletrail.router.balance.BackendChoice;
 import nettletrail.router.upstream.Attempt;
-import nettletrail.router.upstream.AttemptFailure;
-import nettletrail.upstream.HeadBytes;
 
 /**
  * One request of a client from its arrival to its response: the state that the router's handlers
- * share. The current attempt's connection calls its {@link Attempt} methods, which it passes to
- * {@link ExchangeHandlers}. On the event loop; instants are ns of the steady clock.
+ * share. Its parts own the state of one concern each: {@link ExchangeAttempts}, {@link
+ * ExchangeResponse}, {@link QuotaReservation}. On the event loop; instants are ns of the steady
+ * clock.
  */
-final class Exchange implements Attempt, AdmissionQueue.Entry {
+final class Exchange implements AdmissionQueue.Entry {
   /** The phases of an exchange. It may return from SENDING to QUEUED while nothing was sent. */
   enum State {
     /** In its service's admission queue, or not yet there. */
@@ -41,6 +37,8 @@
   private final double draw;
 
   private final ExchangeAttempts attempts;
+  private final ExchangeAttempt attempt;
+  private final ExchangeResponse response = new ExchangeResponse();
   private final QuotaReservation quota = new QuotaReservation();
   private State state = State.QUEUED;
   private Resolution resolution;
@@ -50,10 +48,6 @@
   private int priority;
   private boolean charged;
   private Future<?> timer;
-  private ResponseRelay relay;
-
-  /** Head of a backend's response which can't resume the client's stream; else null. */
-  private HttpResponse unusableResume;
 
   /**
    * @param draw from 0 to below 1
@@ -66,6 +60,7 @@
     this.draw = draw;
     size = RequestSize.of(request);
     attempts = new ExchangeAttempts(size);
+    attempt = new ExchangeAttempt(this, handlers);
   }
 
   // ---- Client side ----
@@ -220,115 +215,21 @@
     return attempts.isStalled(route(), now);
   }
 
-  @Override
-  public boolean confirmSend() {
-    return handlers.sender().confirmSend(this);
-  }
-
-  @Override
-  public HeadBytes head() {
-    long left = Math.max(1, timeLeftMs(System.nanoTime()));
-    long resumeAfter = relay == null ? -1 : relay.resumeAfter();
-    String backendId = attempts.backend().endpoint().id();
-    return RequestHead.write(request, resolution, backendId, left, resumeAfter);
-  }
-
-  @Override
-  public ByteBuf body() {
-    return request.body();
-  }
-
-  @Override
-  public boolean isHeadRequest() {
-    return request.method().equals(HttpMethod.HEAD);
-  }
-
-  @Override
-  public String attemptId() {
-    return request.attemptId();
-  }
-
-  @Override
-  public void failed(AttemptFailure failure) {
-    handlers.retrier().attemptFailed(this, failure);
+  /** The attempt that is passed to the connection pool. */
+  Attempt attempt() {
+    return attempt;
   }
 
   // ---- Response ----
 
-  @Override
-  public void responseStarted(HttpResponse head) {
-    attempts.backend().heard(System.nanoTime());
-    handlers.responses().started(this, head);
-  }
-
-  @Override
-  public void responseContent(ByteBuf content) {
-    attempts.contentReceived(service.backends());
-    handlers.responses().content(this, content);
-  }
-
-  @Override
-  public void responseReadComplete() {
-    attempts.backend().heard(System.nanoTime());
-    if (relay != null) {
-      relay.flush();
-    }
-  }
-
-  @Override
-  public void responseEnded() {
-    handlers.responses().ended(this);
-  }
-
-  /** Relays the response to the client; null if there is none. */
-  ResponseRelay relay() {
-    return relay;
-  }
-
-  /** Replaces the relay; the previous one is released. */
-  void relayWith(ResponseRelay next) {
-    releaseRelay();
-    relay = next;
-  }
-
-  void releaseRelay() {
-    if (relay != null) {
-      relay.release();
-      relay = null;
-    }
-  }
-
-  /** Releases the relay unless the client has received a part of the response. */
-  void releaseRelayIfNotBegun() {
-    if (relay != null && !relay.hasBegun()) {
-      releaseRelay();
-    }
-  }
-
-  /**
-   * Whether another backend can continue the response: from its beginning, or after an event that
-   * has an id.
-   */
-  boolean canResumeElsewhere() {
-    return relay == null || !relay.hasBegun() || relay.resumeAfter() >= 0;
-  }
-
-  /** Head of the current response if it can't resume the client's stream; else null. */
-  HttpResponse unusableResume() {
-    return unusableResume;
-  }
-
-  void setUnusableResume(HttpResponse head) {
-    unusableResume = head;
-  }
-
-  void clearUnusableResume() {
-    unusableResume = null;
+  /** The response while it is relayed. */
+  ExchangeResponse response() {
+    return response;
   }
 
   /** Generated tokens in the response so far, by its events. */
   long outputTokens() {
-    return attempts.tokensOf(relay == null ? 0 : relay.events());
+    return attempts.tokensOf(response.events());
   }
 
   // ---- End and timer ----
--- a/router/src/main/java/nettletrail/router/ExchangeCompletion.java
+++ b/router/src/main/java/nettletrail/router/ExchangeCompletion.java
@@ -44,7 +44,7 @@
 
   /** Counts the exchange's body until its end; returns whether the limit permits it. */
   boolean reserveBuffer(Exchange exchange) {
-    bufferedBytes += exchange.body().readableBytes();
+    bufferedBytes += exchange.request().body().readableBytes();
     return bufferedBytes <= maxBufferedBytes;
   }
 
@@ -91,7 +91,7 @@
 
   private void respond(Exchange exchange, Rejection rejection) {
     end(exchange);
-    exchange.releaseRelay();
+    exchange.response().releaseRelay();
     if (exchange.client().isStreaming()) {
       exchange.client().breakStream();
     } else {
@@ -110,7 +110,7 @@
       exchange.attempts().cancel();
     }
     end(exchange);
-    exchange.releaseRelay();
+    exchange.response().releaseRelay();
   }
 
   /** Releases all that it uses except the relay. Without effect if it has ended. */
@@ -126,7 +126,7 @@
       quota.refund(exchange, now);
     }
     updateCounter(exchange, now);
-    bufferedBytes -= exchange.body().readableBytes();
+    bufferedBytes -= exchange.request().body().readableBytes();
     exchange.request().release();
     if (hadSlot) {
       releaseSlot(exchange.service());
--- a/router/src/main/java/nettletrail/router/ResponseHandler.java
+++ b/router/src/main/java/nettletrail/router/ResponseHandler.java
@@ -24,15 +24,15 @@
 
   /** The current attempt's final response has started. */
   void started(Exchange exchange, HttpResponse head) {
-    if (exchange.relay() instanceof EventStreamResponse stream && stream.hasBegun()) {
+    if (exchange.response().relay() instanceof EventStreamResponse stream && stream.hasBegun()) {
       if (isEventStream(exchange, head)) {
         stream.resume(head);
       } else {
-        exchange.setUnusableResume(head);
+        exchange.response().setUnusableResume(head);
       }
       return;
     }
-    exchange.relayWith(createRelay(exchange, head));
+    exchange.response().relayWith(createRelay(exchange, head));
   }
 
   private static ResponseRelay createRelay(Exchange exchange, HttpResponse head) {
@@ -47,17 +47,17 @@
   private static boolean isEventStream(Exchange exchange, HttpResponse head) {
     return exchange.route().kind() == RouteKind.STREAM
         && head.status().equals(HttpResponseStatus.OK)
-        && ResponseValidator.isGenuine(head, exchange.attemptId())
+        && ResponseValidator.isGenuine(head, exchange.request().attemptId())
         && !exchange.request().isHttp10();
   }
 
   /** Bytes of the response's body. */
   void content(Exchange exchange, ByteBuf content) {
-    if (exchange.unusableResume() != null) {
+    if (exchange.response().unusableResume() != null) {
       return;
     }
-    exchange.relay().content(content);
-    if (exchange.relay() instanceof EventStreamResponse stream && stream.isInvalid()) {
+    exchange.response().relay().content(content);
+    if (exchange.response().relay() instanceof EventStreamResponse stream && stream.isInvalid()) {
       exchange.attempts().cancelConnection();
       retrier.attemptFailed(exchange, AttemptFailure.INVALID_RESPONSE);
     }
@@ -65,19 +65,19 @@
 
   /** The response is complete. */
   void ended(Exchange exchange) {
-    if (exchange.unusableResume() != null) {
+    if (exchange.response().unusableResume() != null) {
       unusableResumeEnded(exchange);
-    } else if (exchange.relay() instanceof EventStreamResponse stream) {
+    } else if (exchange.response().relay() instanceof EventStreamResponse stream) {
       streamEnded(exchange, stream);
     } else {
-      bufferedEnded(exchange, (BufferedResponse) exchange.relay());
+      bufferedEnded(exchange, (BufferedResponse) exchange.response().relay());
     }
   }
 
   /** A response that can't continue the client's stream is dropped, and the request retried. */
   private void unusableResumeEnded(Exchange exchange) {
-    boolean notRun = ResponseValidator.provesNotRun(exchange.unusableResume());
-    exchange.clearUnusableResume();
+    boolean notRun = ResponseValidator.provesNotRun(exchange.response().unusableResume());
+    exchange.response().clearUnusableResume();
     exchange.attempts().backend().succeeded(System.nanoTime());
     if (notRun) {
       exchange.attempts().endNotRun();
@@ -109,7 +109,8 @@
       return;
     }
     exchange.attempts().endMayHaveRun();
-    if (response.isTooLarge() || !ResponseValidator.mayForward(head, exchange.attemptId())) {
+    if (response.isTooLarge()
+        || !ResponseValidator.mayForward(head, exchange.request().attemptId())) {
       backend.failed(System.nanoTime());
       retrier.retryIfIdempotent(exchange);
       return;
@@ -120,7 +121,7 @@
       backend.succeeded(System.nanoTime());
     }
     completion.end(exchange);
-    ResponseFraming framing = ResponseFraming.of(head, exchange.isHeadRequest());
+    ResponseFraming framing = ResponseFraming.of(head, exchange.attempt().isHeadRequest());
     exchange.client().forward(head, response.body(), framing == ResponseFraming.NO_BODY);
     response.release();
   }
--- a/router/src/main/java/nettletrail/router/Retrier.java
+++ b/router/src/main/java/nettletrail/router/Retrier.java
@@ -31,7 +31,7 @@
   void attemptFailed(Exchange exchange, AttemptFailure failure) {
     ExchangeAttempts attempts = exchange.attempts();
     attempts.backend().failed(System.nanoTime());
-    exchange.clearUnusableResume();
+    exchange.response().clearUnusableResume();
     if (!failure.provesNotRun()) {
       attempts.endMayHaveRun();
       retryIfIdempotent(exchange);
@@ -82,13 +82,13 @@
     }
     exchange.attempts().cancelConnection();
     exchange.attempts().backend().requestAbandoned(System.nanoTime());
-    exchange.clearUnusableResume();
+    exchange.response().clearUnusableResume();
     exchange.attempts().endMayHaveRun();
     startRetry(exchange);
   }
 
   private boolean mayRetry(Exchange exchange) {
-    return exchange.canResumeElsewhere()
+    return exchange.response().canResumeElsewhere()
         && exchange.hasAttemptLeft()
         && exchange.service().retryBudget().allowsRetry(control.doorCount(), System.nanoTime())
         && exchange.service().backends().hasUntried(exchange.attempts().tried());
@@ -97,7 +97,7 @@
   /** In a later turn of the loop: the failed connection is still on the stack. */
   private void startRetry(Exchange exchange) {
     exchange.attempts().giveUpCurrent();
-    exchange.releaseRelayIfNotBegun();
+    exchange.response().releaseRelayIfNotBegun();
     loop.execute(() -> resend.accept(exchange));
   }
 }
--- a/router/src/test/java/nettletrail/router/AttemptEndTableTest.java
+++ b/router/src/test/java/nettletrail/router/AttemptEndTableTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Every way in which an attempt can end, on each kind of route, with a second backend at hand and a
- * retry budget that allows it.
+ * Every way in which an attempt can end, on each kind of route, with a second backend ready and a
+ * sufficient retry budget.
  */
 @Timeout(60)
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
@@ -31,8 +31,8 @@
   private static final int SHORT_BODY_BYTES = 1_000;
   private static final int PART_BYTES = 20_000;
 
-  /** Directly before the first byte, after those at its arrival and in the queue. */
-  private static final int LAST_LOOK = 3;
+  /** The one directly before the first byte; the others are on arrival and in the queue. */
+  private static final int LAST_RESOLUTION = 3;
 
   /** A kind of route, by its path in the fixture's configuration. */
   private enum Kind {
@@ -54,7 +54,7 @@
   private RouterFixture fixture;
   private int cases;
 
-  /** Each part of it stands at one place only. */
+  /** No substring of it occurs twice, so that a part of it identifies its position. */
   private static String longBody() {
     StringBuilder text = new StringBuilder();
     for (int i = 0; text.length() < LONG_BODY_BYTES; i++) {
@@ -63,7 +63,7 @@
     return text.substring(0, LONG_BODY_BYTES);
   }
 
-  /** Only a long one is on its way still when the backend acts. */
+  /** Only a long body is still being sent when the backend acts. */
   private String bodyFor(AttemptEnd end) {
     return end.moment == Moment.READ ? longBody.substring(0, SHORT_BODY_BYTES) : longBody;
   }
@@ -91,7 +91,8 @@
 
   @ParameterizedTest(name = "{0} on {1}")
   @MethodSource("table")
-  void theClientGetsWhatTheEndProves(AttemptEnd end, Kind kind) throws Exception {
+  void theClientsResponseFollowsFromWhatTheAttemptProves(AttemptEnd end, Kind kind)
+      throws Exception {
     cases++;
     try (RawBackend first = new RawBackend("first-" + cases);
         ScriptedBackend second = new ScriptedBackend("second-" + cases);
@@ -101,18 +102,18 @@
           end.moment == Moment.BEFORE_WRITE
               ? endBeforeWrite(end, kind, first, second, client)
               : endAfterWrite(end, kind, first, second, client);
-      boolean again =
+      boolean retry =
           end.outcome == Outcome.NOT_RUN || end.outcome == Outcome.MAY_HAVE_RUN && kind.idempotent;
-      if (again) {
-        ScriptedBackend.Received request = second.take();
+      if (retry) {
+        ScriptedBackend.Received request = second.nextRequest();
         assertEquals(bodyFor(end), request.body);
-        request.answer("200 OK", "second");
+        request.respond("200 OK", "second");
       }
-      TestClient.Answer answer = client.read();
-      assertEquals(again ? 200 : statusOf(end.outcome), answer.status());
-      assertEquals(again ? "second" : bodyOf(end.outcome), answer.body());
-      assertTrue(answer.complete());
-      assertEquals(0, second.untaken());
+      TestClient.Response response = client.read();
+      assertEquals(retry ? 200 : statusOf(end.outcome), response.status());
+      assertEquals(retry ? "second" : bodyOf(end.outcome), response.body());
+      assertTrue(response.complete());
+      assertEquals(0, second.pendingRequests());
       assertOnlyTheBodyWasSent(end, connection);
     }
   }
@@ -123,26 +124,26 @@
     client.post(kind.path, AttemptEnd.ID, bodyFor(end), KEY);
     RawBackend.Connection connection = first.accept();
     connection.readHead();
-    if (end.moment == Moment.PART_READ) {
+    if (end.moment == Moment.BODY_PARTLY_READ) {
       assertEquals(longBody.substring(0, PART_BYTES), connection.read(PART_BYTES));
     } else if (end.moment == Moment.READ) {
       assertEquals(bodyFor(end), connection.read(SHORT_BODY_BYTES));
     }
     fixture.backends("s", List.of(first.endpoint(), second.endpoint()));
-    end.act.on(connection);
+    end.action.on(connection);
     return connection;
   }
 
-  /** The backend ends the connection while the router makes sure that it may write. */
+  /** The backend resets the connection while the router confirms that it may write. */
   private RawBackend.Connection endBeforeWrite(
       AttemptEnd end, Kind kind, RawBackend first, ScriptedBackend second, TestClient client)
       throws Exception {
-    AtomicInteger looks = new AtomicInteger();
+    AtomicInteger resolutions = new AtomicInteger();
     fixture.onLoop(
         () -> {
-          fixture.control.onKeysAsked =
+          fixture.control.onKeysConfirmedRead =
               () -> {
-                if (looks.incrementAndGet() == LAST_LOOK) {
+                if (resolutions.incrementAndGet() == LAST_RESOLUTION) {
                   resetOnce(end, first, second);
                 }
               };
@@ -153,9 +154,9 @@
   }
 
   private void resetOnce(AttemptEnd end, RawBackend first, ScriptedBackend second) {
-    fixture.control.onKeysAsked = () -> {};
+    fixture.control.onKeysConfirmedRead = () -> {};
     try {
-      end.act.on(first.accept());
+      end.action.on(first.accept());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -163,10 +164,10 @@
     fixture.router.backendsChanged("s");
   }
 
-  /** Where the rest of a body is due, a backend gets that or nothing. */
+  /** After an incomplete body a backend receives the rest of it or nothing. */
   private void assertOnlyTheBodyWasSent(AttemptEnd end, RawBackend.Connection connection)
       throws Exception {
-    if (end.moment == Moment.EARLY || end.moment == Moment.PART_READ) {
+    if (end.moment == Moment.EARLY || end.moment == Moment.BODY_PARTLY_READ) {
       int from = end.moment == Moment.EARLY ? 0 : PART_BYTES;
       String rest = connection.readToEnd();
       assertTrue(longBody.startsWith(rest, from), () -> rest.length() + " other bytes");
@@ -175,8 +176,8 @@
 
   private static int statusOf(Outcome outcome) {
     return switch (outcome) {
-      case ANSWERED_200 -> 200;
-      case ANSWERED_500 -> 500;
+      case RESPONDED_200 -> 200;
+      case RESPONDED_500 -> 500;
       case MAY_HAVE_RUN -> 502;
       case NOT_RUN -> 503;
     };
@@ -184,7 +185,7 @@
 
   private static String bodyOf(Outcome outcome) {
     return switch (outcome) {
-      case ANSWERED_200, ANSWERED_500 -> AttemptEnd.OWN_BODY;
+      case RESPONDED_200, RESPONDED_500 -> AttemptEnd.OWN_BODY;
       case MAY_HAVE_RUN, NOT_RUN -> "";
     };
   }
--- a/router/src/test/java/nettletrail/router/EarlyAnswerTest.java
+++ b/router/src/test/java/nettletrail/router/EarlyResponseTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A backend that answers before it has read the body and reads on later. */
+/** A backend that responds before it has read the body, and continues to read later. */
 @Timeout(60)
-class EarlyAnswerTest {
+class EarlyResponseTest {
   private static final String KEY = RouterFixture.KEY;
   private static final int LONG_BODY_BYTES = 4_100_000;
   private static final int SHORT_BODY_BYTES = 20_000;
@@ -33,7 +33,7 @@
     fixture.close();
   }
 
-  private static String answer(String id, String body) {
+  private static String response(String id, String body) {
     return "HTTP/1.1 200 OK\r\nX-Backend-Seal: s\r\nX-Attempt-Id: "
         + id
         + "\r\nContent-Length: "
@@ -43,40 +43,40 @@
   }
 
   @Test
-  void whereTheRestOfABodyIsDueNoOtherBytesCome() throws Exception {
+  void noOtherBytesFollowAnIncompleteBody() throws Exception {
     String body = "b".repeat(LONG_BODY_BYTES);
     client.post("/once/x", "id-1", body, KEY);
     RawBackend.Connection first = backend.accept();
     first.readHead();
-    first.write(answer("id-1", "one"));
+    first.write(response("id-1", "one"));
     assertEquals("one", client.read().body());
     client.post("/once/x", "id-2", "next", KEY);
     RawBackend.Connection second = backend.accept();
     assertTrue(second.readHead().contains("X-Attempt-Id: id-2\r\n"));
     assertEquals("next", second.read("next".length()));
-    second.write(answer("id-2", "two"));
+    second.write(response("id-2", "two"));
     assertEquals("two", client.read().body());
     assertTrue(body.startsWith(first.readToEnd()));
   }
 
   @Test
-  void aConnectionWhoseWholeBodyIsOnItsWayMayBeUsedAgainBehindIt() throws Exception {
+  void aConnectionIsReusableOnceTheCompleteBodyIsWritten() throws Exception {
     String body = "b".repeat(SHORT_BODY_BYTES);
     client.post("/once/x", "id-1", body, KEY);
     RawBackend.Connection connection = backend.accept();
     connection.readHead();
-    connection.write(answer("id-1", "one"));
+    connection.write(response("id-1", "one"));
     assertEquals("one", client.read().body());
     client.post("/once/x", "id-2", "next", KEY);
     assertEquals(body, connection.read(SHORT_BODY_BYTES));
     assertTrue(connection.readHead().contains("X-Attempt-Id: id-2\r\n"));
     assertEquals("next", connection.read("next".length()));
-    connection.write(answer("id-2", "two"));
+    connection.write(response("id-2", "two"));
     assertEquals("two", client.read().body());
   }
 
   @Test
-  void theBodyIsSentToItsEndWhileAnEarlyStreamIsPassedOn() throws Exception {
+  void theBodyIsSentCompletelyWhileAnEarlyStreamIsRelayed() throws Exception {
     String body = "b".repeat(LONG_BODY_BYTES);
     client.post("/stream/x", "id-1", body, KEY);
     RawBackend.Connection connection = backend.accept();
--- a/router/src/test/java/nettletrail/router/IdleConnectionTest.java
+++ b/router/src/test/java/nettletrail/router/IdleConnectionTest.java
@@ -12,22 +12,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Idle connections to a backend on which something comes while the router can't read it yet. */
+/** Idle connections to a backend with input that the router's event loop has not read yet. */
 @Timeout(30)
 class IdleConnectionTest {
   private static final String KEY = RouterFixture.KEY;
 
-  /** The second look at a request, directly before a connection is taken for it. */
-  private static final int LOOK_IN_THE_QUEUE = 2;
+  /** The second resolution of a request, directly before it is assigned a connection. */
+  private static final int RESOLUTION_IN_THE_QUEUE = 2;
 
-  /** Longer than a connection rests between two requests. */
-  private static final long REST_MS = 15;
+  /** Longer than a connection's cooldown between two requests. */
+  private static final long COOLDOWN_MS = 15;
 
   /** What the backend does on its idle connection. */
   private enum Event {
     END(r -> r.finish()),
     RESET(r -> r.reset()),
-    SURPLUS_ANSWER(
+    SURPLUS_RESPONSE(
         r ->
             r.write(
                 "HTTP/1.1 200 OK\r\nX-Backend-Seal: s\r\nX-Attempt-Id: id-2\r\n"
@@ -38,14 +38,14 @@
                 "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nX-Attempt-Id: id-2\r\n"
                     + "Content-Length: 0\r\n\r\n"));
 
-    private final Act act;
+    private final Action action;
 
-    Event(Act act) {
-      this.act = act;
+    Event(Action action) {
+      this.action = action;
     }
   }
 
-  private interface Act {
+  private interface Action {
     void on(ScriptedBackend.Received earlier) throws IOException;
   }
 
@@ -63,41 +63,41 @@
 
   @ParameterizedTest
   @EnumSource(Event.class)
-  void aConnectionOnWhichSomethingLiesUnreadIsNotUsed(Event event) throws Exception {
+  void anIdleConnectionWithUnreadInputIsNotReused(Event event) throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received first = backend.take();
-    first.answer("200 OK", "one");
+    ScriptedBackend.Received first = backend.nextRequest();
+    first.respond("200 OK", "one");
     assertEquals("one", client.read().body());
-    AtomicInteger looks = new AtomicInteger();
+    AtomicInteger resolutions = new AtomicInteger();
     fixture.onLoop(
         () -> {
-          fixture.control.onKeysAsked =
+          fixture.control.onKeysConfirmedRead =
               () -> {
-                if (looks.incrementAndGet() == LOOK_IN_THE_QUEUE) {
-                  happen(event, first);
+                if (resolutions.incrementAndGet() == RESOLUTION_IN_THE_QUEUE) {
+                  perform(event, first);
                 }
               };
           return null;
         });
     client.post("/once/x", "id-2", "", KEY);
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     assertEquals("id-2", second.id());
     assertEquals(2, second.connection);
-    second.answer("200 OK", "two");
+    second.respond("200 OK", "two");
     assertEquals("two", client.read().body());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
-  /** On the router's loop, which reads nothing meanwhile, until the connection has rested. */
-  private static void happen(Event event, ScriptedBackend.Received earlier) {
+  /** Blocks the router's loop, which reads nothing meanwhile, until the cooldown has elapsed. */
+  private static void perform(Event event, ScriptedBackend.Received earlier) {
     try {
-      event.act.on(earlier);
+      event.action.on(earlier);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REST_MS);
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(COOLDOWN_MS);
     while (System.nanoTime() - end < 0) {
       Thread.onSpinWait();
     }
--- a/router/src/test/java/nettletrail/router/RawBackend.java
+++ b/router/src/test/java/nettletrail/router/RawBackend.java
@@ -13,13 +13,13 @@
 import java.util.List;
 
 /**
- * A backend on loopback that reads no further than the test says and writes what the test says:
- * nothing is read behind its back, so that a long body stays on the way.
+ * A backend on loopback whose reads and writes are all made by the test: nothing is read in the
+ * background, so that a long body stays in the sockets' buffers.
  */
 final class RawBackend implements AutoCloseable {
-  private static final int PATIENCE_MS = 10_000;
+  private static final int TIMEOUT_MS = 10_000;
 
-  /** So that the kernel takes little of a body that nobody reads. */
+  /** Small, so that the kernel accepts little of a body that is not read. */
   private static final int RECEIVE_BUFFER_BYTES = 64 << 10;
 
   private final String id;
@@ -29,7 +29,7 @@
   RawBackend(String id) throws IOException {
     this.id = id;
     server.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
-    server.setSoTimeout(PATIENCE_MS);
+    server.setSoTimeout(TIMEOUT_MS);
     server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
@@ -38,7 +38,7 @@
     return new BackendEndpoint(id, address, "zone-a", 4, 0);
   }
 
-  /** The next connection of the router; fails if none comes. */
+  /** The next connection of the router; fails if there is none in time. */
   Connection accept() throws IOException {
     Connection connection = new Connection(server.accept());
     connections.add(connection);
@@ -60,7 +60,7 @@
 
     private Connection(Socket socket) throws IOException {
       this.socket = socket;
-      socket.setSoTimeout(PATIENCE_MS);
+      socket.setSoTimeout(TIMEOUT_MS);
       in = socket.getInputStream();
     }
 
@@ -81,7 +81,7 @@
       return new String(in.readNBytes(bytes), StandardCharsets.ISO_8859_1);
     }
 
-    /** All that the router still sends, until it ends or resets the connection. */
+    /** All bytes until the router closes or resets the connection. */
     String readToEnd() throws IOException {
       ByteArrayOutputStream rest = new ByteArrayOutputStream();
       byte[] buffer = new byte[64 << 10];
@@ -90,7 +90,7 @@
           rest.write(buffer, 0, size);
         }
       } catch (SocketException reset) {
-        // an end as well
+        // a close as well
       }
       return rest.toString(StandardCharsets.ISO_8859_1);
     }
@@ -100,7 +100,7 @@
       socket.getOutputStream().flush();
     }
 
-    /** Ends the sending side in good order (FIN); the router may go on sending. */
+    /** Closes the sending side (FIN); the router may continue to send. */
     void finish() throws IOException {
       socket.shutdownOutput();
     }
--- a/router/src/test/java/nettletrail/router/RouterAttemptTest.java
+++ b/router/src/test/java/nettletrail/router/RouterAttemptTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a router sends to backends, sends again, and makes of their answers; one rule a test. */
+/** Attempts and retries at backends, and what their responses lead to; one rule a test. */
 @Timeout(30)
 class RouterAttemptTest {
   private static final String KEY = RouterFixture.KEY;
@@ -33,165 +33,171 @@
   }
 
   @Test
-  void aSingleSendThatBreaksOffAfterItWasWrittenIsNotSentAgain() throws Exception {
+  void aNonIdempotentRequestIsNotRetriedAfterItWasWritten() throws Exception {
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
     assertEquals(502, client.read().status());
-    assertEquals(0, first.untaken() + second.untaken());
+    assertEquals(0, first.pendingRequests() + second.pendingRequests());
   }
 
   @Test
-  void aRepeatableThatBreaksOffIsSentToAnotherBackend() throws Exception {
+  void anIdempotentRequestIsRetriedAtAnotherBackend() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "body", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
-    ScriptedBackend.Received again = second.take();
-    assertEquals("b2", again.header("X-Deliver-To"));
-    assertEquals("id-1", again.id());
-    assertEquals("body", again.body);
-    again.answer("200 OK", "fine");
+    ScriptedBackend.Received retry = second.nextRequest();
+    assertEquals("b2", retry.header("X-Deliver-To"));
+    assertEquals("id-1", retry.id());
+    assertEquals("body", retry.body);
+    retry.respond("200 OK", "fine");
     assertEquals("fine", client.read().body());
   }
 
   @Test
-  void withoutBudgetARepeatableIsNotSentAgain() throws Exception {
+  void anIdempotentRequestIsNotRetriedWithoutBudget() throws Exception {
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
     assertEquals(502, client.read().status());
-    assertEquals(0, second.untaken());
+    assertEquals(0, second.pendingRequests());
   }
 
   @Test
-  void whatABackendDidNotRunGoesToAnother() throws Exception {
+  void aRequestThatABackendDidNotRunIsRetriedAtAnother() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     request.notRun("503 Service Unavailable");
-    second.take().answer("200 OK", "ran");
+    second.nextRequest().respond("200 OK", "ran");
     assertEquals("ran", client.read().body());
   }
 
   @Test
-  void whatNoBackendRanIs503AndTheQuotaIsGivenBack() throws Exception {
+  void aRequestThatNoBackendRanGets503AndItsQuotaIsRefunded() throws Exception {
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    first.take().notRun("421 Misdirected Request");
-    TestClient.Answer answer = client.read();
-    assertEquals(503, answer.status());
-    assertNotNull(answer.header("Retry-After"));
-    assertEquals(0L, fixture.onLoop(() -> fixture.control.taken));
+    first.nextRequest().notRun("421 Misdirected Request");
+    TestClient.Response response = client.read();
+    assertEquals(503, response.status());
+    assertNotNull(response.header("Retry-After"));
+    assertEquals(0L, fixture.onLoop(() -> fixture.control.acquired));
   }
 
   @Test
-  void aBackendsOwnFailureIsPassedOnAsItIs() throws Exception {
+  void aBackendsServerErrorIsForwardedUnchanged() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY);
-    backend.take().answer("500 Internal Server Error", "broken");
-    TestClient.Answer answer = client.read();
-    assertEquals(500, answer.status());
-    assertEquals("broken", answer.body());
-    assertEquals("seal-id-1", answer.header("X-Backend-Seal"));
+    backend.nextRequest().respond("500 Internal Server Error", "broken");
+    TestClient.Response response = client.read();
+    assertEquals(500, response.status());
+    assertEquals("broken", response.body());
+    assertEquals("seal-id-1", response.header("X-Backend-Seal"));
   }
 
   @Test
-  void aSuccessWithoutItsSealOrIdIsNone() throws Exception {
+  void aSuccessWithoutSealOrIdIsInvalid() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    backend.take().write("HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nContent-Length: 2\r\n\r\nno");
+    backend
+        .nextRequest()
+        .write("HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nContent-Length: 2\r\n\r\nno");
     assertEquals(502, client.read().status());
     client.post("/once/x", "id-2", "", KEY);
-    backend.take().write("HTTP/1.1 200 OK\r\nX-Backend-Seal: s\r\nContent-Length: 2\r\n\r\nno");
+    backend
+        .nextRequest()
+        .write("HTTP/1.1 200 OK\r\nX-Backend-Seal: s\r\nContent-Length: 2\r\n\r\nno");
     assertEquals(502, client.read().status());
   }
 
   @Test
-  void aPromiseThatNobodySealedIsNotPassedOn() throws Exception {
+  void anUnsealedStatusThatMeansNotRunIsNotForwarded() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    backend.take().write("HTTP/1.1 503 No\r\nX-Attempt-Id: id-1\r\nContent-Length: 0\r\n\r\n");
+    backend
+        .nextRequest()
+        .write("HTTP/1.1 503 No\r\nX-Attempt-Id: id-1\r\nContent-Length: 0\r\n\r\n");
     assertEquals(502, client.read().status());
   }
 
   @Test
-  void aSurplusAnswerIsNotTheNextRequests() throws Exception {
+  void aSurplusResponseIsNotTakenForTheNextRequests() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    backend.take().answer("200 OK", "one");
+    backend.nextRequest().respond("200 OK", "one");
     assertEquals("one", client.read().body());
     client.post("/once/x", "id-2", "", KEY);
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     assertEquals(1, second.connection, "the connection is used again");
     second.write(
         "HTTP/1.1 200 OK\r\nX-Backend-Seal: seal-id-1\r\nX-Attempt-Id: id-1\r\n"
             + "Content-Length: 7\r\n\r\nsurplus");
-    second.answer("200 OK", "two");
+    second.respond("200 OK", "two");
     assertEquals("two", client.read().body());
   }
 
   @Test
-  void aConnectionWithSurplusBytesIsNotUsedAgain() throws Exception {
+  void aConnectionWithSurplusBytesIsNotReused() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received first = backend.take();
-    first.answer("200 OK", "one");
+    ScriptedBackend.Received first = backend.nextRequest();
+    first.respond("200 OK", "one");
     first.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     assertEquals("one", client.read().body());
     assertTrue(first.closedByPeer());
     client.post("/once/x", "id-2", "", KEY);
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     assertEquals(2, second.connection);
-    second.answer("200 OK", "two");
+    second.respond("200 OK", "two");
     assertEquals("two", client.read().body());
   }
 
   @Test
-  void atTheDeadlineWhatWasSentIs504AndTheBackendsConnectionIsClosed() throws Exception {
+  void atTheDeadlineASentRequestGets504AndTheBackendsConnectionIsClosed() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY, "X-Time-Left: 150");
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     assertEquals(504, client.read().status());
     assertTrue(request.closedByPeer());
   }
 
   @Test
-  void theRoutesTimeoutCountsWhereTheClientWouldWaitLonger() throws Exception {
+  void theRoutesTimeoutAppliesIfTheClientWouldWaitLonger() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/short/x", "id-1", "", KEY, "X-Time-Left: 60000");
-    backend.take();
+    backend.nextRequest();
     assertEquals(504, client.read().status());
   }
 
   @Test
-  void aBackendThatIsNotReadyAnyMoreGetsNothing() throws Exception {
+  void aBackendThatIsNoLongerReadyGetsNoRequest() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     fixture.onLoop(() -> fixture.control.tokens = 0);
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(2);
+    var keysRead = fixture.latchOnKeysConfirmedRead(2);
     client.post("/once/x", "id-1", "", KEY);
-    asked.await();
+    keysRead.await();
     ScriptedBackend other = new ScriptedBackend("b2");
     fixture.backends("s", List.of(other.endpoint()));
     fixture.onLoop(
@@ -200,14 +206,14 @@
           fixture.router.quotaGranted(List.of("tenant-1"));
           return null;
         });
-    other.take().answer("200 OK", "");
+    other.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
     other.close();
   }
 
   @Test
-  void aBackendThatTakesNoConnectionIsPassedByWithoutCost() throws Exception {
+  void aConnectFailureCostsNoRetryBudget() throws Exception {
     Socket reserved = new Socket(); // bound and not listening: no other process can get its port
     reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     BackendEndpoint dead =
@@ -218,7 +224,7 @@
     TestClient client = fixture.client();
     for (int i = 0; i < 6; i++) {
       client.post("/once/x", "id-" + i, "", KEY);
-      backend.take().answer("200 OK", "");
+      backend.nextRequest().respond("200 OK", "");
       assertEquals(200, client.read().status());
     }
     backend.close();
@@ -226,48 +232,48 @@
   }
 
   @Test
-  void aRequestWaitsForTheFirstBackendAfterAStart() throws Exception {
+  void afterAStartARequestWaitsForTheFirstBackend() throws Exception {
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(1);
+    var keysRead = fixture.latchOnKeysConfirmedRead(1);
     client.post("/once/x", "id-1", "", KEY);
-    asked.await();
+    keysRead.await();
     ScriptedBackend backend = fixture.backend("b1");
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 
   @Test
-  void aConnectionIsNotUsedBeyondTheTimeThatItsBackendTells() throws Exception {
+  void aConnectionIsNotReusedAfterItsKeepAliveTimeout() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    backend.take().answer("200 OK", "", "Keep-Alive: timeout=0");
+    backend.nextRequest().respond("200 OK", "", "Keep-Alive: timeout=0");
     assertEquals(200, client.read().status());
     client.post("/once/x", "id-2", "", KEY);
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     assertEquals(2, second.connection);
-    second.answer("200 OK", "", "Keep-Alive: timeout=60");
+    second.respond("200 OK", "", "Keep-Alive: timeout=60");
     assertEquals(200, client.read().status());
     client.post("/once/x", "id-3", "", KEY);
-    ScriptedBackend.Received third = backend.take();
+    ScriptedBackend.Received third = backend.nextRequest();
     assertEquals(2, third.connection);
-    third.answer("200 OK", "", "Connection: close");
+    third.respond("200 OK", "", "Connection: close");
     assertEquals(200, client.read().status());
     client.post("/once/x", "id-4", "", KEY);
-    ScriptedBackend.Received fourth = backend.take();
+    ScriptedBackend.Received fourth = backend.nextRequest();
     assertEquals(3, fourth.connection);
-    fourth.answer("200 OK", "");
+    fourth.respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 
   @Test
-  void aRequestWhoseRouteHasGoneWhileItWaitedSendsNothing() throws Exception {
+  void aQueuedRequestWhoseRouteIsRemovedIsNotSent() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     fixture.onLoop(() -> fixture.control.tokens = 0);
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(2);
+    var keysRead = fixture.latchOnKeysConfirmedRead(2);
     client.post("/once/x", "id-1", "", KEY);
-    asked.await();
+    keysRead.await();
     String without = RouterFixture.configuration(6, "\"key-1\"").replace("/once/", "/elsewhere/");
     fixture.onLoop(
         () -> {
@@ -277,17 +283,17 @@
           return null;
         });
     assertEquals(404, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void aBackendThatGoesDirectlyBeforeTheFirstByteGetsNothing() throws Exception {
+  void aBackendRemovedDirectlyBeforeTheFirstByteGetsNothing() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     ScriptedBackend other = new ScriptedBackend("b2");
     var asks = new AtomicInteger();
     fixture.onLoop(
         () -> {
-          fixture.control.onKeysAsked =
+          fixture.control.onKeysConfirmedRead =
               () -> {
                 if (asks.incrementAndGet()
                     == 3) { // at arrival, in the queue, before the first byte
@@ -299,96 +305,94 @@
         });
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    other.take().answer("200 OK", "");
+    other.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
     other.close();
   }
 
   @Test
-  void onAReusedConnectionOnlyAnAnswerWithTheIdProvesThatARequestHasNotRun() throws Exception {
+  void onAReusedConnectionOnlyAResponseWithTheIdProvesThatARequestHasNotRun() throws Exception {
     fixture.earnRetries();
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
     ScriptedBackend other = fixture.backend("b2");
     fixture.backends("s", List.of(backend.endpoint()));
     client.post("/once/x", "id-2", "", KEY);
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     fixture.backends("s", List.of(backend.endpoint(), other.endpoint()));
     second.write("HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
     assertEquals(502, client.read().status());
-    assertEquals(0, other.untaken());
+    assertEquals(0, other.pendingRequests());
   }
 
   @Test
-  void onAReusedConnectionAFailureWithoutAnIdMayBeAnEarlierRequests() throws Exception {
+  void onAReusedConnectionAnErrorWithoutAnIdMayBelongToAnEarlierRequest() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
     client.post("/once/x", "id-2", "", KEY);
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     assertEquals(1, second.connection);
     second.write("HTTP/1.1 500 No\r\nX-Backend-Seal: s\r\nContent-Length: 5\r\n\r\nother");
-    TestClient.Answer answer = client.read();
-    assertEquals(502, answer.status());
-    assertNull(answer.header("X-Backend-Seal"));
+    TestClient.Response response = client.read();
+    assertEquals(502, response.status());
+    assertNull(response.header("X-Backend-Seal"));
   }
 
   @Test
-  void aRequestThatMayHaveRunIsNotSentAgainOnceItsRouteForbidsIt() throws Exception {
+  void aRequestThatMayHaveRunIsNotRetriedOnceItsRouteForbidsIt() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     String stricter =
         RouterFixture.configuration(6, "\"key-1\"").replace("resendable", "single_send");
     fixture.onLoop(() -> fixture.control.routing = RouterFixture.table(stricter));
     request.reset();
     assertEquals(502, client.read().status());
-    assertEquals(0, second.untaken());
+    assertEquals(0, second.pendingRequests());
   }
 
   @Test
-  void noMoreBackendsAreSentToThanTheRoutesAttempts() throws Exception {
+  void theRoutesAttemptsLimitTheBackendsThatAreTried() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
-    ScriptedBackend.Received again = second.take();
+    ScriptedBackend.Received retry = second.nextRequest();
     ScriptedBackend third = fixture.backend("b3");
-    again.reset();
+    retry.reset();
     assertEquals(502, client.read().status());
-    assertEquals(0, first.untaken() + second.untaken() + third.untaken());
+    assertEquals(0, first.pendingRequests() + second.pendingRequests() + third.pendingRequests());
   }
 
   @Test
-  void whatIsDueAfterItsDeadlineIsNotSent() throws Exception {
+  void aRequestIsNotSentAfterItsDeadline() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     fixture.onLoop(
         () -> {
-          fixture.control.onKeysAsked = RouterAttemptTest::passTheDeadline;
+          fixture.control.onKeysConfirmedRead = RouterAttemptTest::blockUntilAfterTheDeadline;
           return null;
         });
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY, "X-Time-Left: 30");
     assertEquals(503, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
-  /**
-   * Keeps the router's loop busy, so that no timer of its runs before the request is to be sent.
-   */
-  private static void passTheDeadline() {
+  /** Blocks the router's loop, so that no timer runs before the request is to be sent. */
+  private static void blockUntilAfterTheDeadline() {
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(40);
     while (System.nanoTime() - end < 0) {
       Thread.onSpinWait();
--- a/router/src/test/java/nettletrail/router/RouterClientGoneTest.java
+++ b/router/src/test/java/nettletrail/router/RouterClientDisconnectTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What becomes of a request whose client has closed its connection; one rule a test. The routes'
- * timeout is longer than any test waits, so that it is not what ends a backend's connection.
+ * Requests whose client has closed its connection; one rule a test. The routes' timeout is longer
+ * than any test waits, so that it doesn't close a backend's connection.
  */
 @Timeout(30)
-class RouterClientGoneTest {
+class RouterClientDisconnectTest {
   private static final String KEY = RouterFixture.KEY;
   private static final String PATIENT = "X-Time-Left: 60000";
 
@@ -38,43 +38,43 @@
     fixture.close();
   }
 
-  /** One more request goes its whole way: what was to be sent before it has been sent. */
-  private void serveAnother(ScriptedBackend... backends) throws Exception {
+  /** Serves one more request; anything queued before it would have been sent first. */
+  private void serveOneMoreRequest(ScriptedBackend... backends) throws Exception {
     TestClient other = fixture.client();
     fixture.backends("s", List.of(backends[0].endpoint()));
     other.post("/once/x", "barrier", "", KEY);
-    ScriptedBackend.Received received = backends[0].take();
+    ScriptedBackend.Received received = backends[0].nextRequest();
     assertEquals("barrier", received.id());
-    received.answer("200 OK", "");
+    received.respond("200 OK", "");
     assertEquals(200, other.read().status());
     for (ScriptedBackend backend : backends) {
-      assertEquals(0, backend.untaken());
+      assertEquals(0, backend.pendingRequests());
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"/once/x", "/again/x", "/stream/x", "/resume/x"})
-  void theBackendsConnectionEndsWhenTheClientCloses(String path) throws Exception {
+  void theBackendsConnectionIsClosedWhenTheClientDisconnects(String path) throws Exception {
     fixture.earnRetries();
     ScriptedBackend backend = fixture.backend("b1");
     ScriptedBackend other = fixture.backend("b2");
     fixture.backends("s", List.of(backend.endpoint()));
     TestClient client = fixture.client();
     client.post(path, "id-1", "", KEY, PATIENT);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     fixture.backends("s", List.of(backend.endpoint(), other.endpoint()));
     client.close();
     assertTrue(request.closedByPeer());
-    serveAnother(backend, other);
+    serveOneMoreRequest(backend, other);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"/stream/x", "/resume/x"})
-  void theBackendsConnectionEndsWhenAStreamUnderWayIsCancelled(String path) throws Exception {
+  void theBackendsConnectionIsClosedWhenAStreamIsCancelled(String path) throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post(path, "id-1", "", KEY, PATIENT);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
@@ -84,29 +84,29 @@
   }
 
   @Test
-  void aClientThatEndsItsSendingSideCountsAsGone() throws Exception {
+  void aHalfClosedClientCountsAsDisconnected() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY, PATIENT);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     client.endSending();
     assertTrue(request.closedByPeer());
-    assertTrue(client.isEnded());
+    assertTrue(client.isClosed());
   }
 
   @Test
-  void aRequestThatWaitsForTokensIsNotSentForAClientThatHasLeft() throws Exception {
+  void aRequestQueuedForQuotaIsNotSentAfterItsClientDisconnected() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     fixture.onLoop(() -> fixture.control.tokens = 0);
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(2);
+    var keysRead = fixture.latchOnKeysConfirmedRead(2);
     client.post("/again/x", "id-1", "", KEY, PATIENT);
-    asked.await();
+    keysRead.await();
     CountDownLatch left = new CountDownLatch(1);
     Future<?> granted =
         fixture.submit(
             () -> {
-              left.await(); // the loop hears of the close only by looking
+              left.await(); // the loop finds the close only by reading the socket
               fixture.control.tokens = 10_000;
               fixture.router.quotaGranted(List.of("tenant-1"));
               return null;
@@ -114,40 +114,40 @@
     client.close();
     left.countDown();
     granted.get();
-    serveAnother(backend);
+    serveOneMoreRequest(backend);
   }
 
   @Test
-  void aRequestBehindAnotherIsNotSentForAClientThatHasLeft() throws Exception {
+  void aPipelinedRequestIsNotSentAfterItsClientDisconnected() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY, PATIENT);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     client.post("/once/x", "id-2", "", KEY, PATIENT);
     client.close();
     assertTrue(request.closedByPeer());
-    serveAnother(backend);
+    serveOneMoreRequest(backend);
   }
 
   @Test
-  void nothingIsSentAgainForAClientThatHasLeft() throws Exception {
+  void noRetryIsSentAfterTheClientDisconnected() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY, PATIENT);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     CountDownLatch both = new CountDownLatch(1);
-    Future<?> held =
+    Future<?> loopBlocked =
         fixture.submit(
             () -> {
-              both.await(); // the loop finds the backend's break and the client's close together
+              both.await(); // the loop finds the backend's reset and the client's close together
               return null;
             });
     request.reset();
     client.close();
     both.countDown();
-    held.get();
-    serveAnother(second, first);
+    loopBlocked.get();
+    serveOneMoreRequest(second, first);
   }
 }
--- a/router/src/test/java/nettletrail/router/RouterConnectionTest.java
+++ b/router/src/test/java/nettletrail/router/RouterConnectionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A router's connections to clients: framing, limits, order, ends; one rule a test. */
+/** Connections of clients: framing, limits, order, close; one rule a test. */
 @Timeout(30)
 class RouterConnectionTest {
   private static final String KEY = RouterFixture.KEY;
@@ -34,21 +34,21 @@
   }
 
   @Test
-  void aBodyInChunksIsPassedOnWhole() throws Exception {
+  void aChunkedBodyIsForwardedCompletely() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.write(
         "POST /once/x HTTP/1.1\r\nHost: A.example:80\r\nX-Attempt-Id: id-1\r\n"
             + KEY
             + "\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     assertEquals("abcde", request.body);
-    request.answer("200 OK", "");
+    request.respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 
   @Test
-  void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+  void pipelinedRequestsAreAnsweredInOrder() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     StringBuilder all = new StringBuilder();
@@ -61,15 +61,15 @@
     }
     client.write(all.toString());
     for (int i = 0; i < 5; i++) {
-      ScriptedBackend.Received request = backend.take();
+      ScriptedBackend.Received request = backend.nextRequest();
       assertEquals("id-" + i, request.id());
-      request.answer("200 OK", "answer-" + i);
+      request.respond("200 OK", "answer-" + i);
       assertEquals("answer-" + i, client.read().body());
     }
   }
 
   @Test
-  void aRequestWithTwoLengthsIsNotPassedOn() throws Exception {
+  void aRequestWithTwoLengthsIsNotForwarded() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.write(
@@ -77,25 +77,25 @@
             + KEY
             + "\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
     assertEquals(400, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void aClientThatLeavesEndsItsRequest() throws Exception {
+  void aRequestEndsWhenItsClientDisconnects() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     client.close();
     assertTrue(request.closedByPeer());
   }
 
   @Test
-  void aDrainingRouterServesAndThenCloses() throws Exception {
+  void aDrainingRouterServesRequestsAndThenClosesConnections() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     var done = new CountDownLatch(1);
     fixture.onLoop(
         () -> {
@@ -105,44 +105,44 @@
     assertFalse(fixture.onLoop(fixture.router::ready));
     TestClient late = fixture.client();
     late.post("/once/x", "id-2", "", KEY);
-    ScriptedBackend.Received lateRequest = backend.take();
-    request.answer("200 OK", "one");
-    TestClient.Answer answer = client.read();
-    assertEquals("one", answer.body());
-    assertEquals("close", answer.header("Connection"));
-    assertTrue(client.isEnded());
-    lateRequest.answer("200 OK", "two");
+    ScriptedBackend.Received lateRequest = backend.nextRequest();
+    request.respond("200 OK", "one");
+    TestClient.Response response = client.read();
+    assertEquals("one", response.body());
+    assertEquals("close", response.header("Connection"));
+    assertTrue(client.isClosed());
+    lateRequest.respond("200 OK", "two");
     assertEquals("two", late.read().body());
     assertTrue(done.await(5, TimeUnit.SECONDS));
   }
 
   @Test
-  void whatIsTooLargeToHoldIsRefusedAndNothingIsSent() throws Exception {
+  void aRequestAboveTheBufferLimitIsRejectedAndNotSent() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "x".repeat(RouterFixture.MAX_BUFFERED_BYTES + 1), KEY);
-    TestClient.Answer answer = client.read();
-    assertEquals(503, answer.status());
-    assertNotNull(answer.header("Retry-After"));
+    TestClient.Response response = client.read();
+    assertEquals(503, response.status());
+    assertNotNull(response.header("Retry-After"));
     client.post("/once/x", "id-2", "small", KEY);
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void aBodyBeyondTheLimitIsRefusedAndTheConnectionEnds() throws Exception {
+  void aBodyAboveTheLimitIsRejectedAndTheConnectionCloses() throws Exception {
     TestClient client = fixture.client();
     client.write(
         "POST /once/x HTTP/1.1\r\nHost: a.example\r\n"
             + KEY
             + "\r\nContent-Length: 4194305\r\n\r\n");
     assertEquals(413, client.read().status());
-    assertTrue(client.isEnded());
+    assertTrue(client.isClosed());
   }
 
   @Test
-  void aClientThatExpectsAContinueGetsIt() throws Exception {
+  void aClientThatExpectsA100ContinueGetsIt() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.write(
@@ -151,14 +151,14 @@
             + "\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
     assertEquals(100, client.readHead().status());
     client.write("ab");
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     assertEquals("ab", request.body);
     assertNull(request.header("Expect"));
-    request.answer("200 OK", "");
+    request.respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 
-  /** The head of a second request, sent while the first one waits for its answer. */
+  /** The head of a second request, sent while the first one has no response. */
   private ScriptedBackend.Received pipeline(TestClient client, String secondFields)
       throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
@@ -170,34 +170,34 @@
             + "X-Attempt-Id: id-2\r\n"
             + secondFields
             + "\r\n");
-    return backend.take();
+    return backend.nextRequest();
   }
 
   @Test
-  void aContinueWaitsForTheAnswersThatAreOwed() throws Exception {
+  void a100ContinueFollowsThePendingResponses() throws Exception {
     TestClient client = fixture.client();
     ScriptedBackend.Received first =
         pipeline(client, "Expect: 100-continue\r\nContent-Length: 2\r\n");
-    first.answer("200 OK", "one");
-    TestClient.Answer answer = client.read();
-    assertEquals(200, answer.status());
-    assertEquals("one", answer.body());
+    first.respond("200 OK", "one");
+    TestClient.Response response = client.read();
+    assertEquals(200, response.status());
+    assertEquals("one", response.body());
     assertEquals(100, client.readHead().status());
     client.write("ab");
     ScriptedBackend backend = fixture.backend("b2");
     fixture.backends("s", List.of(backend.endpoint()));
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     assertEquals("ab", second.body);
-    second.answer("200 OK", "two");
+    second.respond("200 OK", "two");
     assertEquals("two", client.read().body());
   }
 
   @Test
-  void aContinueDoesNotComeInTheMiddleOfAStream() throws Exception {
+  void a100ContinueIsNotWrittenInsideAStream() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
@@ -219,18 +219,18 @@
         "Expect: 100-continue\r\nContent-Length: 4194305\r\n",
         "Expect: something-else\r\nContent-Length: 2\r\n"
       })
-  void aRefusedExpectationIsNotTheAnswerToAnEarlierRequest(String fields) throws Exception {
+  void aRejectedExpectationIsNotTheResponseToAnEarlierRequest(String fields) throws Exception {
     TestClient client = fixture.client();
     ScriptedBackend.Received first = pipeline(client, fields);
-    first.answer("200 OK", "one");
-    TestClient.Answer answer = client.read();
-    assertEquals(200, answer.status());
-    assertEquals("one", answer.body());
-    assertTrue(client.isEnded());
+    first.respond("200 OK", "one");
+    TestClient.Response response = client.read();
+    assertEquals(200, response.status());
+    assertEquals("one", response.body());
+    assertTrue(client.isClosed());
   }
 
   @Test
-  void whatFollowsARefusedExpectationIsNoRequest() throws Exception {
+  void bytesAfterARejectedExpectationAreNotARequest() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     String hidden =
@@ -243,81 +243,81 @@
             + "\r\nExpect: 100-continue\r\nContent-Length: 4194305\r\n\r\n"
             + hidden);
     assertEquals(413, client.read().status());
-    assertTrue(client.isEnded());
-    assertEquals(0, backend.untaken());
+    assertTrue(client.isClosed());
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void aConnectionOfHttp10EndsWithItsAnswer() throws Exception {
+  void anHttp10ConnectionClosesAfterItsResponse() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.write(
         "POST /stream/x HTTP/1.0\r\nHost: a.example\r\nX-Attempt-Id: id-1\r\n"
             + KEY
             + "\r\nConnection: keep-alive\r\nContent-Length: 0\r\n\r\n");
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     request.event(1, "one");
     request.endStream();
-    TestClient.Answer answer = client.read();
-    assertEquals(ScriptedBackend.eventText(1, "one"), answer.body());
-    assertNull(answer.header("Transfer-Encoding"));
-    assertEquals("close", answer.header("Connection"));
-    assertTrue(client.isEnded());
+    TestClient.Response response = client.read();
+    assertEquals(ScriptedBackend.eventText(1, "one"), response.body());
+    assertNull(response.header("Transfer-Encoding"));
+    assertEquals("close", response.header("Connection"));
+    assertTrue(client.isClosed());
   }
 
   @Test
-  void aConnectionThatIsIdleForTooLongIsClosedUnlessARequestLiesUnread() throws Exception {
+  void anIdleConnectionIsClosedUnlessARequestIsUnread() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
     long later = System.nanoTime() + TimeUnit.SECONDS.toNanos(16);
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch loopBlocked = new CountDownLatch(1);
     Future<?> sweep =
         fixture.submit(
             () -> {
-              held.await(); // the loop reads nothing meanwhile
+              loopBlocked.await(); // the loop reads nothing meanwhile
               fixture.router.tick(later);
               return null;
             });
     client.post("/once/x", "id-2", "", KEY);
-    held.countDown();
+    loopBlocked.countDown();
     sweep.get();
-    backend.take().answer("200 OK", "two");
+    backend.nextRequest().respond("200 OK", "two");
     assertEquals("two", client.read().body());
     fixture.onLoop(
         () -> {
           fixture.router.tick(later + TimeUnit.SECONDS.toNanos(16));
           return null;
         });
-    assertTrue(client.isEnded());
+    assertTrue(client.isClosed());
   }
 
   @Test
-  void halfARequestIsEndedWith408() throws Exception {
+  void anIncompleteRequestGets408() throws Exception {
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(1);
+    var keysRead = fixture.latchOnKeysConfirmedRead(1);
     client.post("/once/x", "id-1", "", "X-Key: unknown");
-    asked.await();
+    keysRead.await();
     assertEquals(401, client.read().status());
     client.write("POST /once/x HTTP/1.1\r\nHost: a.");
     long later = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-    TestClient.Answer answer = null;
-    while (answer == null) { // until the router has read the half
+    TestClient.Response response = null;
+    while (response == null) { // until the router has read the partial request
       fixture.onLoop(
           () -> {
             fixture.router.tick(later);
             return null;
           });
-      answer = client.readIfThere();
+      response = client.readIfAvailable();
     }
-    assertEquals(408, answer.status());
+    assertEquals(408, response.status());
   }
 
   @Test
-  void aCloseThatALaterRequestAsksForDoesNotCutOffTheEarlierOne() throws Exception {
+  void aCloseRequestedByALaterRequestDoesNotTruncateTheEarlierResponse() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     String head =
@@ -327,31 +327,31 @@
             + "X-Attempt-Id: id-1\r\n\r\n"
             + head
             + "X-Attempt-Id: id-2\r\nConnection: close\r\n\r\n");
-    backend.take().answer("200 OK", "one");
-    TestClient.Answer first = client.read();
+    backend.nextRequest().respond("200 OK", "one");
+    TestClient.Response first = client.read();
     assertEquals("one", first.body());
     assertNull(first.header("Connection"));
-    backend.take().answer("200 OK", "two");
-    TestClient.Answer second = client.read();
+    backend.nextRequest().respond("200 OK", "two");
+    TestClient.Response second = client.read();
     assertEquals("two", second.body());
     assertEquals("close", second.header("Connection"));
-    assertTrue(client.isEnded());
+    assertTrue(client.isClosed());
   }
 
   @Test
-  void aBackendsConnectionRestsBetweenTwoRequests() throws Exception {
+  void aBackendsConnectionCoolsDownBetweenTwoRequests() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received first = backend.take();
+    ScriptedBackend.Received first = backend.nextRequest();
     long answered = System.nanoTime();
-    first.answer("200 OK", "");
+    first.respond("200 OK", "");
     assertEquals(200, client.read().status());
     client.post("/once/x", "id-2", "", KEY);
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     assertEquals(1, second.connection);
     assertTrue(System.nanoTime() - answered >= TimeUnit.MILLISECONDS.toNanos(10));
-    second.answer("200 OK", "");
+    second.respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 }
--- a/router/src/test/java/nettletrail/router/RouterDeadlineTest.java
+++ b/router/src/test/java/nettletrail/router/RouterDeadlineTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What time each send is handed, and when a request is over; one rule a test. */
+/** The time left that each attempt carries, and deadlines; one rule a test. */
 @Timeout(30)
 class RouterDeadlineTest {
   private static final String KEY = RouterFixture.KEY;
@@ -51,7 +51,7 @@
     return Long.parseLong(request.header("X-Time-Left"));
   }
 
-  /** Keeps the thread busy: time passes that a request has no more. */
+  /** Blocks the thread, so that a request's time passes. */
   private static Void busy() {
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BUSY_MS);
     while (System.nanoTime() - end < 0) {
@@ -61,28 +61,28 @@
   }
 
   @Test
-  void aRepeatIsHandedWhatIsLeftThen() throws Exception {
+  void aRetryCarriesTheTimeLeftAtThatMoment() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY, "X-Time-Left: 3000");
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     long leftAtFirst = timeLeft(request);
     assertTrue(leftAtFirst > 0 && leftAtFirst <= 3000, "first: " + leftAtFirst);
     ScriptedBackend second = fixture.backend("b2");
     fixture.onLoop(RouterDeadlineTest::busy);
     request.reset();
-    long leftAtRepeat = timeLeft(second.take());
+    long leftAtRepeat = timeLeft(second.nextRequest());
     assertTrue(leftAtRepeat > 0 && leftAtRepeat <= leftAtFirst - BUSY_MS, "then: " + leftAtRepeat);
   }
 
   @Test
-  void aResumptionIsHandedWhatIsLeftThen() throws Exception {
+  void aResumedStreamCarriesTheTimeLeftAtThatMoment() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/resume/x", "id-1", "", KEY, "X-Time-Left: 3000");
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
@@ -90,37 +90,37 @@
     ScriptedBackend second = fixture.backend("b2");
     fixture.onLoop(RouterDeadlineTest::busy);
     request.reset();
-    ScriptedBackend.Received again = second.take();
-    assertEquals("1", again.header("Last-Event-Id"));
-    long left = timeLeft(again);
+    ScriptedBackend.Received retry = second.nextRequest();
+    assertEquals("1", retry.header("Last-Event-Id"));
+    long left = timeLeft(retry);
     assertTrue(left > 0 && left <= timeLeft(request) - BUSY_MS, "left: " + left);
   }
 
   @Test
-  void withoutTheClientsTimeTheRoutesTimeoutIsHandedOn() throws Exception {
+  void withoutTheClientsTimeLeftTheRoutesTimeoutIsForwarded() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    long left = timeLeft(backend.take());
+    long left = timeLeft(backend.nextRequest());
     assertTrue(left > 0 && left <= 5000, "left: " + left);
   }
 
   @Test
-  void aLongerTimeoutOfANewRoutingDoesNotProlongARequestInHand() throws Exception {
+  void aLongerTimeoutOfANewRoutingTableDoesNotExtendARequestInProgress() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY, PATIENT);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     route(withTimeout(6, 20_000));
     request.reset();
-    long left = timeLeft(second.take());
+    long left = timeLeft(second.nextRequest());
     assertTrue(left <= timeLeft(request), "left: " + left);
   }
 
   @Test
-  void aShorterTimeoutThatComesBeforeTheFirstByteEndsTheRequest() throws Exception {
+  void aShorterTimeoutBeforeTheFirstByteEndsTheRequest() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     route(withTimeout(6, 25_000));
     RoutingTable shorter = withTimeout(7, 400);
@@ -128,9 +128,10 @@
     fixture.onLoop(
         (Callable<Void>)
             () -> {
-              fixture.control.onKeysAsked =
+              fixture.control.onKeysConfirmedRead =
                   () -> {
-                    if (asks.incrementAndGet() == 2) { // in the queue; the last look is the third
+                    if (asks.incrementAndGet()
+                        == 2) { // in the queue; the third and last is before the first byte
                       fixture.control.routing = shorter;
                     }
                   };
@@ -138,19 +139,19 @@
             });
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY, PATIENT);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     assertTrue(timeLeft(request) <= 400, "left: " + timeLeft(request));
-    assertEquals(504, client.read().status()); // the client's patience is 10 s
+    assertEquals(504, client.read().status()); // the client's own timeout is 10 s
     assertTrue(request.closedByPeer());
   }
 
   @Test
-  void aStreamUnderWayEndsAtItsRoutesTimeout() throws Exception {
+  void aStreamEndsAtItsRoutesTimeout() throws Exception {
     route(withTimeout(6, 500));
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY, PATIENT);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
@@ -160,7 +161,7 @@
   }
 
   @Test
-  void theTimeOfARequestCountsFromItsHead() throws Exception {
+  void theDeadlineCountsFromTheRequestsHead() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.write(
@@ -171,11 +172,11 @@
     fixture.onLoop(RouterDeadlineTest::busy);
     client.write("ab");
     assertEquals(503, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void aRequestWhoseBodyIsStillComingAtItsRoutesTimeoutIsAnswered() throws Exception {
+  void aRequestWhoseBodyIsIncompleteAtItsRoutesTimeoutIsAnswered() throws Exception {
     TestClient client = fixture.client();
     client.write(
         "POST /once/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id-1\r\n"
@@ -190,6 +191,6 @@
           return null;
         });
     assertEquals(408, client.read().status());
-    assertTrue(client.isEnded());
+    assertTrue(client.isClosed());
   }
 }
--- a/router/src/test/java/nettletrail/router/RouterDrainTest.java
+++ b/router/src/test/java/nettletrail/router/RouterDrainTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The end of a router that is told to end; one rule a test. */
+/** Graceful shutdown of a router; one rule a test. */
 @Timeout(30)
 class RouterDrainTest {
   private static final String KEY = RouterFixture.KEY;
@@ -41,7 +41,7 @@
 
   private boolean isRefusedOrEnded() throws Exception {
     try {
-      return fixture.client().isEnded();
+      return fixture.client().isClosed();
     } catch (ConnectException refused) {
       return true;
     }
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void theReadyGateSaysNoFromTheStartOfTheDrainOn() throws Exception {
+  void theReadinessCheckFailsFromTheStartOfTheDrain() throws Exception {
     InetSocketAddress gate =
         (InetSocketAddress)
             fixture.router.listenForProbes("127.0.0.1", 0).sync().channel().localAddress();
@@ -68,56 +68,56 @@
   }
 
   @Test
-  void noConnectionIsTakenOnceTheDrainIsDone() throws Exception {
+  void noConnectionIsAcceptedAfterTheDrain() throws Exception {
     fixture.backend("b1");
     CountDownLatch done = drain(1_000);
     assertTrue(done.await(10, TimeUnit.SECONDS));
-    // The kernel takes connections until the selector lets go of the socket; none is served.
+    // The kernel accepts connections until the selector deregisters the socket; none is served.
     assertTrue(isRefusedOrEnded());
   }
 
   @Test
-  void whatComesLateInTheDrainIsServedOnlyIfItEndsBeforeTheProcess() throws Exception {
+  void aLateRequestIsServedWhileDrainingOnlyIfItEndsBeforeTheProcess() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient idle = fixture.client();
     idle.post("/once/x", "id-0", "", KEY);
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, idle.read().status());
     TestClient early = fixture.client();
     early.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received inHand = backend.take();
+    ScriptedBackend.Received inHand = backend.nextRequest();
     drain(4_000);
-    assertTrue(idle.isEnded()); // from now on a request is late
+    assertTrue(idle.isClosed()); // from now on a request is late
     TestClient long5Seconds = fixture.client();
     long5Seconds.post("/once/x", "id-2", "", KEY);
-    TestClient.Answer refused = long5Seconds.read();
+    TestClient.Response refused = long5Seconds.read();
     assertEquals(503, refused.status());
     assertEquals("close", refused.header("Connection"));
     TestClient short400Milliseconds = fixture.client();
     short400Milliseconds.post("/short/x", "id-3", "", KEY);
-    ScriptedBackend.Received served = backend.take();
+    ScriptedBackend.Received served = backend.nextRequest();
     assertEquals("id-3", served.id());
-    served.answer("200 OK", "");
+    served.respond("200 OK", "");
     assertEquals(200, short400Milliseconds.read().status());
-    inHand.answer("200 OK", "early");
+    inHand.respond("200 OK", "early");
     assertEquals("early", early.read().body());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void aSilentBackendIsNoReasonToMoveAStreamWhileDraining() throws Exception {
+  void aStalledStreamIsNotRetriedWhileDraining() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/resume/x", "id-1", "", KEY, "X-Time-Left: 2500");
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
     client.readChunk();
     ScriptedBackend second = fixture.backend("b2");
     drain(20_000);
-    assertNull(client.readChunk()); // at its deadline, long after a silence that moves a stream
-    assertEquals(0, second.untaken());
+    assertNull(client.readChunk()); // at its deadline, long after a stall that has a stream retried
+    assertEquals(0, second.pendingRequests());
   }
 }
--- a/router/src/test/java/nettletrail/router/RouterFixture.java
+++ b/router/src/test/java/nettletrail/router/RouterFixture.java
@@ -19,9 +19,9 @@
 import nettletrail.configuration.ConfigurationException;
 import nettletrail.configuration.RoutingTable;
 
-/** A router on loopback with a control plane whose word the test sets. */
+/** A router on loopback with a control plane whose state the test sets. */
 final class RouterFixture {
-  /** At a ratio of 0.2, of which half is used: four further sends. */
+  /** At a ratio of 0.2, of which half is used: four retries. */
   private static final int EARNING_REQUESTS = 44;
 
   static final int MAX_BUFFERED_BYTES = 1 << 20;
@@ -36,13 +36,13 @@
     int doors = 1;
     final Map<String, List<BackendEndpoint>> backends = new HashMap<>();
     long tokens = Long.MAX_VALUE / 2;
-    long taken;
+    long acquired;
 
-    /** Called on each look whether keys are confirmed. */
-    Runnable onKeysAsked = () -> {};
+    /** Called on each read of {@link #keysConfirmed}. */
+    Runnable onKeysConfirmedRead = () -> {};
 
-    /** Called on each look how many doors there are. */
-    Runnable onDoorsAsked = () -> {};
+    /** Called on each read of {@link #doorCount}. */
+    Runnable onDoorCountRead = () -> {};
 
     @Override
     public RoutingTable routing() {
@@ -51,7 +51,7 @@
 
     @Override
     public boolean keysConfirmed(long nowNanos) {
-      onKeysAsked.run();
+      onKeysConfirmedRead.run();
       return confirmed;
     }
 
@@ -72,7 +72,7 @@
 
     @Override
     public int doorCount() {
-      onDoorsAsked.run();
+      onDoorCountRead.run();
       return doors;
     }
 
@@ -87,14 +87,14 @@
         return false;
       }
       tokens -= cost;
-      taken += cost;
+      acquired += cost;
       return true;
     }
 
     @Override
     public void refund(String tenant, long cost, long now) {
       tokens += cost;
-      taken -= cost;
+      acquired -= cost;
     }
 
     @Override
@@ -126,7 +126,7 @@
     address = (InetSocketAddress) router.listen("127.0.0.1", 0).sync().channel().localAddress();
   }
 
-  /** One that holds long bodies, and whose retry budget lasts for many cases. */
+  /** A router that buffers long bodies, with a retry budget for many cases. */
   static RouterFixture withRetries(String configuration) throws Exception {
     long window = TimeUnit.MINUTES.toMillis(10);
     return new RouterFixture(
@@ -190,16 +190,13 @@
     return backend;
   }
 
-  /**
-   * Sends so many first requests that some further sends are in the retry budget; leaves no
-   * backend.
-   */
+  /** Serves requests until the retry budget permits some retries; leaves no backend. */
   void earnRetries() throws Exception {
     ScriptedBackend earner = backend("earner");
     TestClient client = client();
     for (int i = 0; i < EARNING_REQUESTS; i++) {
       client.post("/once/x", "earn-" + i, "", KEY);
-      earner.take().answer("200 OK", "");
+      earner.nextRequest().respond("200 OK", "");
       if (client.read().status() != 200) {
         throw new AssertionError("a first request was not served");
       }
@@ -234,14 +231,14 @@
   }
 
   /**
-   * A latch that opens when the router asks the control plane about keys for the nth time from now
-   * on.
+   * A latch that opens when the router reads {@link ControlView#keysConfirmed} for the nth time
+   * from now on.
    */
-  CountDownLatch whenKeysAsked(int times) throws Exception {
+  CountDownLatch latchOnKeysConfirmedRead(int times) throws Exception {
     CountDownLatch latch = new CountDownLatch(times);
     onLoop(
         () -> {
-          control.onKeysAsked = latch::countDown;
+          control.onKeysConfirmedRead = latch::countDown;
           return null;
         });
     return latch;
--- a/router/src/test/java/nettletrail/router/RouterHeadersTest.java
+++ b/router/src/test/java/nettletrail/router/RouterHeadersTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Headers of model requests on their way to a backend and back; one rule a test. */
+/** Headers of requests to backends and of their responses; one rule a test. */
 @Timeout(30)
 class RouterHeadersTest {
   private static final String[] DESCRIPTION = {
@@ -38,12 +38,12 @@
   }
 
   @Test
-  void whatDescribesARequestReachesEachBackendAsItWasSent() throws Exception {
+  void endToEndHeadersReachEachBackendUnchanged() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/resume/x", "id-1", "", DESCRIPTION);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     assertAsTheClientSentIt(request);
     request.beginStream();
     request.event(1, "one");
@@ -51,13 +51,13 @@
     client.readChunk();
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
-    ScriptedBackend.Received resumed = second.take();
+    ScriptedBackend.Received resumed = second.nextRequest();
     assertEquals("1", resumed.header("Last-Event-Id"));
     assertAsTheClientSentIt(resumed);
   }
 
   @Test
-  void aConnectionHeaderTakesNothingAwayThatTheBackendRunsBy() throws Exception {
+  void aConnectionHeaderRemovesNoEndToEndHeader() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post(
@@ -72,7 +72,7 @@
         "X-Hop: 1",
         "Connection: x-hop, host, x-attempt-id, x-model, x-token-count, x-prompt-prefix,"
             + " last-event-id, x-deliver-to, x-sender");
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     assertEquals("a.example", request.header("Host"));
     assertEquals("id-1", request.id());
     assertEquals("m-1", request.header("X-Model"));
@@ -85,24 +85,24 @@
   }
 
   @Test
-  void theVersionOfTheWeightsReachesTheClient() throws Exception {
+  void theModelVersionReachesTheClient() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", RouterFixture.KEY);
-    backend.take().answer("200 OK", "", "Versions: 8");
+    backend.nextRequest().respond("200 OK", "", "Versions: 8");
     assertEquals("8", client.read().header("Versions"));
   }
 
   @Test
-  void weightsOfAnotherVersionAreABackendThatHasNotRunIt() throws Exception {
+  void aBackendWithAnotherModelVersionHasNotRunTheRequest() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", DESCRIPTION);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     request.notRun("421 Misdirected Request");
-    second.take().answer("200 OK", "ran");
+    second.nextRequest().respond("200 OK", "ran");
     assertEquals("ran", client.read().body());
   }
 }
--- a/router/src/test/java/nettletrail/router/RouterRoutingChangeTest.java
+++ b/router/src/test/java/nettletrail/router/RouterRoutingChangeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a new routing, or one that nobody confirms, does to requests; one rule a test. */
+/** New and unconfirmed routing tables while requests are in progress; one rule a test. */
 @Timeout(30)
 class RouterRoutingChangeTest {
   private static final String KEY = RouterFixture.KEY;
@@ -29,12 +29,12 @@
     fixture.close();
   }
 
-  /** Requests wait for as long as the test needs. */
+  /** Requests stay queued as long as the test needs. */
   private static String patient(String configuration) {
     return configuration.replace("\"target_ms\":1000", "\"target_ms\":60000");
   }
 
-  /** All routes go to service {@code t}; {@code s} is there no more. */
+  /** All routes go to service {@code t}; {@code s} is removed. */
   private static RoutingTable movedToT() throws Exception {
     return RouterFixture.table(
         RouterFixture.configuration(6, "\"key-1\"")
@@ -42,7 +42,7 @@
             .replace("{\"name\":\"s\"", "{\"name\":\"t\""));
   }
 
-  /** All routes go to service {@code t}, and {@code s} is there too. */
+  /** All routes go to service {@code t}; {@code s} still exists. */
   private static RoutingTable movedToTBesideS() throws Exception {
     String service =
         "{\"name\":\"%s\",\"health_path\":\"/health\",\"conn_cap\":100,"
@@ -65,41 +65,41 @@
   }
 
   @Test
-  void aRequestThatWaitsGoesToTheServiceThatItsRouteHasNow() throws Exception {
+  void aQueuedRequestFollowsItsRouteToAnotherService() throws Exception {
     ScriptedBackend before = fixture.backend("b1");
     ScriptedBackend after = fixture.backendOf("t", "b2");
     fixture.onLoop(() -> fixture.control.tokens = 0);
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(2);
+    var keysRead = fixture.latchOnKeysConfirmedRead(2);
     client.post("/once/x", "id-1", "", KEY);
-    asked.await();
+    keysRead.await();
     route(movedToTBesideS());
-    after.take().answer("200 OK", "");
+    after.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
-    assertEquals(0, before.untaken());
+    assertEquals(0, before.pendingRequests());
   }
 
   @Test
-  void aRequestThatWaitsForAServiceThatIsRemovedGoesWhereItsRouteGoes() throws Exception {
+  void aRequestQueuedForARemovedServiceFollowsItsRoute() throws Exception {
     ScriptedBackend after = fixture.backendOf("t", "b2");
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(1);
+    var keysRead = fixture.latchOnKeysConfirmedRead(1);
     client.post("/once/x", "id-1", "", KEY);
-    asked.await();
+    keysRead.await();
     route(movedToT());
-    after.take().answer("200 OK", "");
+    after.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 
   @Test
-  void whatIsAtABackendIsAnsweredThoughItsRouteServiceAndBackendAreRemoved() throws Exception {
+  void aSentRequestIsAnsweredThoughItsRouteServiceAndBackendAreRemoved() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient complete = fixture.client();
     complete.post("/once/x", "id-1", "", KEY);
-    ScriptedBackend.Received first = backend.take();
+    ScriptedBackend.Received first = backend.nextRequest();
     TestClient streaming = fixture.client();
     streaming.post("/stream/x", "id-2", "", KEY);
-    ScriptedBackend.Received second = backend.take();
+    ScriptedBackend.Received second = backend.nextRequest();
     second.beginStream();
     second.event(1, "one");
     streaming.readHead();
@@ -118,7 +118,7 @@
           fixture.router.tick(System.nanoTime());
           return null;
         });
-    first.answer("200 OK", "whole");
+    first.respond("200 OK", "whole");
     assertEquals("whole", complete.read().body());
     second.event(2, "two");
     assertEquals(ScriptedBackend.eventText(2, "two"), streaming.readChunk());
@@ -127,12 +127,12 @@
   }
 
   @Test
-  void aRepeatThatTheNewRoutingDoesNotAllowAnyMoreIsNotSent() throws Exception {
+  void aRetryThatTheNewRoutingTableForbidsIsNotSent() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/again/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     RoutingTable oneAttempt =
         RouterFixture.table(
@@ -141,21 +141,21 @@
     fixture.onLoop(
         (Callable<Void>)
             () -> {
-              // Asked as the budget for the repeat is looked at, after the attempts were.
-              fixture.control.onDoorsAsked = () -> fixture.control.routing = oneAttempt;
+              // Read when the retry budget is checked, after the limit of attempts.
+              fixture.control.onDoorCountRead = () -> fixture.control.routing = oneAttempt;
               return null;
             });
     request.reset();
     assertEquals(502, client.read().status());
-    assertEquals(0, second.untaken());
+    assertEquals(0, second.pendingRequests());
   }
 
   @Test
-  void aRoutingThatIsNotConfirmedRefusesNothingForGood() throws Exception {
+  void anUnconfirmedRoutingTableRejectsNothingFinally() throws Exception {
     fixture.onLoop(() -> fixture.control.routingConfirmed = false);
     TestClient client = fixture.client();
     client.post("/nowhere/", "id-1", "", KEY);
-    TestClient.Answer noRoute = client.read();
+    TestClient.Response noRoute = client.read();
     assertEquals(503, noRoute.status());
     assertNotNull(noRoute.header("Retry-After"));
     client.post("/once/x", "id-2", "", "X-Key: unknown");
@@ -166,13 +166,12 @@
   }
 
   @Test
-  void aRoutingThatIsOvertakenByOneThatHasNotComeServesNothingAndPromisesThatNothingRan()
-      throws Exception {
+  void anOutdatedRoutingTableServesNothingAndAnswers503() throws Exception {
     fixture.onLoop(() -> fixture.control.routingIsCurrent = false);
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/open/x", "id-1", "");
-    TestClient.Answer refused = client.read();
+    TestClient.Response refused = client.read();
     assertEquals(503, refused.status());
     assertNotNull(refused.header("Retry-After"));
     client.post("/nowhere/", "id-2", "", KEY);
@@ -180,17 +179,17 @@
     assertFalse(fixture.onLoop(fixture.router::ready));
     fixture.onLoop(() -> fixture.control.routingIsCurrent = true);
     client.post("/open/x", "id-3", "");
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 
   @Test
-  void aRoutingThatIsNotConfirmedStillServesWhatItAllows() throws Exception {
+  void anUnconfirmedRoutingTableStillServesWhatItPermits() throws Exception {
     fixture.onLoop(() -> fixture.control.routingConfirmed = false);
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/open/x", "id-1", "");
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
     assertTrue(fixture.onLoop(fixture.router::ready));
   }
--- a/router/src/test/java/nettletrail/router/RouterStreamTest.java
+++ b/router/src/test/java/nettletrail/router/RouterStreamTest.java
@@ -27,14 +27,14 @@
   }
 
   @Test
-  void eventsArePassedOnAsTheyCome() throws Exception {
+  void eventsAreRelayedAsTheyArrive() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     request.event(1, "one");
-    TestClient.Answer head = client.readHead();
+    TestClient.Response head = client.readHead();
     assertEquals(200, head.status());
     assertEquals("seal-id-1-b1", head.header("X-Backend-Seal"));
     assertEquals(eventText(1, "one"), client.readChunk());
@@ -43,15 +43,15 @@
     request.endStream();
     assertEquals("", client.readChunk());
     client.post("/stream/x", "id-2", "", KEY);
-    backend.take();
+    backend.nextRequest();
   }
 
   @Test
-  void aPartOfAnEventIsHeldBackAndDroppedAtABreak() throws Exception {
+  void anIncompleteEventIsBufferedAndDroppedIfTheConnectionBreaks() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
@@ -62,95 +62,95 @@
   }
 
   @Test
-  void aStreamIsTakenUpAtAnotherBackendWithoutAGapOrARepeat() throws Exception {
+  void aStreamIsResumedAtAnotherBackendWithoutGapOrDuplicate() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/resume/x", "id-1", "", KEY, "Last-Event-Id: 4");
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     assertEquals("4", request.header("Last-Event-Id"));
     request.beginStream();
     request.event(5, "five");
-    TestClient.Answer head = client.readHead();
+    TestClient.Response head = client.readHead();
     assertEquals(eventText(5, "five"), client.readChunk());
     ScriptedBackend second = fixture.backend("b2");
     request.chunk("id: 6\nda");
     request.reset();
-    ScriptedBackend.Received again = second.take();
-    assertEquals("5", again.header("Last-Event-Id"));
-    assertEquals("id-1", again.id());
-    again.beginStream();
-    again.event(5, "repeat");
-    again.event(6, "six");
+    ScriptedBackend.Received retry = second.nextRequest();
+    assertEquals("5", retry.header("Last-Event-Id"));
+    assertEquals("id-1", retry.id());
+    retry.beginStream();
+    retry.event(5, "repeat");
+    retry.event(6, "six");
     assertEquals(eventText(6, "six"), client.readChunk());
-    again.endStream();
+    retry.endStream();
     assertEquals("", client.readChunk());
     assertEquals("seal-id-1-b1", head.header("X-Backend-Seal"));
   }
 
   @Test
-  void aStreamWithAGapIsNotPassedOn() throws Exception {
+  void aResumedStreamWithAGapIsNotRelayed() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/resume/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
     assertEquals(eventText(1, "one"), client.readChunk());
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
-    ScriptedBackend.Received again = second.take();
-    again.beginStream();
-    again.chunk(eventText(3, "three") + eventText(2, "two"));
+    ScriptedBackend.Received retry = second.nextRequest();
+    retry.beginStream();
+    retry.chunk(eventText(3, "three") + eventText(2, "two"));
     assertNull(client.readChunk());
   }
 
   @Test
-  void aStreamThatMayNotBeResumedIsNotSentAgain() throws Exception {
+  void aNonResumableStreamIsNotRetried() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
     assertEquals(502, client.read().status());
-    assertEquals(0, second.untaken());
+    assertEquals(0, second.pendingRequests());
   }
 
   @Test
-  void aResumedStreamThatABackendRefusesGoesToTheNext() throws Exception {
+  void aResumptionThatABackendRejectsIsRetriedAtTheNext() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/resume/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
     client.readChunk();
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
-    ScriptedBackend.Received refused = second.take();
+    ScriptedBackend.Received refused = second.nextRequest();
     ScriptedBackend third = fixture.backend("b3");
     refused.notRun("503 Service Unavailable");
-    ScriptedBackend.Received again = third.take();
-    again.beginStream();
-    again.event(2, "two");
+    ScriptedBackend.Received retry = third.nextRequest();
+    retry.beginStream();
+    retry.event(2, "two");
     assertEquals(eventText(2, "two"), client.readChunk());
-    again.endStream();
+    retry.endStream();
     assertEquals("", client.readChunk());
   }
 
   @Test
-  void aRevokedKeyEndsAStreamInsteadOfResumingIt() throws Exception {
+  void aRevokedKeyPreventsTheResumptionOfAStream() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/resume/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
@@ -162,7 +162,7 @@
                 RouterFixture.table(RouterFixture.configuration(6, "\"key-2\"")));
     request.reset();
     assertNull(client.readChunk());
-    assertEquals(0, second.untaken());
+    assertEquals(0, second.pendingRequests());
   }
 
   @Test
@@ -170,7 +170,7 @@
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY, "X-Time-Left: 1500");
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
@@ -180,61 +180,61 @@
   }
 
   @Test
-  void eventsOfOneReadComeInOrder() throws Exception {
+  void eventsOfOneReadAreRelayedInOrder() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     request.chunk(eventText(1, "a") + eventText(2, "b") + "id: 3\n");
     request.chunk("data: c\n\n");
     request.endStream();
-    TestClient.Answer answer = client.read();
-    assertTrue(answer.complete());
-    assertEquals(eventText(1, "a") + eventText(2, "b") + eventText(3, "c"), answer.body());
+    TestClient.Response response = client.read();
+    assertTrue(response.complete());
+    assertEquals(eventText(1, "a") + eventText(2, "b") + eventText(3, "c"), response.body());
   }
 
   @Test
-  void aStreamWhoseBackendFallsSilentIsTakenUpElsewhere() throws Exception {
+  void aStalledStreamIsResumedAtAnotherBackend() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/resume/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     request.beginStream();
     request.event(1, "one");
     client.readHead();
     client.readChunk();
     ScriptedBackend second = fixture.backend("b2");
-    ScriptedBackend.Received again = second.take();
-    assertEquals("1", again.header("Last-Event-Id"));
+    ScriptedBackend.Received retry = second.nextRequest();
+    assertEquals("1", retry.header("Last-Event-Id"));
     assertTrue(request.closedByPeer());
-    again.beginStream();
-    again.event(2, "two");
+    retry.beginStream();
+    retry.event(2, "two");
     assertEquals(eventText(2, "two"), client.readChunk());
-    again.endStream();
+    retry.endStream();
     assertEquals("", client.readChunk());
   }
 
   @Test
-  void aSilentStreamThatMayNotBeResumedIsLeftToItsDeadline() throws Exception {
+  void aStalledNonResumableStreamEndsAtItsDeadline() throws Exception {
     fixture.earnRetries();
     ScriptedBackend first = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY, "X-Time-Left: 1600");
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     ScriptedBackend second = fixture.backend("b2");
     assertTrue(request.closedByPeer());
     assertEquals(504, client.read().status());
-    assertEquals(0, second.untaken());
+    assertEquals(0, second.pendingRequests());
   }
 
   @Test
-  void versionLinesOfEventsArePassedOn() throws Exception {
+  void versionLinesOfEventsAreRelayed() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY);
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     request.beginStream();
     String event = "versions: 8\nid: 1\ndata: one\n\n";
     request.chunk(event);
@@ -244,13 +244,13 @@
   }
 
   @Test
-  void aFailureOfAStreamRouteIsPassedOnWhole() throws Exception {
+  void anErrorOfAStreamRouteIsForwardedCompletely() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/stream/x", "id-1", "", KEY);
-    backend.take().answer("500 Internal Server Error", "broken");
-    TestClient.Answer answer = client.read();
-    assertEquals(500, answer.status());
-    assertEquals("broken", answer.body());
+    backend.nextRequest().respond("500 Internal Server Error", "broken");
+    TestClient.Response response = client.read();
+    assertEquals(500, response.status());
+    assertEquals("broken", response.body());
   }
 }
--- a/router/src/test/java/nettletrail/router/RouterTest.java
+++ b/router/src/test/java/nettletrail/router/RouterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How a router looks requests up and lets them in: routes, keys, quotas; one rule a test. */
+/** Resolution and admission of requests: routes, keys, quotas; one rule a test. */
 @Timeout(30)
 class RouterTest {
   private static final String KEY = RouterFixture.KEY;
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void aRequestIsPassedOnUnchangedWithTheSystemsHeaders() throws Exception {
+  void aRequestIsForwardedUnchangedWithTheRoutersHeaders() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post(
@@ -44,7 +44,7 @@
         "Priority: 0",
         "Connection: keep-alive, X-Hop",
         "X-Hop: 1");
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     assertEquals("POST /once/x?q=1 HTTP/1.1", request.startLine);
     assertEquals("hello", request.body);
     assertEquals("id-1", request.id());
@@ -57,17 +57,17 @@
     assertNull(request.header("X-Hop"));
     long left = Long.parseLong(request.header("X-Time-Left"));
     assertTrue(left > 0 && left <= 900, "time left: " + left);
-    request.answer("200 OK", "world", "X-Extra: 2");
-    TestClient.Answer answer = client.read();
-    assertEquals(200, answer.status());
-    assertEquals("world", answer.body());
-    assertEquals("seal-id-1", answer.header("X-Backend-Seal"));
-    assertEquals("id-1", answer.header("X-Attempt-Id"));
-    assertEquals("2", answer.header("X-Extra"));
+    request.respond("200 OK", "world", "X-Extra: 2");
+    TestClient.Response response = client.read();
+    assertEquals(200, response.status());
+    assertEquals("world", response.body());
+    assertEquals("seal-id-1", response.header("X-Backend-Seal"));
+    assertEquals("id-1", response.header("X-Attempt-Id"));
+    assertEquals("2", response.header("X-Extra"));
   }
 
   @Test
-  void withoutARouteItIs404AndWithoutAKeyThatIsKnown401() throws Exception {
+  void anUnknownRouteGets404AndAnUnknownKey401() throws Exception {
     TestClient client = fixture.client();
     client.post("/nowhere/", "id-1", "", KEY);
     assertEquals(404, client.read().status());
@@ -78,39 +78,39 @@
   }
 
   @Test
-  void anOpenRouteNeedsNoKeyAndAForgedSenderIsDropped() throws Exception {
+  void anOpenRouteNeedsNoKeyAndAForgedSenderIsRemoved() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/open/x", "id-1", "", "X-Sender: forged", "X-Key: unknown");
-    ScriptedBackend.Received request = backend.take();
+    ScriptedBackend.Received request = backend.nextRequest();
     assertNull(request.header("X-Sender"));
     assertNull(request.header("X-Key"));
-    request.answer("200 OK", "");
+    request.respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 
   @Test
-  void keysThatAreNotConfirmedAreNeitherUsedNorRefusedFor() throws Exception {
+  void unconfirmedKeysAreNeitherAcceptedNorRejected() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     fixture.onLoop(() -> fixture.control.confirmed = false);
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    TestClient.Answer answer = client.read();
-    assertEquals(503, answer.status());
-    assertNotNull(answer.header("Retry-After"));
+    TestClient.Response response = client.read();
+    assertEquals(503, response.status());
+    assertNotNull(response.header("Retry-After"));
     client.post("/once/x", "id-2", "", "X-Key: unknown");
     assertEquals(503, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void aKeyThatIsRevokedWhileItsRequestWaitsSendsNothing() throws Exception {
+  void aQueuedRequestIsNotSentAfterItsKeyIsRevoked() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     fixture.onLoop(() -> fixture.control.tokens = 0);
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(2); // at its arrival and as it is looked at in the queue
+    var keysRead = fixture.latchOnKeysConfirmedRead(2); // on arrival and in the queue
     client.post("/once/x", "id-1", "", KEY);
-    asked.await();
+    keysRead.await();
     fixture.onLoop(
         () -> {
           fixture.control.routing =
@@ -120,28 +120,28 @@
           return null;
         });
     assertEquals(401, client.read().status());
-    assertEquals(0, backend.untaken());
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void withoutARoutingItIs503AndTheRouterIsNotReady() throws Exception {
+  void withoutARoutingTableRequestsGet503AndTheRouterIsNotReady() throws Exception {
     fixture.onLoop(() -> fixture.control.routing = null);
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    TestClient.Answer answer = client.read();
-    assertEquals(503, answer.status());
-    assertNotNull(answer.header("Retry-After"));
+    TestClient.Response response = client.read();
+    assertEquals(503, response.status());
+    assertNotNull(response.header("Retry-After"));
     assertFalse(fixture.onLoop(fixture.router::ready));
   }
 
   @Test
-  void withoutABackendItIs503AndTheQuotaIsGivenBack() throws Exception {
+  void withoutABackendRequestsGet503AndTheirQuotaIsRefunded() throws Exception {
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    TestClient.Answer answer = client.read();
-    assertEquals(503, answer.status());
-    assertNotNull(answer.header("Retry-After"));
-    assertEquals(0L, fixture.onLoop(() -> fixture.control.taken));
+    TestClient.Response response = client.read();
+    assertEquals(503, response.status());
+    assertNotNull(response.header("Retry-After"));
+    assertEquals(0L, fixture.onLoop(() -> fixture.control.acquired));
   }
 
   @Test
@@ -149,47 +149,47 @@
     ScriptedBackend backend = fixture.backend("b1");
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY, "X-Token-Count: 100,23");
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     client.read();
-    assertEquals(123L, fixture.onLoop(() -> fixture.control.taken));
+    assertEquals(123L, fixture.onLoop(() -> fixture.control.acquired));
     client.post("/once/x", "id-2", "", KEY);
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     client.read();
-    assertEquals(323L, fixture.onLoop(() -> fixture.control.taken));
+    assertEquals(323L, fixture.onLoop(() -> fixture.control.acquired));
   }
 
   @Test
-  void beyondTheQuotaItIs429SoonAndNothingIsSent() throws Exception {
+  void aboveTheQuotaRequestsGet429EarlyAndAreNotSent() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     fixture.onLoop(() -> fixture.control.tokens = 100);
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY);
-    TestClient.Answer answer = client.read();
-    assertEquals(429, answer.status());
-    assertNotNull(answer.header("Retry-After"));
-    assertEquals(0, backend.untaken());
+    TestClient.Response response = client.read();
+    assertEquals(429, response.status());
+    assertNotNull(response.header("Retry-After"));
+    assertEquals(0, backend.pendingRequests());
   }
 
   @Test
-  void aGrantThatComesInTimeLetsAWaitingRequestGo() throws Exception {
+  void aQueuedRequestIsSentWhenAGrantArrives() throws Exception {
     ScriptedBackend backend = fixture.backend("b1");
     fixture.onLoop(() -> fixture.control.tokens = 100);
     TestClient client = fixture.client();
-    var asked = fixture.whenKeysAsked(2);
+    var keysRead = fixture.latchOnKeysConfirmedRead(2);
     client.post("/once/x", "id-1", "", KEY);
-    asked.await();
+    keysRead.await();
     fixture.onLoop(
         () -> {
           fixture.control.tokens = 1_000;
           fixture.router.quotaGranted(List.of("tenant-1"));
           return null;
         });
-    backend.take().answer("200 OK", "");
+    backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
   }
 
   @Test
-  void anOutageIsToldWithTheLongestTimeThatAClientWaits() throws Exception {
+  void duringAnOutageRetryAfterIsTheLongestTimeAClientWaits() throws Exception {
     fixture.onLoop(() -> fixture.control.confirmed = false);
     TestClient client = fixture.client();
     client.post("/once/x", "id-1", "", KEY, "X-Time-Left: 4500");
--- a/router/src/test/java/nettletrail/router/ScriptedBackend.java
+++ b/router/src/test/java/nettletrail/router/ScriptedBackend.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A backend on loopback that does what the test tells it for each request, byte by byte. */
+/** A backend on loopback whose responses are scripted by the test, byte by byte. */
 final class ScriptedBackend implements AutoCloseable {
-  private static final int PATIENCE_S = 10;
+  private static final int TIMEOUT_S = 10;
 
-  /** One request that came; the test answers it. */
+  /** A received request; the test responds to it. */
   static final class Received {
     final String startLine;
     final Map<String, String> headers;
@@ -51,8 +51,8 @@
       socket.getOutputStream().flush();
     }
 
-    /** A whole answer with seal and id. */
-    void answer(String status, String body, String... moreHeaders) throws IOException {
+    /** Writes a complete response with seal and id. */
+    void respond(String status, String body, String... moreHeaders) throws IOException {
       write(
           "HTTP/1.1 "
               + status
@@ -100,7 +100,7 @@
       write("0\r\n\r\n");
     }
 
-    /** Ends the sending side in good order (FIN). */
+    /** Closes the sending side (FIN). */
     void finish() throws IOException {
       socket.shutdownOutput();
     }
@@ -112,7 +112,7 @@
 
     /** Waits for the router to close the connection. */
     boolean closedByPeer() throws IOException {
-      socket.setSoTimeout(PATIENCE_S * 1000);
+      socket.setSoTimeout(TIMEOUT_S * 1000);
       try {
         return socket.getInputStream().read() < 0;
       } catch (java.net.SocketTimeoutException e) {
@@ -212,17 +212,17 @@
     return line.toString(StandardCharsets.ISO_8859_1);
   }
 
-  /** The next request; fails if none comes. */
-  Received take() throws InterruptedException {
-    Received next = received.poll(PATIENCE_S, TimeUnit.SECONDS);
+  /** The next request; fails if none arrives in time. */
+  Received nextRequest() throws InterruptedException {
+    Received next = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
     if (next == null) {
       throw new AssertionError("no request came to " + id);
     }
     return next;
   }
 
-  /** Requests that came and were not taken. */
-  int untaken() {
+  /** Requests that arrived and were not returned by {@link #nextRequest}. */
+  int pendingRequests() {
     return received.size();
   }
 
--- a/router/src/test/java/nettletrail/router/StreamEndTest.java
+++ b/router/src/test/java/nettletrail/router/StreamEndTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The ways in which a stream can end after its first event has been passed on. */
+/** The ways in which a stream can end after its first event was relayed. */
 @Timeout(60)
 class StreamEndTest {
   private static final String KEY = RouterFixture.KEY;
 
-  /** How a backend breaks its stream off behind the first event. */
-  private enum Cut {
+  /** How a backend truncates its stream after the first event. */
+  private enum Truncation {
     RESET(true, r -> r.reset()),
     RESET_INSIDE_AN_EVENT(
         true,
@@ -43,16 +43,16 @@
         });
 
     private final boolean chunked;
-    private final Act act;
+    private final Action action;
 
-    Cut(boolean chunked, Act act) {
+    Truncation(boolean chunked, Action action) {
       this.chunked = chunked;
-      this.act = act;
+      this.action = action;
     }
   }
 
   /** What the backend does. */
-  private interface Act {
+  private interface Action {
     void on(ScriptedBackend.Received request) throws IOException;
   }
 
@@ -73,11 +73,11 @@
     fixture.close();
   }
 
-  /** Posts a request and passes a first event of its answer. */
+  /** Posts a request and relays the first event of its response. */
   private ScriptedBackend.Received begin(String path, boolean chunked, String event)
       throws Exception {
     client.post(path, "id-1", "", KEY);
-    ScriptedBackend.Received request = first.take();
+    ScriptedBackend.Received request = first.nextRequest();
     if (chunked) {
       request.beginStream();
       request.chunk(event);
@@ -90,42 +90,43 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Cut.class)
-  void aStreamThatIsCutDoesNotLookComplete(Cut cut) throws Exception {
-    ScriptedBackend.Received request = begin("/stream/x", cut.chunked, eventText(1, "one"));
+  @EnumSource(Truncation.class)
+  void aTruncatedStreamDoesNotLookComplete(Truncation truncation) throws Exception {
+    ScriptedBackend.Received request = begin("/stream/x", truncation.chunked, eventText(1, "one"));
     ScriptedBackend second = fixture.backend("b2");
-    cut.act.on(request);
+    truncation.action.on(request);
     assertNull(lastChunk());
-    assertEquals(0, second.untaken());
+    assertEquals(0, second.pendingRequests());
   }
 
   @ParameterizedTest
-  @EnumSource(Cut.class)
-  void aStreamThatIsCutIsTakenUpElsewhereWhereItMayBe(Cut cut) throws Exception {
-    ScriptedBackend.Received request = begin("/resume/x", cut.chunked, eventText(1, "one"));
+  @EnumSource(Truncation.class)
+  void aTruncatedStreamIsResumedAtAnotherBackendIfThatIsPermitted(Truncation truncation)
+      throws Exception {
+    ScriptedBackend.Received request = begin("/resume/x", truncation.chunked, eventText(1, "one"));
     ScriptedBackend second = fixture.backend("b2");
-    cut.act.on(request);
-    ScriptedBackend.Received again = second.take();
-    String passedOn = again.header("Last-Event-Id");
-    if (passedOn.equals("2")) {
+    truncation.action.on(request);
+    ScriptedBackend.Received retry = second.nextRequest();
+    String lastEventId = retry.header("Last-Event-Id");
+    if (lastEventId.equals("2")) {
       assertEquals(eventText(2, "two"), client.readChunk());
     }
-    int next = Integer.parseInt(passedOn) + 1;
-    again.beginStream();
-    again.event(next, "next");
-    again.endStream();
+    int next = Integer.parseInt(lastEventId) + 1;
+    retry.beginStream();
+    retry.event(next, "next");
+    retry.endStream();
     assertEquals(eventText(next, "next"), client.readChunk());
     assertEquals("", client.readChunk());
   }
 
-  /** The chunk that ends the answer, or null if the connection ends before it. */
+  /** The last chunk of the response, or null if the connection closes before it. */
   private String lastChunk() throws IOException {
     String chunk = client.readChunk();
     return eventText(2, "two").equals(chunk) ? client.readChunk() : chunk;
   }
 
   @Test
-  void aStreamWithoutALengthIsWholeAtTheOrderlyEndBehindAnEvent() throws Exception {
+  void aStreamWithoutALengthIsCompleteAtTheOrderlyCloseAfterAnEvent() throws Exception {
     ScriptedBackend.Received request = begin("/stream/x", false, eventText(1, "one"));
     request.write(eventText(2, "two"));
     request.finish();
@@ -134,11 +135,11 @@
   }
 
   @Test
-  void aStreamWhoseEventsHaveNoIdsIsNotTakenUp() throws Exception {
+  void aStreamWithoutEventIdsIsNotResumed() throws Exception {
     ScriptedBackend.Received request = begin("/resume/x", true, "data: one\n\n");
     ScriptedBackend second = fixture.backend("b2");
     request.reset();
     assertNull(client.readChunk());
-    assertEquals(0, second.untaken());
+    assertEquals(0, second.pendingRequests());
   }
 }
--- a/router/src/test/java/nettletrail/router/TestClient.java
+++ b/router/src/test/java/nettletrail/router/TestClient.java
@@ -12,10 +12,10 @@
 
 /** A client's connection, read byte by byte. */
 final class TestClient implements AutoCloseable {
-  private static final int PATIENCE_MS = 10_000;
+  private static final int TIMEOUT_MS = 10_000;
 
-  /** An answer; {@code complete} tells whether its framing ended. */
-  record Answer(int status, Map<String, String> headers, String body, boolean complete) {
+  /** A response; {@code complete} says whether its framing ended. */
+  record Response(int status, Map<String, String> headers, String body, boolean complete) {
     String header(String name) {
       return headers.get(name.toLowerCase(Locale.ROOT));
     }
@@ -27,7 +27,7 @@
   TestClient(InetSocketAddress router) throws IOException {
     socket = new Socket(router.getAddress(), router.getPort());
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
     in = socket.getInputStream();
   }
 
@@ -36,7 +36,7 @@
     socket.getOutputStream().flush();
   }
 
-  /** Sends a request with the headers that all have. */
+  /** Sends a request with the headers that all requests have. */
   void post(String path, String id, String body, String... headers) throws IOException {
     StringBuilder request = new StringBuilder("POST " + path + " HTTP/1.1\r\nHost: a.example\r\n");
     request.append("X-Attempt-Id: ").append(id).append("\r\n");
@@ -47,8 +47,8 @@
     write(request.toString());
   }
 
-  Answer read() throws IOException {
-    Answer head = readHead();
+  Response read() throws IOException {
+    Response head = readHead();
     String encoding = head.header("Transfer-Encoding");
     if (encoding != null) {
       StringBuilder body = new StringBuilder();
@@ -57,23 +57,23 @@
         body.append(chunk);
         chunk = readChunk();
       }
-      return new Answer(head.status, head.headers, body.toString(), chunk != null);
+      return new Response(head.status, head.headers, body.toString(), chunk != null);
     }
     int length = Integer.parseInt(head.headers.getOrDefault("content-length", "0"));
     byte[] body = in.readNBytes(length);
-    return new Answer(
+    return new Response(
         head.status,
         head.headers,
         new String(body, StandardCharsets.ISO_8859_1),
         body.length == length);
   }
 
-  /** The answer, or null if nothing of one has come yet. */
-  Answer readIfThere() throws IOException {
+  /** The response, or null if no byte of it is available. */
+  Response readIfAvailable() throws IOException {
     return in.available() > 0 ? read() : null;
   }
 
-  Answer readHead() throws IOException {
+  Response readHead() throws IOException {
     String start = line();
     if (start == null) {
       throw new IOException("closed before an answer");
@@ -84,10 +84,10 @@
       headers.put(
           line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
     }
-    return new Answer(Integer.parseInt(start.split(" ")[1]), headers, "", false);
+    return new Response(Integer.parseInt(start.split(" ")[1]), headers, "", false);
   }
 
-  /** The next chunk; "" for the last one, null if the connection ended before it. */
+  /** The next chunk; empty for the last one, null if the connection closed before it. */
   String readChunk() throws IOException {
     String size = line();
     if (size == null) {
@@ -98,13 +98,13 @@
     return new String(data, StandardCharsets.ISO_8859_1);
   }
 
-  /** Sends no more and still reads. */
+  /** Closes the sending side; the client still reads. */
   void endSending() throws IOException {
     socket.shutdownOutput();
   }
 
-  /** Whether the router has ended the connection and nothing more comes. */
-  boolean isEnded() throws IOException {
+  /** Waits for the router to close the connection, or for more bytes; whether it is closed. */
+  boolean isClosed() throws IOException {
     try {
       return in.read() < 0;
     } catch (java.net.SocketException e) {
