--- a/fleet/src/main/java/nettletrail/fleet/settings/Bounds.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/Bounds.java
@@ -3,44 +3,51 @@
 import java.time.Duration;
 
 /**
- * The figures of the rules. Each has a default for files that leave it out; fractions are kept to
- * the nanosecond.
+ * The operating limits of the platform's contract with the fleet: the keys {@code bounds.*}. Each
+ * has a default for files that leave it out. Times are exact to the nanosecond, whatever the unit
+ * of the key.
  *
- * @param rosterLag how far the callers' list of machines runs behind
- * @param reuseAfter how soon the address of a backend that ended may go to another
- * @param contact how long the operator asks for the configuration at the end
- * @param receipt how soon a call of the operator must be acknowledged
- * @param catchUp how long a machine counts as lost after its return
- * @param drain how long a backend that leaves still serves
- * @param grace time from SIGTERM to SIGKILL
- * @param lossSlack tolerance around a loss
- * @param inForce how soon an acknowledged configuration is used by all doors
- * @param returnSlack tolerance for answers after the deadline
- * @param stretch tolerated lengthening of a stream's gaps
- * @param revokedClosed true if a door that can't confirm the keys refuses them after {@code revoke}
- * @param revoke how long a revoked key may still be used by a door that is cut off
- * @param retryRatio retries allowed for each first send
- * @param retryWindow window over which retries are counted
- * @param retrySlack retries allowed above the ratio in one window
- * @param quotaWindow window over which a tenant's use is counted
- * @param quotaOver share of the quota that may be exceeded in one window
- * @param quotaSlack tokens that may be exceeded in one window
- * @param recover how soon service is as before after a loss
- * @param pass time that a request may spend in the fleet itself
- * @param again pause after which the same trouble may return
+ * @param membershipLag {@code roster_lag_s}: how far the clients' and backends' endpoint list may
+ *     lag behind
+ * @param addressReuseDelay {@code reuse_after_s}: time after which the address of a stopped backend
+ *     may be assigned to another
+ * @param readBackTimeout {@code contact_ms}: how long the operator tries to read the configuration
+ *     back at the end of a run
+ * @param acknowledgementTimeout {@code receipt_ms}: time within which an operator's change must be
+ *     acknowledged
+ * @param catchUpTime {@code catch_up_s}: how long a machine still counts as lost after its return
+ * @param drain {@code drain_ms}: how long a draining backend still serves
+ * @param grace {@code grace_s}: time from SIGTERM to SIGKILL
+ * @param lossTolerance {@code loss_slack_ms}: tolerance around the instant of a loss
+ * @param inForce {@code in_force_ms}: time within which all doors use an acknowledged configuration
+ * @param deadlineTolerance {@code return_slack_ms}: tolerance for answers after the deadline
+ * @param streamGapTolerance {@code stretch_ms}: tolerated lengthening of the gaps within a stream
+ * @param revokedClosed {@code revoked_closed}: whether a door that can't confirm its keys rejects
+ *     them after {@code revoke}
+ * @param revoke {@code revoke_ms}: how long a partitioned door may still accept a revoked key
+ * @param retryRatio {@code retry_ratio}: retries allowed for each first attempt
+ * @param retryWindow {@code retry_window_s}: window over which retries are counted
+ * @param retrySlack {@code retry_slack}: retries allowed above the ratio in one window
+ * @param quotaWindow {@code quota_window_s}: window over which a tenant's use is counted
+ * @param quotaOver {@code quota_over}: share of the quota that may be exceeded in one window
+ * @param quotaSlack {@code quota_slack}: tokens that may be exceeded in one window
+ * @param recoveryTime {@code recover_s}: time within which the level of service is restored after a
+ *     loss
+ * @param processingTime {@code pass_ms}: time that a request may spend in the fleet itself
+ * @param faultRecurrence {@code again_s}: shortest time after which the same fault may recur
  */
 public record Bounds(
-    Duration rosterLag,
-    Duration reuseAfter,
-    Duration contact,
-    Duration receipt,
-    Duration catchUp,
+    Duration membershipLag,
+    Duration addressReuseDelay,
+    Duration readBackTimeout,
+    Duration acknowledgementTimeout,
+    Duration catchUpTime,
     Duration drain,
     Duration grace,
-    Duration lossSlack,
+    Duration lossTolerance,
     Duration inForce,
-    Duration returnSlack,
-    Duration stretch,
+    Duration deadlineTolerance,
+    Duration streamGapTolerance,
     boolean revokedClosed,
     Duration revoke,
     double retryRatio,
@@ -49,6 +56,6 @@
     Duration quotaWindow,
     double quotaOver,
     long quotaSlack,
-    Duration recover,
-    Duration pass,
-    Duration again) {}
+    Duration recoveryTime,
+    Duration processingTime,
+    Duration faultRecurrence) {}
--- a/fleet/src/main/java/nettletrail/fleet/settings/FleetSettings.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/FleetSettings.java
@@ -9,32 +9,32 @@
 import java.util.Set;
 
 /**
- * All that the platform tells a process about itself and its surroundings. Made by {@link
- * SettingsReader} only, which checks it.
+ * The checked settings of one process: its machine, its addresses and the limits that it operates
+ * under. Immutable; created by {@link SettingsReader} only.
  *
  * @param node the machine's name
  * @param role the role's name in the deploy file
- * @param machineClass the class of the machine
- * @param serves which callers from outside reach this role; see {@link #SERVES_CLIENTS} and {@link
- *     #SERVES_CONTROL}
- * @param ip the machine's address
+ * @param machineClass the platform's name for the type of machine
+ * @param serves which kinds of external callers this role serves; see {@link #SERVES_CLIENTS} and
+ *     {@link #SERVES_CONTROL}
+ * @param ip the machine's IPv4 address
  * @param zone the machine's zone
  * @param region the zone's region
  * @param zones the region of each zone, by the zone's name
- * @param publicGate where clients are served, as {@code ip:port}
- * @param readyGate where readiness is told, as {@code ip:port}
- * @param controlGate where the operator and the backends are served, as {@code ip:port}
- * @param sparePorts ports for the fleet's own links
- * @param seeds control addresses of some machines of the core, as {@code ip:port}; may be empty,
- *     down or cut off
- * @param firstRun true at the first start of the whole system only
- * @param countsForQuorum whether the machine counts among those that may be lost
- * @param limits what the machine gives this process
- * @param dataDirectory the disk's folder, on machines with a disk
- * @param heartbeatInterval how often a backend calls
- * @param clauses names of the rules in force
- * @param toleratedLosses what may be lost at one time
- * @param bounds figures of the rules
+ * @param publicGate address at which clients are served, as {@code ip:port}
+ * @param readyGate address of the readiness check, as {@code ip:port}
+ * @param controlGate address at which operators and backends are served, as {@code ip:port}
+ * @param sparePorts ports for the fleet's internal links
+ * @param seeds control addresses of some core machines, as {@code ip:port}; may be empty, and any
+ *     of them may be down or unreachable
+ * @param firstRun true only at the first start of the complete system
+ * @param countsForQuorum whether the machine counts towards {@link ToleratedLosses#machines}
+ * @param limits resources that the machine gives this process
+ * @param dataDirectory directory for stored data; empty on machines without a disk
+ * @param heartbeatInterval time between two heartbeats of a backend; above 0
+ * @param clauses names of the rules that apply
+ * @param toleratedLosses failures that must be survived at one time
+ * @param bounds operating limits
  */
 public record FleetSettings(
     String node,
@@ -52,40 +52,41 @@
     List<String> seeds,
     boolean firstRun,
     boolean countsForQuorum,
-    Limits limits,
+    MachineLimits limits,
     Optional<Path> dataDirectory,
     Duration heartbeatInterval,
     Set<String> clauses,
     ToleratedLosses toleratedLosses,
     Bounds bounds) {
 
-  /** Among {@link #serves}: clients are served. */
+  /** The value of {@link #serves} for a role that serves clients. */
   public static final String SERVES_CLIENTS = "counter";
 
-  /** Among {@link #serves}: the operator and the backends are served. */
+  /** The value of {@link #serves} for a role that serves operators and backends. */
   public static final String SERVES_CONTROL = "dispatch_office";
 
-  /** The variable of the environment that names the settings file. */
+  /** The environment variable that holds the path of the settings file. */
   public static final String PATH_VARIABLE = "NETTLETRAIL_NODE_FILE";
 
-  /** The port of the fleet's own links, the same on all machines. */
+  /** The port of the fleet's internal links, the same on all machines. */
   public int internalPort() {
     return sparePorts.first();
   }
 
-  /** Where other processes dial this one, as {@code ip:port}. */
+  /** The address at which other processes of the fleet connect, as {@code ip:port}. */
   public String internalAddress() {
     return ip + ":" + internalPort();
   }
 
-  /** Where the seeds are dialled, as {@code ip:port}, in the order of {@link #seeds}. */
+  /** The internal addresses of {@link #seeds}, as {@code ip:port}, in their order. */
   public List<String> seedInternalAddresses() {
     return seeds.stream().map(this::internalAddressOf).distinct().toList();
   }
 
   /**
-   * Where an address of these settings is bound or dialled; it holds an IP number, so nothing is
-   * looked up.
+   * Converts an address of these settings. No name is resolved, since its host is an IP address.
+   *
+   * @param address {@code ip:port}, as checked by {@link SettingsReader}
    */
   public static InetSocketAddress socketAddress(String address) {
     int colon = address.lastIndexOf(':');
--- a/fleet/src/main/java/nettletrail/fleet/settings/SettingsDefaults.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/SettingsDefaults.java
@@ -1,8 +1,8 @@
 package nettletrail.fleet.settings;
 
 /**
- * What holds for keys that a settings file doesn't name, each in the unit of its key; see {@code
- * docs/operate/fleet.md}. Those that are 0, 1 or 2 stand where they are read.
+ * The values of keys that a settings file leaves out, each in the unit of its key; see {@code
+ * docs/operate/fleet.md}. Defaults of 0, 1 and 2 are written where the key is parsed.
  */
 final class SettingsDefaults {
   /** {@code limits.memory_mb}. */
--- a/fleet/src/main/java/nettletrail/fleet/settings/SettingsException.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/SettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A settings file that can't be used; names all its faults at once. */
+/** Thrown for settings that can't be used; lists every fault, not only the first. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -11,9 +11,10 @@
   private final transient List<SettingsFault> faults;
 
   /**
-   * An error with at least one fault.
+   * Creates an error from the faults of one source.
    *
-   * @param source the file, or what else was read
+   * @param source the file's name, or a description of what was read
+   * @param faults at least one, in the order of the checks
    */
   public SettingsException(String source, List<SettingsFault> faults) {
     super(
@@ -25,12 +26,12 @@
     this.faults = List.copyOf(faults);
   }
 
-  /** What was read. */
+  /** The file's name, or a description of what was read. */
   public String source() {
     return source;
   }
 
-  /** All faults, in the order of the checks. */
+  /** All faults, in the order of the checks; never empty. */
   public List<SettingsFault> faults() {
     return faults;
   }
--- a/fleet/src/main/java/nettletrail/fleet/settings/SettingsFault.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/SettingsFault.java
@@ -3,9 +3,9 @@
 /**
  * One fault of a settings file.
  *
- * @param key the key that is missing or has a wrong value
- * @param value the value as it stands in the file; empty if there is none
- * @param remedy what would do
+ * @param key the key whose value is missing or invalid
+ * @param value the value in the file; empty if there is none
+ * @param remedy how to correct it, as an imperative sentence
  */
 public record SettingsFault(String key, String value, String remedy) {
   @Override
--- a/fleet/src/main/java/nettletrail/fleet/settings/SettingsValues.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/SettingsValues.java
@@ -1,6 +1,5 @@
 package nettletrail.fleet.settings;
 
-import io.netty.util.NetUtil;
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 import java.time.Duration;
@@ -13,19 +12,18 @@
 import java.util.TreeMap;
 
 /**
- * The lines of a settings file, read value by value; collects the faults met on the way.
+ * The key-value pairs of a settings file, with typed access.
  *
- * <p>A key with an empty value counts as absent. Where a value is at fault, a stand-in is returned
- * so that the reading goes on.
+ * <p>A key with an empty value counts as absent. An invalid value is added to {@link #faults} and
+ * replaced by the default or another placeholder, so that parsing continues and finds all faults.
  */
 final class SettingsValues {
-  private static final int HIGHEST_PORT = 65_535;
-  private static final BigDecimal LARGEST_NUMBER = BigDecimal.valueOf(1L << 52);
+  private static final BigDecimal MAX_NUMBER = BigDecimal.valueOf(1L << 52);
 
   private final Map<String, String> values = new LinkedHashMap<>();
   private final List<SettingsFault> faults = new ArrayList<>();
 
-  /** Cuts a file into its lines; blank lines and those that begin with {@code #} are left out. */
+  /** Splits a text into its lines; blank lines and those that begin with {@code #} are skipped. */
   SettingsValues(String text) {
     for (String line : text.split("\\R")) {
       addLine(line.strip());
@@ -44,35 +42,40 @@
     values.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
   }
 
-  /** All faults so far. */
+  /** The faults found so far, in the order in which they were found. */
   List<SettingsFault> faults() {
     return faults;
   }
 
-  /** Notes a fault of a key. */
-  void fault(String key, String remedy) {
+  /** Adds a fault of a key. */
+  void addFault(String key, String remedy) {
     faults.add(new SettingsFault(key, values.getOrDefault(key, ""), remedy));
   }
 
-  boolean isPresent(String key) {
+  /** Whether a key has a value that is not empty. */
+  boolean hasValue(String key) {
     return !values.getOrDefault(key, "").isEmpty();
   }
 
-  boolean isNamed(String key) {
+  /** Whether a key is in the file, even with an empty value. */
+  boolean isDefined(String key) {
     return values.containsKey(key);
   }
 
-  String text(String key, String otherwise) {
-    return isPresent(key) ? values.get(key) : otherwise;
+  /** The value of a key, or a default if it has none. */
+  String text(String key, String defaultValue) {
+    return hasValue(key) ? values.get(key) : defaultValue;
   }
 
+  /** The value of a key; adds a fault and returns the empty string if it has none. */
   String requiredText(String key, String remedy) {
-    if (!isPresent(key)) {
-      fault(key, remedy);
+    if (!hasValue(key)) {
+      addFault(key, remedy);
     }
     return text(key, "");
   }
 
+  /** The items of a value, which are separated by commas; blank items are skipped. */
   List<String> list(String key) {
     return Arrays.stream(text(key, "").split(","))
         .map(String::strip)
@@ -92,117 +95,101 @@
     return found;
   }
 
-  boolean flag(String key, boolean otherwise) {
-    if (!isPresent(key)) {
-      return otherwise;
+  /** {@code true} or {@code false}. */
+  boolean booleanValue(String key, boolean defaultValue) {
+    if (!hasValue(key)) {
+      return defaultValue;
     }
     String value = values.get(key);
     if (!value.equals("true") && !value.equals("false")) {
-      fault(key, "write true or false");
+      addFault(key, "write true or false");
     }
     return value.equals("true");
   }
 
-  /** A number of 0 or more. */
-  double fraction(String key, double otherwise) {
-    return number(key, BigDecimal.valueOf(otherwise)).doubleValue();
+  /** A number from 0. */
+  double doubleValue(String key, double defaultValue) {
+    return number(key, BigDecimal.valueOf(defaultValue)).doubleValue();
   }
 
-  /** A number of 0 or more, without its fraction. */
-  long wholeNumber(String key, long otherwise) {
-    return number(key, BigDecimal.valueOf(otherwise)).longValue();
+  /** A number from 0, truncated to an integer. */
+  long longValue(String key, long defaultValue) {
+    return number(key, BigDecimal.valueOf(defaultValue)).longValue();
   }
 
-  /** A number of 0 or more that fits an int, without its fraction. */
-  int smallNumber(String key, int otherwise) {
-    long value = wholeNumber(key, otherwise);
+  /** A number from 0 to {@link Integer#MAX_VALUE}, truncated to an integer. */
+  int intValue(String key, int defaultValue) {
+    long value = longValue(key, defaultValue);
     if (value > Integer.MAX_VALUE) {
-      fault(key, "write a number below " + Integer.MAX_VALUE);
-      return otherwise;
+      addFault(key, "write a number below " + Integer.MAX_VALUE);
+      return defaultValue;
     }
     return (int) value;
   }
 
-  Duration seconds(String key, long otherwise) {
-    return duration(key, otherwise, Duration.ofSeconds(1));
+  /** A time in seconds, rounded to the nanosecond. */
+  Duration seconds(String key, long defaultValue) {
+    return duration(key, defaultValue, Duration.ofSeconds(1));
   }
 
-  Duration millis(String key, long otherwise) {
-    return duration(key, otherwise, Duration.ofMillis(1));
+  /** A time in milliseconds, rounded to the nanosecond. */
+  Duration millis(String key, long defaultValue) {
+    return duration(key, defaultValue, Duration.ofMillis(1));
   }
 
-  private Duration duration(String key, long otherwise, Duration unit) {
-    BigDecimal units = number(key, BigDecimal.valueOf(otherwise));
+  private Duration duration(String key, long defaultValue, Duration unit) {
+    BigDecimal units = number(key, BigDecimal.valueOf(defaultValue));
     BigDecimal nanos = units.multiply(BigDecimal.valueOf(unit.toNanos()));
     if (nanos.compareTo(BigDecimal.valueOf(Long.MAX_VALUE)) > 0) {
-      fault(key, "write a shorter time");
-      return unit.multipliedBy(otherwise);
+      addFault(key, "write a shorter time");
+      return unit.multipliedBy(defaultValue);
     }
     return Duration.ofNanos(nanos.setScale(0, RoundingMode.HALF_UP).longValue());
   }
 
-  private BigDecimal number(String key, BigDecimal otherwise) {
-    if (!isPresent(key)) {
-      return otherwise;
+  private BigDecimal number(String key, BigDecimal defaultValue) {
+    if (!hasValue(key)) {
+      return defaultValue;
     }
     try {
       BigDecimal value = new BigDecimal(values.get(key));
-      if (value.signum() >= 0 && value.compareTo(LARGEST_NUMBER) <= 0) {
+      if (value.signum() >= 0 && value.compareTo(MAX_NUMBER) <= 0) {
         return value;
       }
     } catch (NumberFormatException notANumber) {
-      // Named below, together with numbers out of range.
+      // Reported below, like a number out of range.
     }
-    fault(key, "write a number from 0 to " + LARGEST_NUMBER);
-    return otherwise;
+    addFault(key, "write a number from 0 to " + MAX_NUMBER);
+    return defaultValue;
   }
 
-  /** An optional {@code ip:port}. */
+  /** An optional {@code ip:port}; returned as it is if it is invalid. */
   Optional<String> address(String key) {
-    if (!isPresent(key)) {
+    if (!hasValue(key)) {
       return Optional.empty();
     }
-    if (!isAddress(values.get(key))) {
-      fault(key, "write ip:port");
+    if (!Addresses.isIpAndPort(values.get(key))) {
+      addFault(key, "write ip:port");
     }
     return Optional.of(values.get(key));
   }
 
-  /** A list of {@code ip:port}. */
+  /** A list of {@code ip:port}; returned as it is if any is invalid. */
   List<String> addresses(String key) {
     List<String> found = list(key);
-    if (!found.stream().allMatch(SettingsValues::isAddress)) {
-      fault(key, "write ip:port, joined by commas");
+    if (!found.stream().allMatch(Addresses::isIpAndPort)) {
+      addFault(key, "write ip:port, joined by commas");
     }
     return found;
   }
 
-  /** Two ports, the first not above the second. */
+  /** Two ports from 1, the first not above the second. */
   PortRange portRange(String key) {
-    List<Integer> ports = list(key).stream().map(SettingsValues::port).toList();
+    List<Integer> ports = list(key).stream().map(Addresses::parsePort).toList();
     if (ports.size() == 2 && ports.get(0) > 0 && ports.get(0) <= ports.get(1)) {
       return new PortRange(ports.get(0), ports.get(1));
     }
-    fault(key, "write the first and the last port, joined by a comma");
+    addFault(key, "write the first and the last port, joined by a comma");
     return new PortRange(1, 1);
   }
-
-  static boolean isIp(String text) {
-    return NetUtil.isValidIpV4Address(text);
-  }
-
-  private static boolean isAddress(String text) {
-    int colon = text.lastIndexOf(':');
-    return colon > 0 && isIp(text.substring(0, colon)) && port(text.substring(colon + 1)) >= 0;
-  }
-
-  /** A port from 0 to 65535, or -1. */
-  private static int port(String text) {
-    try {
-      int port = Integer.parseInt(text);
-      return port >= 0 && port <= HIGHEST_PORT ? port : -1;
-    } catch (NumberFormatException notANumber) {
-      return -1;
-    }
-  }
 }
--- a/fleet/src/main/java/nettletrail/fleet/settings/SettingsWatcher.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/SettingsWatcher.java
@@ -12,35 +12,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Looks at the settings file about every second, and on demand, and tells a listener of settings
- * that changed and can be used.
+ * Polls the settings file once a second, and on demand, and notifies a listener of valid settings
+ * that differ from the current ones.
  *
- * <p>A file that can't be read or has faults is logged once, and the settings before it stay in
- * force. Looking and telling happen on the given executor only.
+ * <p>A file that can't be read or has faults is logged once, and the current settings stay active.
+ * The file is read and the listener called on the given executor only.
  */
 public final class SettingsWatcher implements AutoCloseable {
-  /** Told of new settings, on the watcher's executor. */
+  /** Notified of new settings, on the watcher's executor. */
   public interface Listener {
-    /** The file holds other settings than before, and they can be used. */
-    void changed(FleetSettings settings);
+    /** The file's settings have changed and are valid. */
+    void settingsChanged(FleetSettings settings);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(SettingsWatcher.class);
-  private static final long POLL_MILLIS = 1000;
+  private static final long POLL_INTERVAL_MS = 1_000;
 
   private final Path file;
   private final ScheduledExecutorService executor;
   private final Listener listener;
-  private final ScheduledFuture<?> polls;
+  private final ScheduledFuture<?> pollTask;
   private FleetSettings current;
   private byte[] lastContent = {};
-  private boolean unreadable;
+  private boolean unreadableLogged;
 
   /**
-   * Begins to watch.
+   * Starts to poll.
    *
-   * @param current what the process runs with
+   * @param file the settings file
+   * @param current the settings that the process runs with
    * @param executor a single thread, such as an event loop
+   * @param listener notified on the executor
    */
   public SettingsWatcher(
       Path file, FleetSettings current, ScheduledExecutorService executor, Listener listener) {
@@ -48,26 +50,27 @@
     this.current = current;
     this.executor = executor;
     this.listener = listener;
-    this.polls =
+    this.pollTask =
         executor.scheduleWithFixedDelay(
-            this::look, POLL_MILLIS, POLL_MILLIS, TimeUnit.MILLISECONDS);
+            this::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Looks at once, as after SIGHUP. May be called on any thread. */
+  /** Polls at once, as after SIGHUP. May be called on any thread. */
   public void checkNow() {
-    executor.execute(this::look);
+    executor.execute(this::poll);
   }
 
+  /** Stops polling; a poll that has started still ends. */
   @Override
   public void close() {
-    polls.cancel(false);
+    pollTask.cancel(false);
   }
 
-  private void look() {
+  private void poll() {
     byte[] content;
     try {
       content = Files.readAllBytes(file);
-      unreadable = false;
+      unreadableLogged = false;
     } catch (IOException failure) {
       logUnreadable(failure);
       return;
@@ -76,26 +79,26 @@
       return;
     }
     lastContent = content;
-    take(content);
+    apply(content);
   }
 
   private void logUnreadable(IOException failure) {
-    if (!unreadable) {
+    if (!unreadableLogged) {
       LOG.warn(
           "{} settings file {} can't be read; the settings before stay: {}",
           LogEvent.SETTINGS_UNREADABLE,
           file,
           failure.toString());
     }
-    unreadable = true;
+    unreadableLogged = true;
   }
 
-  private void take(byte[] content) {
+  private void apply(byte[] content) {
     try {
-      FleetSettings read = SettingsReader.parse(content, file.toString());
-      if (!read.equals(current)) {
-        current = read;
-        listener.changed(read);
+      FleetSettings parsed = SettingsReader.parse(content, file.toString());
+      if (!parsed.equals(current)) {
+        current = parsed;
+        listener.settingsChanged(parsed);
       }
     } catch (SettingsException failure) {
       LOG.warn("{} {}; the settings before stay", LogEvent.SETTINGS_FAULTY, failure.getMessage());
--- a/fleet/src/main/java/nettletrail/fleet/settings/ToleratedLosses.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/ToleratedLosses.java
@@ -1,10 +1,11 @@
 package nettletrail.fleet.settings;
 
 /**
- * What may be lost at one time while every rule holds.
+ * The failures at one time that the system must survive with every guarantee intact: the keys
+ * {@code withstand.*}.
  *
  * @param machines machines that count for the quorum
- * @param zones whole zones
- * @param regions whole regions
+ * @param zones complete zones
+ * @param regions complete regions
  */
 public record ToleratedLosses(int machines, int zones, int regions) {}
--- a/fleet/src/test/java/nettletrail/fleet/settings/SettingsFormTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/settings/SettingsFormTest.java
@@ -58,7 +58,7 @@
 
   private static Map<String, Function<FleetSettings, Object>> keys() {
     Map<String, Function<FleetSettings, Object>> keys = new LinkedHashMap<>();
-    addPlace(keys);
+    addIdentity(keys);
     addNetwork(keys);
     addMachine(keys);
     addTimeBounds(keys);
@@ -66,7 +66,7 @@
     return keys;
   }
 
-  private static void addPlace(Map<String, Function<FleetSettings, Object>> keys) {
+  private static void addIdentity(Map<String, Function<FleetSettings, Object>> keys) {
     keys.put("node", FleetSettings::node);
     keys.put("role", FleetSettings::role);
     keys.put("machine_class", FleetSettings::machineClass);
@@ -105,23 +105,23 @@
   }
 
   private static void addTimeBounds(Map<String, Function<FleetSettings, Object>> keys) {
-    keys.put("bounds.roster_lag_s", settings -> settings.bounds().rosterLag());
-    keys.put("bounds.reuse_after_s", settings -> settings.bounds().reuseAfter());
-    keys.put("bounds.contact_ms", settings -> settings.bounds().contact());
-    keys.put("bounds.receipt_ms", settings -> settings.bounds().receipt());
-    keys.put("bounds.catch_up_s", settings -> settings.bounds().catchUp());
+    keys.put("bounds.roster_lag_s", settings -> settings.bounds().membershipLag());
+    keys.put("bounds.reuse_after_s", settings -> settings.bounds().addressReuseDelay());
+    keys.put("bounds.contact_ms", settings -> settings.bounds().readBackTimeout());
+    keys.put("bounds.receipt_ms", settings -> settings.bounds().acknowledgementTimeout());
+    keys.put("bounds.catch_up_s", settings -> settings.bounds().catchUpTime());
     keys.put("bounds.drain_ms", settings -> settings.bounds().drain());
     keys.put("bounds.grace_s", settings -> settings.bounds().grace());
-    keys.put("bounds.loss_slack_ms", settings -> settings.bounds().lossSlack());
+    keys.put("bounds.loss_slack_ms", settings -> settings.bounds().lossTolerance());
     keys.put("bounds.in_force_ms", settings -> settings.bounds().inForce());
-    keys.put("bounds.return_slack_ms", settings -> settings.bounds().returnSlack());
-    keys.put("bounds.stretch_ms", settings -> settings.bounds().stretch());
+    keys.put("bounds.return_slack_ms", settings -> settings.bounds().deadlineTolerance());
+    keys.put("bounds.stretch_ms", settings -> settings.bounds().streamGapTolerance());
     keys.put("bounds.revoke_ms", settings -> settings.bounds().revoke());
     keys.put("bounds.retry_window_s", settings -> settings.bounds().retryWindow());
     keys.put("bounds.quota_window_s", settings -> settings.bounds().quotaWindow());
-    keys.put("bounds.recover_s", settings -> settings.bounds().recover());
-    keys.put("bounds.pass_ms", settings -> settings.bounds().pass());
-    keys.put("bounds.again_s", settings -> settings.bounds().again());
+    keys.put("bounds.recover_s", settings -> settings.bounds().recoveryTime());
+    keys.put("bounds.pass_ms", settings -> settings.bounds().processingTime());
+    keys.put("bounds.again_s", settings -> settings.bounds().faultRecurrence());
   }
 
   private static void addCountBounds(Map<String, Function<FleetSettings, Object>> keys) {
@@ -170,7 +170,7 @@
   }
 
   @Test
-  void fileWithoutAnyKeyNamesThoseThatAreRequired() throws Exception {
+  void emptyFileReportsTheRequiredKeys() throws Exception {
     List<String> lines = new ArrayList<>();
     for (String serves : List.of("", "counter", "dispatch_office", "counter,dispatch_office")) {
       try {
@@ -185,7 +185,7 @@
   }
 
   @Test
-  void keyThatIsNotKnownIsLeftAlone() throws SettingsException {
+  void unknownKeyIsIgnored() throws SettingsException {
     FleetSettings expected = parse(REQUIRED);
     assertEquals(expected, parse(REQUIRED + "some.new_key=1\nbounds.new_key=x\nnew_key=\n"));
   }
--- a/fleet/src/test/java/nettletrail/fleet/settings/SettingsReaderTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/settings/SettingsReaderTest.java
@@ -65,7 +65,7 @@
     assertEquals(new PortRange(7680, 7695), settings.sparePorts());
     assertTrue(settings.firstRun());
     assertTrue(settings.countsForQuorum());
-    assertEquals(new Limits(0.9, 2, 426, 4096, 1000, 128), settings.limits());
+    assertEquals(new MachineLimits(0.9, 2, 426, 4096, 1000, 128), settings.limits());
     assertEquals(Optional.of(Path.of("/data/core")), settings.dataDirectory());
     assertEquals(Duration.ofMillis(1200), settings.heartbeatInterval());
     assertEquals(Set.of("base", "drain"), settings.clauses());
@@ -83,10 +83,10 @@
   }
 
   @Test
-  void boundsTakeFractionsAndHaveDefaults() throws SettingsException {
+  void boundsAcceptFractionsAndHaveDefaults() throws SettingsException {
     Bounds bounds = parse(CORE).bounds();
-    assertEquals(8_300_000_000L, bounds.again().toNanos());
-    assertEquals(12_500_000L, bounds.pass().toNanos());
+    assertEquals(8_300_000_000L, bounds.faultRecurrence().toNanos());
+    assertEquals(12_500_000L, bounds.processingTime().toNanos());
     assertEquals(0.25, bounds.retryRatio());
     assertEquals(190_000, bounds.quotaSlack());
     assertFalse(bounds.revokedClosed());
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void everyFaultIsNamedWithKeyValueAndRemedy() {
+  void everyFaultIsReportedWithKeyValueAndRemedy() {
     String faulty =
         """
         serves=counter,dispatch_office
@@ -158,14 +158,14 @@
   }
 
   @Test
-  void environmentWithoutAPathIsNamed() {
+  void environmentWithoutAPathIsReported() {
     SettingsException failure =
         assertThrows(SettingsException.class, () -> SettingsReader.pathFrom(Map.of()));
     assertEquals(FleetSettings.PATH_VARIABLE, failure.faults().get(0).key());
   }
 
   @Test
-  void fileThatIsNotThereIsNamed() {
+  void missingFileIsReported() {
     Path missing = Path.of("target", "no-such-settings");
     SettingsException failure =
         assertThrows(SettingsException.class, () -> SettingsReader.read(missing));
--- a/fleet/src/test/java/nettletrail/fleet/settings/SettingsWatcherTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/settings/SettingsWatcherTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SettingsWatcherTest {
-  private static final long PATIENCE_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
 
   @TempDir private Path folder;
-  private final BlockingQueue<FleetSettings> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<FleetSettings> notified = new LinkedBlockingQueue<>();
   private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
   private Path file;
   private SettingsWatcher watcher;
@@ -29,7 +29,7 @@
   void watch() throws Exception {
     file = folder.resolve("local.conf");
     Files.writeString(file, SettingsReaderTest.CORE);
-    watcher = new SettingsWatcher(file, SettingsReader.read(file), executor, told::add);
+    watcher = new SettingsWatcher(file, SettingsReader.read(file), executor, notified::add);
   }
 
   @AfterEach
@@ -44,19 +44,19 @@
 
   private void checkAndWait() throws Exception {
     watcher.checkNow();
-    executor.submit(() -> {}).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    executor.submit(() -> {}).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @Test
-  void changeIsFoundWithoutASignal() throws Exception {
+  void changeIsDetectedWithoutASignal() throws Exception {
     writeZone("b");
-    FleetSettings settings = told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    FleetSettings settings = notified.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertNotNull(settings);
     assertEquals("b", settings.zone());
   }
 
   @Test
-  void onlyChangesThatCanBeUsedAreTold() throws Exception {
+  void onlyValidChangesAreNotified() throws Exception {
     checkAndWait();
     Files.writeString(file, SettingsReaderTest.CORE + "# another comment\n");
     checkAndWait();
@@ -64,10 +64,10 @@
     checkAndWait();
     Files.delete(file);
     checkAndWait();
-    assertTrue(told.isEmpty());
+    assertTrue(notified.isEmpty());
     writeZone("c");
     checkAndWait();
-    assertEquals("c", told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS).zone());
-    assertTrue(told.isEmpty());
+    assertEquals("c", notified.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS).zone());
+    assertTrue(notified.isEmpty());
   }
 }
