--- a/fleet/src/main/java/nettletrail/fleet/http/BadRequestException.java
+++ b/fleet/src/main/java/nettletrail/fleet/http/BadRequestException.java
@@ -1,6 +1,6 @@
 package nettletrail.fleet.http;
 
-/** A request that can't be understood; its message is for the caller. */
+/** Thrown for a malformed request; the message is sent to the client with status 400. */
 final class BadRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/fleet/src/main/java/nettletrail/fleet/http/ControlServer.java
+++ b/fleet/src/main/java/nettletrail/fleet/http/ControlServer.java
@@ -7,12 +7,10 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.flow.FlowControlHandler;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.net.InetSocketAddress;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -23,57 +21,62 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The HTTP/1.1 server of the core.
+ * The HTTP/1.1 server of the core's control interface.
  *
- * <p>It parses calls, hands them to a {@link ControlCalls} and answers when told. Calls of one
- * connection may be pipelined; their answers keep the order. A call whose caller has left is
- * forgotten, and an answer to it is dropped.
+ * <p>It parses requests and passes them to a {@link ControlCalls}, which answers each with {@link
+ * #answer} or {@link #redirect}, at once or later. Requests of one connection may be pipelined;
+ * their responses keep the order. A call whose client has disconnected is cancelled, and an answer
+ * to it is dropped.
  *
- * <p>Everything happens on one event loop; {@link #listen} and {@link #close} may be called on any
- * thread.
+ * <p>Everything runs on one event loop. {@link #listen} and {@link #close} may be called on any
+ * thread, all other methods on the event loop only; those throw {@link IllegalStateException} on
+ * another thread.
  */
 public final class ControlServer {
   private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
   private static final int LISTEN_BACKLOG = 1024;
   private static final int MAX_REQUEST_LINE_BYTES = 4096;
   private static final int MAX_CHUNK_BYTES = 64 * 1024;
-  private static final int CHECK_MILLIS = 500;
+  private static final int TIMEOUT_CHECK_INTERVAL_MS = 500;
 
   private final LongSupplier steadyClock;
   private final EventLoop loop;
   private final ControlSettings settings;
-  private final ControlCalls calls;
-  private final ControlConnection.Desk desk = new CallDesk();
-  private final Map<Long, ControlConnection.Call> openCalls = new HashMap<>();
-  private final Map<ControlConnection.Call, Long> callNumbers = new HashMap<>();
-  private final Map<Channel, RequestClock> connections = new LinkedHashMap<>();
-  private final ScheduledFuture<?> checks;
+  private final ControlDispatcher dispatcher;
+  private final Map<Channel, RequestTimeoutHandler> connections = new LinkedHashMap<>();
+  private final ScheduledFuture<?> timeoutChecks;
   private Channel serverChannel;
-  private long lastCall;
-  private boolean ready;
 
-  /** A server that doesn't listen yet. */
+  /**
+   * Creates a server that doesn't listen yet.
+   *
+   * @param loop runs everything, including the calls
+   * @param calls receives the requests
+   */
   public ControlServer(EventLoop loop, ControlSettings settings, ControlCalls calls) {
     this(loop, settings, calls, System::nanoTime);
   }
 
-  /** A server whose answers are checked against this clock as they are written. */
+  /** As above, with another clock for the validity of answers, in nanoseconds. */
   ControlServer(
       EventLoop loop, ControlSettings settings, ControlCalls calls, LongSupplier steadyClock) {
     this.steadyClock = steadyClock;
     this.loop = loop;
     this.settings = settings;
-    this.calls = calls;
-    this.checks =
+    this.dispatcher = new ControlDispatcher(calls);
+    this.timeoutChecks =
         loop.scheduleWithFixedDelay(
-            this::checkConnections, CHECK_MILLIS, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            this::closeExpiredConnections,
+            TIMEOUT_CHECK_INTERVAL_MS,
+            TIMEOUT_CHECK_INTERVAL_MS,
+            TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Takes calls.
+   * Starts to accept connections.
    *
-   * @param address where to listen; port 0 takes any that is free
-   * @return done once bound; its channel knows the local address
+   * @param address the local address; port 0 selects a free port
+   * @return completes when the address is bound; its channel has the local address
    */
   public ChannelFuture listen(InetSocketAddress address) {
     ServerBootstrap bootstrap =
@@ -89,63 +92,58 @@
     return bound;
   }
 
-  /**
-   * Sets what {@code GET /nettletrail/ready} answers: 200 if ready, 503 if not, as at first. Event
-   * loop only.
-   */
+  /** Sets the result of {@code GET /nettletrail/ready}: 200 if ready, else 503, as initially. */
   public void setReady(boolean ready) {
-    requireLoop();
-    this.ready = ready;
+    requireEventLoop();
+    dispatcher.setReady(ready);
   }
 
   /**
-   * Answers a call. Event loop only. A call that was answered, or whose caller has left, is left
-   * alone.
+   * Answers a call. Does nothing if the call was answered before or its client has disconnected.
    *
-   * @param call the number under which it was handed over
+   * @param call the number that the {@link ControlCalls} was given
+   * @param status HTTP status
    * @param json the body; null or empty for an empty object
    */
   public void answer(long call, int status, byte[] json) {
-    answer(call, ControlAnswer.of(status, json));
+    respond(call, JsonResponse.of(status, json));
   }
 
   /**
-   * As {@link #answer(long, int, byte[])}, but 503 is written if the steady clock has reached
-   * validUntil by the time of writing.
+   * As {@link #answer(long, int, byte[])}, but with an expiry.
+   *
+   * @param validUntil instant of the steady clock, in nanoseconds; if it has been reached when the
+   *     response can be written, 503 is written instead
    */
   public void answer(long call, int status, byte[] json, long validUntil) {
-    answer(call, ControlAnswer.of(status, json, validUntil));
+    respond(call, JsonResponse.of(status, json, validUntil));
   }
 
-  private void answer(long call, ControlAnswer answer) {
-    requireLoop();
-    ControlConnection.Call open = openCalls.remove(call);
-    if (open != null) {
-      callNumbers.remove(open);
-      open.answer(answer);
-    }
+  private void respond(long call, JsonResponse response) {
+    requireEventLoop();
+    dispatcher.respond(call, response);
   }
 
   /**
-   * Answers a call with 307. Event loop only.
+   * Answers a call with 307.
    *
-   * @param target where the same call is to be made, as {@code http://...}
+   * @param target where the client is to send the same request, as {@code http://...}
    */
   public void redirect(long call, String target) {
-    answer(call, ControlAnswer.redirect(target));
+    respond(call, JsonResponse.redirect(target));
   }
 
-  /** How many calls wait for their answer. Event loop only. */
-  public int openCalls() {
-    requireLoop();
-    return openCalls.size();
+  /** The number of calls that are not answered yet and whose clients are still connected. */
+  int pendingCalls() {
+    requireEventLoop();
+    return dispatcher.pendingCalls();
   }
 
-  /** Stops listening and closes all connections, at the event loop's next turn. */
+  /** Stops listening and closes all connections, asynchronously on the event loop. */
   public void close() {
     loop.execute(
         () -> {
-          checks.cancel(false);
+          timeoutChecks.cancel(false);
           if (serverChannel != null) {
             serverChannel.close();
           }
@@ -153,61 +151,18 @@
         });
   }
 
-  private void checkConnections() {
+  private void closeExpiredConnections() {
     long now = System.nanoTime();
-    List.copyOf(connections.values()).forEach(clock -> clock.check(now));
+    List.copyOf(connections.values()).forEach(timeouts -> timeouts.closeIfExpired(now));
   }
 
-  private void requireLoop() {
+  private void requireEventLoop() {
     if (!loop.inEventLoop()) {
       throw new IllegalStateException("the control server is used on its event loop only");
     }
   }
 
-  /** Gives each call its number, and answers those that need nobody else. */
-  private final class CallDesk implements ControlConnection.Desk {
-    @Override
-    public void take(ControlConnection.Call call, ControlRequest request) {
-      if (request instanceof ControlRequest.BackendCall backend) {
-        calls.backend(open(call), backend.method(), backend.backend());
-      } else if (request instanceof ControlRequest.ConfigurationCall change) {
-        calls.configuration(open(call), change.method(), change.ifMatch(), change.body());
-      } else if (request instanceof ControlRequest.StatusCall status) {
-        calls.status(open(call), status.resource());
-      } else {
-        call.answer(immediateAnswer(request));
-      }
-    }
-
-    private long open(ControlConnection.Call call) {
-      lastCall++;
-      openCalls.put(lastCall, call);
-      callNumbers.put(call, lastCall);
-      return lastCall;
-    }
-
-    private ControlAnswer immediateAnswer(ControlRequest request) {
-      if (request instanceof ControlRequest.WrongMethod wrong) {
-        return ControlAnswer.wrongMethod(wrong.allowedNames());
-      }
-      if (request instanceof ControlRequest.ReadyCall) {
-        return ready
-            ? ControlAnswer.of(HttpResponseStatus.OK.code(), null)
-            : ControlAnswer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready yet");
-      }
-      return ControlAnswer.error(HttpResponseStatus.NOT_FOUND, "no such path");
-    }
-
-    @Override
-    public void forget(ControlConnection.Call call) {
-      Long number = callNumbers.remove(call);
-      if (number != null) {
-        openCalls.remove(number);
-      }
-    }
-  }
-
-  /** Sets up each connection, within the bound on their count. */
+  /** Sets up the pipeline of each connection, or closes it if there are too many. */
   private final class ConnectionInitializer extends ChannelInitializer<Channel> {
     @Override
     protected void initChannel(Channel channel) {
@@ -220,19 +175,22 @@
         channel.close();
         return;
       }
-      RequestClock clock = new RequestClock(settings);
-      connections.put(channel, clock);
+      RequestTimeoutHandler timeouts = new RequestTimeoutHandler(settings);
+      connections.put(channel, timeouts);
       channel.closeFuture().addListener(closed -> connections.remove(channel));
-      ControlConnection connection = new ControlConnection(desk, settings, clock, steadyClock);
+      PipeliningHandler pipelining =
+          new PipeliningHandler(dispatcher, settings, timeouts, steadyClock);
       channel
           .pipeline()
-          .addLast(clock)
+          .addLast(timeouts)
           .addLast(
               new HttpServerCodec(
                   MAX_REQUEST_LINE_BYTES, settings.maxHeaderBytes(), MAX_CHUNK_BYTES))
-          .addLast(new CallAggregator(settings.maxBodyBytes(), connection::owesAnswers))
+          .addLast(
+              new PipelinedRequestAggregator(
+                  settings.maxBodyBytes(), pipelining::hasPendingRequests))
           .addLast(new FlowControlHandler())
-          .addLast(connection);
+          .addLast(pipelining);
     }
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/http/ControlSettings.java
+++ b/fleet/src/main/java/nettletrail/fleet/http/ControlSettings.java
@@ -1,14 +1,14 @@
 package nettletrail.fleet.http;
 
 /**
- * Bounds of a {@link ControlServer}.
+ * Limits of a {@link ControlServer}.
  *
- * @param maxConnections connections at one time; more are closed at once
- * @param maxHeaderBytes bytes of all header fields of a request together
- * @param maxBodyBytes bytes of a request's body
- * @param maxPipelined calls of one connection that wait for their answer; no more is read meanwhile
+ * @param maxConnections concurrent connections; further ones are closed immediately
+ * @param maxHeaderBytes total size of the header fields of a request
+ * @param maxBodyBytes size of the body of a request
+ * @param maxPipelined requests of one connection without a response; at this number, reading pauses
  * @param requestTimeoutMillis time from a request's first byte to its last
- * @param idleTimeoutMillis how long a connection may rest between requests
+ * @param idleTimeoutMillis time that a connection may be idle between requests
  */
 public record ControlSettings(
     int maxConnections,
@@ -24,7 +24,7 @@
   private static final int REQUEST_TIMEOUT_MILLIS = 10_000;
   private static final int IDLE_TIMEOUT_MILLIS = 60_000;
 
-  /** The fleet's figures: 1024 connections, bodies to 8 MB, 10 s for a request, 60 s at rest. */
+  /** The core's limits: 1024 connections, bodies of up to 8 MiB, 10 s for a request, 60 s idle. */
   public static ControlSettings defaults() {
     return new ControlSettings(
         MAX_CONNECTIONS,
--- a/fleet/src/test/java/nettletrail/fleet/http/ControlServerTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/http/ControlServerTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import nettletrail.fleet.http.HttpCaller.Answer;
+import nettletrail.fleet.http.RawHttpClient.Response;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendState;
 import org.junit.jupiter.api.AfterEach;
@@ -26,7 +26,7 @@
 
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ControlServerTest {
-  private static final long PATIENCE_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
   private static final String BACKEND = "/nettletrail/backends/i-7f3a";
   private static final String CONFIGURATION = "/nettletrail/config";
   private static final String HEARTBEAT =
@@ -36,11 +36,12 @@
  "models":[{"name":"m","edition":1,"adapters":[]},{"name":"n"}],"later":{"a":[1]},"call_seq":4}
 """;
 
-  /** A call as it was handed over. */
-  private record Taken(long call, String method, Backend backend, String ifMatch, String body) {}
+  /** The arguments of a call. */
+  private record ReceivedCall(
+      long call, String method, Backend backend, String ifMatch, String body) {}
 
   private final EventLoopGroup group = new NioEventLoopGroup(1);
-  private final BlockingQueue<Taken> taken = new LinkedBlockingQueue<>();
+  private final BlockingQueue<ReceivedCall> received = new LinkedBlockingQueue<>();
   private final AtomicLong clock = new AtomicLong();
   private ControlServer server;
   private InetSocketAddress address;
@@ -57,7 +58,7 @@
     address = (InetSocketAddress) server.listen(any).sync().channel().localAddress();
   }
 
-  /** For tests of the time-outs themselves; short ones would end other tests on a busy machine. */
+  /** For tests of the time-outs; short ones would fail other tests on a busy machine. */
   private void listenWithShortTimeouts() throws Exception {
     server.close();
     listen(new ControlSettings(4, 2048, 10_000, 3, 300, 600));
@@ -68,42 +69,43 @@
     server.close();
     group
         .shutdownGracefully(0, 1, TimeUnit.SECONDS)
-        .awaitUninterruptibly(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        .awaitUninterruptibly(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private final class RecordingCalls implements ControlCalls {
     @Override
     public void backend(long call, String method, Backend backend) {
-      taken.add(new Taken(call, method, backend, "", ""));
+      received.add(new ReceivedCall(call, method, backend, "", ""));
     }
 
     @Override
     public void configuration(long call, String method, String ifMatch, byte[] body) {
       String text = new String(body, StandardCharsets.UTF_8);
-      taken.add(new Taken(call, method, null, ifMatch, text));
+      received.add(new ReceivedCall(call, method, null, ifMatch, text));
     }
 
     @Override
     public void status(long call, String resource) {
-      taken.add(new Taken(call, "STATUS", null, "", resource));
+      received.add(new ReceivedCall(call, "STATUS", null, "", resource));
     }
   }
 
-  private Taken take() throws InterruptedException {
-    Taken call = taken.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+  private ReceivedCall nextCall() throws InterruptedException {
+    ReceivedCall call = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertNotNull(call);
     return call;
   }
 
   private <T> T onLoop(Callable<T> task) throws Exception {
-    return group.next().submit(task).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return group.next().submit(task).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private void answer(Taken call, int status, String json) throws Exception {
-    answer(call, status, json, ControlAnswer.ALWAYS);
+  private void answer(ReceivedCall call, int status, String json) throws Exception {
+    answer(call, status, json, JsonResponse.ALWAYS);
   }
 
-  private void answer(Taken call, int status, String json, long validUntil) throws Exception {
+  private void answer(ReceivedCall call, int status, String json, long validUntil)
+      throws Exception {
     onLoop(
         () -> {
           server.answer(call.call(), status, json.getBytes(StandardCharsets.UTF_8), validUntil);
@@ -111,25 +113,25 @@
         });
   }
 
-  private Answer exchange(String method, String target, String body) throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request(method, target, body);
-      return caller.read();
+  private Response exchange(String method, String target, String body) throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request(method, target, body);
+      return client.read();
     }
   }
 
   @Test
-  void statusCallIsHandedOverAndMayBeRedirected() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request("GET", "/nettletrail/status/quota/north%20a", "");
-      Taken call = take();
+  void statusRequestIsDispatchedAndMayBeRedirected() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request("GET", "/nettletrail/status/quota/north%20a", "");
+      ReceivedCall call = nextCall();
       assertEquals("quota/north a", call.body());
       onLoop(
           () -> {
             server.redirect(call.call(), "http://127.0.0.1:1/elsewhere");
             return null;
           });
-      Answer answer = caller.read();
+      Response answer = client.read();
       assertEquals(307, answer.status());
       assertEquals("http://127.0.0.1:1/elsewhere", answer.fields().get("location"));
     }
@@ -137,10 +139,10 @@
   }
 
   @Test
-  void heartbeatIsHandedOverWithAllItsFields() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request("PUT", BACKEND, HEARTBEAT);
-      Taken call = take();
+  void heartbeatIsDispatchedWithAllItsFields() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request("PUT", BACKEND, HEARTBEAT);
+      ReceivedCall call = nextCall();
       Backend expected =
           new Backend(
               "i-7f3a",
@@ -157,7 +159,7 @@
       assertEquals("PUT", call.method());
       assertEquals(expected, call.backend());
       answer(call, 200, "");
-      Answer answer = caller.read();
+      Response answer = client.read();
       assertEquals(200, answer.status());
       assertEquals("{}", answer.body());
       assertEquals("application/json", answer.fields().get("content-type"));
@@ -165,14 +167,14 @@
   }
 
   @Test
-  void closingAndOptionalFieldsAreUnderstood() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request(
+  void closingStateAndMissingOptionalFieldsAreParsed() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request(
           "PUT",
           BACKEND,
           "{\"carrier\":\"s\",\"address\":\"10.0.0.1:1\",\"state\":\"closing\",\"call_seq\":9,"
               + "\"stage\":null}");
-      Backend backend = take().backend();
+      Backend backend = nextCall().backend();
       assertEquals(BackendState.CLOSING, backend.getState());
       assertEquals(9L, backend.getCallSequence());
       assertEquals(1, backend.getSlots());
@@ -181,20 +183,20 @@
   }
 
   @Test
-  void deleteSaysGoneWithTheHighestCallSequenceOrTheOneNamed() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request("DELETE", BACKEND, "");
-      caller.request("DELETE", BACKEND + "?call_seq=17", "");
-      Backend first = take().backend();
+  void deleteDeregistersWithTheHighestOrTheGivenCallSequence() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request("DELETE", BACKEND, "");
+      client.request("DELETE", BACKEND + "?call_seq=17", "");
+      Backend first = nextCall().backend();
       assertEquals(BackendState.GONE, first.getState());
       assertEquals("i-7f3a", first.getId());
       assertEquals(ControlCalls.FINAL_CALL_SEQUENCE, first.getCallSequence());
-      assertEquals(17L, take().backend().getCallSequence());
+      assertEquals(17L, nextCall().backend().getCallSequence());
     }
   }
 
   @Test
-  void configurationCallsCarryEditionAndBody() throws Exception {
+  void configurationRequestsAreDispatchedWithEditionAndBody() throws Exception {
     String[][] table = {
       {"PUT", "If-Match: 5\r\n", "5"},
       {"PUT", "If-Match: \"5\"\r\n", "5"},
@@ -203,15 +205,15 @@
       {"GET", "", ""},
     };
     for (String[] row : table) {
-      try (HttpCaller caller = new HttpCaller(address)) {
+      try (RawHttpClient client = new RawHttpClient(address)) {
         String body = row[0].equals("GET") ? "" : "{\"edition\":8}";
-        caller.request(row[0], CONFIGURATION, row[1], body);
-        Taken call = take();
+        client.request(row[0], CONFIGURATION, row[1], body);
+        ReceivedCall call = nextCall();
         assertEquals(row[0], call.method());
         assertEquals(row[2], call.ifMatch());
         assertEquals(body, call.body());
         answer(call, 412, "{\"error\":\"edition\"}");
-        Answer answer = caller.read();
+        Response answer = client.read();
         assertEquals(412, answer.status());
         assertEquals("{\"error\":\"edition\"}", answer.body());
       }
@@ -219,7 +221,7 @@
   }
 
   @Test
-  void callsThatCannotBeUnderstoodAreRefusedWithAReason() throws Exception {
+  void malformedRequestsAreRejectedWithAReason() throws Exception {
     String[][] table = {
       {"PUT", BACKEND, "", "400"},
       {"PUT", BACKEND, "[]", "400"},
@@ -242,23 +244,23 @@
       {"GET", "/", "", "404"},
     };
     for (String[] row : table) {
-      Answer answer = exchange(row[0], row[1], row[2]);
+      Response answer = exchange(row[0], row[1], row[2]);
       String call = String.join(" ", row);
       assertEquals(Integer.parseInt(row[3]), answer.status(), call);
       assertTrue(answer.body().startsWith("{\"error\":\""), call);
       assertTrue(answer.body().length() < 4096, call);
     }
-    assertTrue(taken.isEmpty());
+    assertTrue(received.isEmpty());
   }
 
   @Test
-  void wrongMethodNamesThoseAllowed() throws Exception {
+  void methodNotAllowedListsTheAllowedMethods() throws Exception {
     assertEquals("PUT, DELETE", exchange("GET", BACKEND, "").fields().get("allow"));
     assertEquals("GET, PUT, PATCH", exchange("POST", CONFIGURATION, "").fields().get("allow"));
   }
 
   @Test
-  void readinessFollowsWhatIsSet() throws Exception {
+  void readinessIsTheOneThatWasSet() throws Exception {
     assertEquals(503, exchange("GET", "/nettletrail/ready", "").status());
     onLoop(
         () -> {
@@ -269,66 +271,66 @@
   }
 
   @Test
-  void pipelinedCallsAreAnsweredInTheirOrder() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request("GET", CONFIGURATION, "");
-      caller.request("GET", "/nettletrail/nowhere", "");
-      caller.request("GET", CONFIGURATION, "");
-      Taken first = take();
-      Taken second = take();
+  void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request("GET", CONFIGURATION, "");
+      client.request("GET", "/nettletrail/nowhere", "");
+      client.request("GET", CONFIGURATION, "");
+      ReceivedCall first = nextCall();
+      ReceivedCall second = nextCall();
       answer(second, 200, "{\"call\":2}");
       answer(first, 200, "{\"call\":1}");
-      assertEquals("{\"call\":1}", caller.read().body());
-      assertEquals(404, caller.read().status());
-      assertEquals("{\"call\":2}", caller.read().body());
-      caller.request("GET", CONFIGURATION, "");
-      answer(take(), 200, "{\"call\":3}");
-      assertEquals("{\"call\":3}", caller.read().body());
+      assertEquals("{\"call\":1}", client.read().body());
+      assertEquals(404, client.read().status());
+      assertEquals("{\"call\":2}", client.read().body());
+      client.request("GET", CONFIGURATION, "");
+      answer(nextCall(), 200, "{\"call\":3}");
+      assertEquals("{\"call\":3}", client.read().body());
     }
   }
 
   @Test
-  void answerThatWaitsForAnEarlierOneIsNotWrittenOnceItIsValidNoMore() throws Exception {
+  void answerThatExpiresBehindAnEarlierOneIsReplacedBy503() throws Exception {
     long validUntil = 1_000;
     clock.set(validUntil - 1);
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request("GET", CONFIGURATION, "");
-      caller.request("GET", CONFIGURATION, "");
-      Taken first = take();
-      Taken second = take();
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request("GET", CONFIGURATION, "");
+      client.request("GET", CONFIGURATION, "");
+      ReceivedCall first = nextCall();
+      ReceivedCall second = nextCall();
       answer(second, 200, "{\"call\":2}", validUntil);
       clock.set(validUntil);
       answer(first, 200, "{\"call\":1}", validUntil + 1);
-      assertEquals("{\"call\":1}", caller.read().body());
-      assertEquals(503, caller.read().status());
+      assertEquals("{\"call\":1}", client.read().body());
+      assertEquals(503, client.read().status());
     }
   }
 
   @Test
-  void noMorePipelinedCallsAreTakenThanTheBound() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
+  void noMorePipelinedCallsAreReceivedCallThanTheBound() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
       String request = "GET " + CONFIGURATION + " HTTP/1.1\r\nHost: core\r\n\r\n";
-      caller.write(request.repeat(5));
-      Taken first = take();
-      take();
-      take();
-      assertEquals(3, onLoop(server::openCalls));
+      client.write(request.repeat(5));
+      ReceivedCall first = nextCall();
+      nextCall();
+      nextCall();
+      assertEquals(3, onLoop(server::pendingCalls));
       answer(first, 200, "{}");
-      take();
-      assertEquals(3, onLoop(server::openCalls));
-      assertTrue(taken.isEmpty());
+      nextCall();
+      assertEquals(3, onLoop(server::pendingCalls));
+      assertTrue(received.isEmpty());
     }
   }
 
   @Test
-  void callerThatLeavesIsForgottenAndALateAnswerDropped() throws Exception {
-    Taken call;
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request("GET", CONFIGURATION, "");
-      call = take();
-      assertEquals(1, onLoop(server::openCalls));
+  void callOfADisconnectedClientIsCancelledAndALateAnswerDropped() throws Exception {
+    ReceivedCall call;
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request("GET", CONFIGURATION, "");
+      call = nextCall();
+      assertEquals(1, onLoop(server::pendingCalls));
     }
-    while (onLoop(server::openCalls) > 0) {
+    while (onLoop(server::pendingCalls) > 0) {
       Thread.onSpinWait();
     }
     answer(call, 200, "{}");
@@ -336,35 +338,35 @@
   }
 
   @Test
-  void callerThatAsksForItGetsItsConnectionClosed() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.request("GET", CONFIGURATION, "Connection: close\r\n", "");
-      answer(take(), 200, "{}");
-      assertEquals("close", caller.read().fields().get("connection"));
-      assertTrue(caller.isClosedByServer());
+  void connectionIsClosedAtTheClientsRequest() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.request("GET", CONFIGURATION, "Connection: close\r\n", "");
+      answer(nextCall(), 200, "{}");
+      assertEquals("close", client.read().fields().get("connection"));
+      assertTrue(client.isClosedByServer());
     }
   }
 
   @Test
-  void bodyAboveTheBoundIsRefused() throws Exception {
+  void bodyAboveTheLimitIsRejected() throws Exception {
     assertEquals(413, exchange("PUT", CONFIGURATION, "x".repeat(10_001)).status());
-    assertTrue(taken.isEmpty());
+    assertTrue(received.isEmpty());
   }
 
   @Test
-  void bytesThatAreNoRequestAreRefusedAndTheConnectionClosed() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.write("this is no request\r\n\r\n");
-      assertEquals(400, caller.read().status());
-      assertTrue(caller.isClosedByServer());
+  void undecodableBytesAreRejectedAndTheConnectionClosed() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.write("this is no request\r\n\r\n");
+      assertEquals(400, client.read().status());
+      assertTrue(client.isClosedByServer());
     }
   }
 
   @Test
-  void requestThatDoesNotEndClosesItsConnection() throws Exception {
+  void incompleteRequestTimesOut() throws Exception {
     listenWithShortTimeouts();
-    try (HttpCaller headOnly = new HttpCaller(address);
-        HttpCaller bodyCut = new HttpCaller(address)) {
+    try (RawHttpClient headOnly = new RawHttpClient(address);
+        RawHttpClient bodyCut = new RawHttpClient(address)) {
       headOnly.write("GET /nettletrail/config HTTP/1.1\r\nHost: co");
       bodyCut.write("PUT /nettletrail/config HTTP/1.1\r\nContent-Length: 9\r\n\r\nx");
       assertTrue(headOnly.isClosedByServer());
@@ -373,33 +375,33 @@
   }
 
   @Test
-  void restingConnectionIsClosedButNotOneThatWaitsForItsAnswer() throws Exception {
+  void idleConnectionTimesOutButNotOneThatWaitsForItsAnswer() throws Exception {
     listenWithShortTimeouts();
-    try (HttpCaller resting = new HttpCaller(address);
-        HttpCaller waiting = new HttpCaller(address)) {
+    try (RawHttpClient idle = new RawHttpClient(address);
+        RawHttpClient waiting = new RawHttpClient(address)) {
       waiting.request("GET", CONFIGURATION, "");
-      Taken call = take();
-      assertTrue(resting.isClosedByServer());
+      ReceivedCall call = nextCall();
+      assertTrue(idle.isClosedByServer());
       answer(call, 200, "{}");
       assertEquals(200, waiting.read().status());
     }
   }
 
   @Test
-  void connectionsAboveTheBoundAreClosed() throws Exception {
-    HttpCaller[] callers = new HttpCaller[4];
+  void connectionsAboveTheLimitAreClosed() throws Exception {
+    RawHttpClient[] clients = new RawHttpClient[4];
     try {
-      for (int index = 0; index < callers.length; index++) {
-        callers[index] = new HttpCaller(address);
-        callers[index].request("GET", CONFIGURATION, "");
-        take();
+      for (int index = 0; index < clients.length; index++) {
+        clients[index] = new RawHttpClient(address);
+        clients[index].request("GET", CONFIGURATION, "");
+        nextCall();
       }
-      try (HttpCaller surplus = new HttpCaller(address)) {
+      try (RawHttpClient surplus = new RawHttpClient(address)) {
         assertTrue(surplus.isClosedByServer());
       }
     } finally {
-      for (HttpCaller caller : callers) {
-        caller.close();
+      for (RawHttpClient client : clients) {
+        client.close();
       }
     }
   }
--- a/fleet/src/test/java/nettletrail/fleet/http/CallOrderTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/http/PipelinedRequestTest.java
@@ -13,24 +13,24 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import nettletrail.fleet.http.HttpCaller.Answer;
+import nettletrail.fleet.http.RawHttpClient.Response;
 import nettletrail.protocol.Backend;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** No call of the control interface gets the answer to another one. */
+/** No request of a pipelined connection gets the response to another one. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class CallOrderTest {
-  private static final long PATIENCE_SECONDS = 20;
+class PipelinedRequestTest {
+  private static final long TIMEOUT_SECONDS = 20;
   private static final int MAX_BODY_BYTES = 1_000;
   private static final String GET = "GET /nettletrail/config HTTP/1.1\r\nHost: core\r\n";
   private static final String PUT = "PUT /nettletrail/config HTTP/1.1\r\nHost: core\r\n";
 
   private final EventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
-  private final BlockingQueue<Long> taken = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Long> received = new LinkedBlockingQueue<>();
   private ControlServer server;
   private InetSocketAddress address;
 
@@ -47,102 +47,102 @@
     server.close();
     group
         .shutdownGracefully(0, 1, TimeUnit.SECONDS)
-        .awaitUninterruptibly(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        .awaitUninterruptibly(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private final class RecordingCalls implements ControlCalls {
     @Override
     public void backend(long call, String method, Backend backend) {
-      taken.add(call);
+      received.add(call);
     }
 
     @Override
     public void configuration(long call, String method, String ifMatch, byte[] body) {
-      taken.add(call);
+      received.add(call);
     }
 
     @Override
     public void status(long call, String resource) {
-      taken.add(call);
+      received.add(call);
     }
   }
 
-  private long take() throws InterruptedException {
-    Long call = taken.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+  private long nextCall() throws InterruptedException {
+    Long call = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertNotNull(call);
     return call;
   }
 
   private void answer(long call, String text) throws Exception {
     byte[] json = ("{\"text\":\"" + text + "\"}").getBytes(StandardCharsets.UTF_8);
-    loop.submit(() -> server.answer(call, 200, json)).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    loop.submit(() -> server.answer(call, 200, json)).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private static void assertText(String text, Answer answer) {
+  private static void assertText(String text, Response answer) {
     assertEquals(200, answer.status());
     assertEquals("{\"text\":\"" + text + "\"}", answer.body());
   }
 
   @Test
-  void bodyThatIsTooLargeIsRefusedInItsTurn() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
+  void bodyThatIsTooLargeIsRejectedInItsTurn() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
       int length = MAX_BODY_BYTES + 1;
-      caller.write(GET + "\r\n" + PUT + "Content-Length: " + length + "\r\n\r\n");
-      answer(take(), "first");
-      assertText("first", caller.read());
-      assertEquals(413, caller.read().status());
-      assertTrue(caller.isClosedByServer());
+      client.write(GET + "\r\n" + PUT + "Content-Length: " + length + "\r\n\r\n");
+      answer(nextCall(), "first");
+      assertText("first", client.read());
+      assertEquals(413, client.read().status());
+      assertTrue(client.isClosedByServer());
     }
   }
 
   @Test
-  void continueIsNotTheAnswerToAnEarlierCall() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.write(
+  void continueIsNotTheResponseToAnEarlierRequest() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.write(
           GET + "\r\n" + PUT + "Expect: 100-continue\r\nContent-Length: 2\r\nIf-Match: 1\r\n\r\n");
-      answer(take(), "first");
-      assertText("first", caller.read());
-      caller.write("{}");
-      answer(take(), "second");
-      assertText("second", caller.read());
+      answer(nextCall(), "first");
+      assertText("first", client.read());
+      client.write("{}");
+      answer(nextCall(), "second");
+      assertText("second", client.read());
     }
   }
 
   @Test
-  void refusedExpectationIsNotTheAnswerToAnEarlierCall() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
+  void rejectedExpectationIsNotTheResponseToAnEarlierRequest() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
       int length = MAX_BODY_BYTES + 1;
       String fields = "Expect: 100-continue\r\nContent-Length: " + length + "\r\n\r\n";
-      caller.write(GET + "\r\n" + PUT + fields);
-      answer(take(), "first");
-      assertText("first", caller.read());
-      assertEquals(413, caller.read().status());
-      assertTrue(caller.isClosedByServer());
+      client.write(GET + "\r\n" + PUT + fields);
+      answer(nextCall(), "first");
+      assertText("first", client.read());
+      assertEquals(413, client.read().status());
+      assertTrue(client.isClosedByServer());
     }
   }
 
   @Test
-  void callBehindOneThatEndsItsConnectionIsNotTaken() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.write(GET + "Connection: close\r\n\r\n" + GET + "\r\n");
-      answer(take(), "first");
-      assertText("first", caller.read());
-      assertTrue(caller.isClosedByServer());
-      assertTrue(taken.isEmpty());
+  void callBehindOneThatEndsItsConnectionIsNotReceivedCall() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.write(GET + "Connection: close\r\n\r\n" + GET + "\r\n");
+      answer(nextCall(), "first");
+      assertText("first", client.read());
+      assertTrue(client.isClosedByServer());
+      assertTrue(received.isEmpty());
     }
   }
 
   @Test
-  void lateAnswerToACallerThatLeftIsNobodys() throws Exception {
+  void lateAnswerToADisconnectedClientIsDropped() throws Exception {
     long late;
-    try (HttpCaller leaving = new HttpCaller(address)) {
+    try (RawHttpClient leaving = new RawHttpClient(address)) {
       leaving.write(GET + "\r\n");
-      late = take();
+      late = nextCall();
     }
-    try (HttpCaller staying = new HttpCaller(address)) {
+    try (RawHttpClient staying = new RawHttpClient(address)) {
       staying.write(GET + "\r\n" + GET + "\r\n");
-      long first = take();
-      long second = take();
+      long first = nextCall();
+      long second = nextCall();
       answer(second, "second");
       answer(late, "late");
       answer(first, "first");
@@ -152,16 +152,16 @@
   }
 
   @Test
-  void secondAnswerToACallIsNotTheNextCalls() throws Exception {
-    try (HttpCaller caller = new HttpCaller(address)) {
-      caller.write(GET + "\r\n" + GET + "\r\n");
-      long first = take();
-      long second = take();
+  void secondAnswerToACallIsDropped() throws Exception {
+    try (RawHttpClient client = new RawHttpClient(address)) {
+      client.write(GET + "\r\n" + GET + "\r\n");
+      long first = nextCall();
+      long second = nextCall();
       answer(first, "first");
       answer(first, "again");
       answer(second, "second");
-      assertText("first", caller.read());
-      assertText("second", caller.read());
+      assertText("first", client.read());
+      assertText("second", client.read());
     }
   }
 }
--- a/fleet/src/test/java/nettletrail/fleet/http/HttpCaller.java
+++ b/fleet/src/test/java/nettletrail/fleet/http/RawHttpClient.java
@@ -12,16 +12,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A plain client of a test: writes bytes as they are and reads one answer after the other. */
-final class HttpCaller implements AutoCloseable {
+/** A client of tests that writes raw bytes and reads one response after the other. */
+final class RawHttpClient implements AutoCloseable {
   private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-  /** An answer; the names of the fields are in lower case. */
-  record Answer(int status, Map<String, String> fields, String body) {}
+  /** A response; the names of the header fields are in lower case. */
+  record Response(int status, Map<String, String> fields, String body) {}
 
   private final Socket socket;
 
-  HttpCaller(InetSocketAddress server) throws IOException {
+  RawHttpClient(InetSocketAddress server) throws IOException {
     socket = new Socket(server.getAddress(), server.getPort());
     socket.setSoTimeout(READ_TIMEOUT_MILLIS);
   }
@@ -40,7 +40,7 @@
     write("Content-Length: " + length + "\r\n\r\n" + body);
   }
 
-  Answer read() throws IOException {
+  Response read() throws IOException {
     int status = Integer.parseInt(line().split(" ")[1]);
     Map<String, String> fields = new TreeMap<>();
     for (String line = line(); !line.isEmpty(); line = line()) {
@@ -50,7 +50,7 @@
     }
     int length = Integer.parseInt(fields.getOrDefault("content-length", "0"));
     byte[] body = socket.getInputStream().readNBytes(length);
-    return new Answer(status, fields, new String(body, StandardCharsets.UTF_8));
+    return new Response(status, fields, new String(body, StandardCharsets.UTF_8));
   }
 
   private String line() throws IOException {
@@ -65,7 +65,7 @@
     return line.toString(StandardCharsets.UTF_8).strip();
   }
 
-  /** True once the server has closed the connection; fails if something is read instead. */
+  /** Waits for data; whether the server closed the connection instead of sending any. */
   boolean isClosedByServer() throws IOException {
     try {
       return socket.getInputStream().read() < 0;
