--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/GroupChangeBounds.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/GroupChangeBounds.java
@@ -31,13 +31,37 @@
   private static final long SMALL_CATCH_UP = TimeUnit.SECONDS.toNanos(4) - PROCESS_START;
   private static final long LARGE_CATCH_UP = TimeUnit.SECONDS.toNanos(6) - PROCESS_START;
 
+  private static final int SMALL_GROUP = 3;
+  private static final int SMALL_TOLERATED_LOSSES = 1;
+  private static final int LARGE_GROUP = 5;
+  private static final int LARGE_TOLERATED_LOSSES = 2;
+
+  /** Of the replicas beside the owner, more would only repeat the same states under other names. */
+  private static final int FAULT_CANDIDATES = 3;
+
   /** Three machines that withstand one loss. */
   static GroupChangeBounds three(int transitions, int losses, int crashes) {
-    return new GroupChangeBounds(3, 1, SMALL_CATCH_UP, transitions, 1, losses, crashes, 3);
+    return new GroupChangeBounds(
+        SMALL_GROUP,
+        SMALL_TOLERATED_LOSSES,
+        SMALL_CATCH_UP,
+        transitions,
+        1,
+        losses,
+        crashes,
+        FAULT_CANDIDATES);
   }
 
   /** Five machines that withstand two losses; the owner and one other are in trouble. */
   static GroupChangeBounds five(int transitions, int losses, int crashes) {
-    return new GroupChangeBounds(5, 2, LARGE_CATCH_UP, transitions, 1, losses, crashes, 3);
+    return new GroupChangeBounds(
+        LARGE_GROUP,
+        LARGE_TOLERATED_LOSSES,
+        LARGE_CATCH_UP,
+        transitions,
+        1,
+        losses,
+        crashes,
+        FAULT_CANDIDATES);
   }
 }
