--- a/control/src/test/java/nettletrail/control/shard/AcceptorTest.java
+++ b/control/src/test/java/nettletrail/control/shard/AcceptorTest.java
@@ -23,7 +23,7 @@
 import org.apache.avro.specific.SpecificRecord;
 import org.junit.jupiter.api.Test;
 
-/** What one voter may and may not answer. */
+/** Which requests an acceptor grants, and when it replies. */
 class AcceptorTest {
 
   private static final ShardSettings SETTINGS = ShardSettings.defaults();
@@ -39,8 +39,8 @@
     return new Acceptor(0, SELF, SETTINGS, nothing, actionQueue, votingStartsAt);
   }
 
-  private static ProposalNumber proposal(long round, Member member) {
-    return new ProposalNumber(round, member.getId());
+  private static ProposalNumber proposal(long lastAttempt, Member member) {
+    return new ProposalNumber(lastAttempt, member.getId());
   }
 
   private static Accept accept(ProposalNumber proposal, long sequence) {
@@ -68,14 +68,11 @@
   private long onlyStored() {
     List<CoreAction> actions = actionQueue.drain();
     assertEquals(1, actions.size(), actions.toString());
-    CoreAction action = actions.get(0);
-    return action instanceof CoreAction.StorePromise promise
-        ? promise.ticket()
-        : ((CoreAction.StoreVersion) action).ticket();
+    return SimulatedDisk.ticket(actions.get(0));
   }
 
   @Test
-  void givenPrepare_whenNotYetDurable_thenNoAnswer() {
+  void givenPrepare_whenPromiseIsNotYetDurable_thenNoReply() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(1, CANDIDATE)), 0);
     long ticket = onlyStored();
@@ -84,7 +81,7 @@
   }
 
   @Test
-  void givenPrepare_whenStorageFails_thenRefused() {
+  void givenPrepare_whenStorageFails_thenRejected() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(1, CANDIDATE)), 0);
     acceptor.onStored(onlyStored(), StoreOutcome.failed("full"));
@@ -92,7 +89,7 @@
   }
 
   @Test
-  void givenPromise_whenAcceptOfALowerBallotComes_thenRefused() {
+  void givenPromise_whenAcceptOfALowerProposalNumberArrives_thenRejected() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
     actionQueue.drain();
@@ -103,7 +100,7 @@
   }
 
   @Test
-  void givenPromise_whenPreparedWithTheSameBallot_thenRefused() {
+  void givenPromise_whenPreparedWithTheSameProposalNumber_thenRejected() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
     actionQueue.drain();
@@ -112,7 +109,7 @@
   }
 
   @Test
-  void givenJustStarted_whenPrepared_thenNoPromiseForAWholeLease() {
+  void givenJustStarted_whenPrepared_thenNoPromiseForAFullLease() {
     Acceptor acceptor = acceptor(LEASE);
     acceptor.onPrepare("c:1", prepare(proposal(1, CANDIDATE)), LEASE - 1);
     assertFalse(onlySent(PrepareReply.class).getGranted());
@@ -124,7 +121,7 @@
   }
 
   @Test
-  void givenLease_whenAnotherPrepares_thenRefusedUntilItEnds() {
+  void givenLease_whenAnotherPrepares_thenRejectedUntilItExpires() {
     Acceptor acceptor = acceptor(0);
     assertTrue(acceptor.onHeartbeat(heartbeat(proposal(1, OWNER)), 100).getGranted());
     acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 99 + LEASE);
@@ -134,7 +131,7 @@
   }
 
   @Test
-  void givenLease_whenItsHolderPreparesAnew_thenGranted() {
+  void givenLease_whenTheOwnerPreparesAgain_thenPromised() {
     Acceptor acceptor = acceptor(0);
     acceptor.onHeartbeat(heartbeat(proposal(1, OWNER)), 100);
     acceptor.onPrepare("b:1", prepare(proposal(2, OWNER)), 200);
@@ -142,7 +139,7 @@
   }
 
   @Test
-  void givenLease_whenItsHolderReleasesIt_thenAnotherMayPrepare() {
+  void givenLease_whenTheOwnerReleasesIt_thenAnotherMayPrepare() {
     Acceptor acceptor = acceptor(0);
     acceptor.onHeartbeat(heartbeat(proposal(1, OWNER)), 100);
     assertTrue(acceptor.onRelease(proposal(1, OWNER), 200));
@@ -151,7 +148,7 @@
   }
 
   @Test
-  void givenLaterLeaseOfTheSameNode_whenALateReleaseComes_thenTheLeaseStays() {
+  void givenLaterLeaseOfTheSameNode_whenADelayedReleaseArrives_thenTheLeaseRemains() {
     Acceptor acceptor = acceptor(0);
     acceptor.onHeartbeat(heartbeat(proposal(3, OWNER)), 100);
     assertFalse(acceptor.onRelease(proposal(1, OWNER), 200));
@@ -160,7 +157,7 @@
   }
 
   @Test
-  void givenJustStarted_whenALeaseIsReleased_thenStillNoPromiseForAWholeLease() {
+  void givenJustStarted_whenALeaseIsReleased_thenStillNoPromiseForAFullLease() {
     Acceptor acceptor = acceptor(LEASE);
     acceptor.onHeartbeat(heartbeat(proposal(1, OWNER)), 100);
     acceptor.onRelease(proposal(1, OWNER), 200);
@@ -169,7 +166,7 @@
   }
 
   @Test
-  void givenPromiseUnderWay_whenAnOlderOwnerBeats_thenNoLease() {
+  void givenPromiseBeingStored_whenAnOlderOwnerSendsAHeartbeat_thenNoLease() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(5, CANDIDATE)), 0);
     actionQueue.drain();
@@ -196,7 +193,7 @@
   }
 
   @Test
-  void givenVersionThatFailedToStore_whenPrepared_thenItIsNotNamed() {
+  void givenVersionThatFailedToStore_whenPrepared_thenThePromiseDoesNotNameIt() {
     Acceptor acceptor = acceptor(0);
     acceptor.onAccept("b:1", accept(proposal(1, OWNER), 3));
     acceptor.onStored(onlyStored(), StoreOutcome.failed("full"));
@@ -207,7 +204,7 @@
   }
 
   @Test
-  void givenPromiseOvertakenWhileStored_whenDurable_thenRefused() {
+  void givenPromiseSupersededWhileBeingStored_whenDurable_thenRejected() {
     Acceptor acceptor = acceptor(0);
     acceptor.onPrepare("c:1", prepare(proposal(2, CANDIDATE)), 0);
     long ticket = onlyStored();
@@ -219,7 +216,7 @@
   }
 
   @Test
-  void givenStalledStorage_whenManyVersionsCome_thenOnlyTheNewestWaits() {
+  void givenStalledStorage_whenManyVersionsArrive_thenOnlyTheNewestIsPending() {
     Acceptor acceptor = acceptor(0);
     for (long sequence = 1; sequence <= 100; sequence++) {
       acceptor.onAccept("b:1", accept(proposal(1, OWNER), sequence));
--- a/control/src/test/java/nettletrail/control/shard/AppliedChangesTest.java
+++ b/control/src/test/java/nettletrail/control/shard/AppliedChangesTest.java
@@ -13,7 +13,7 @@
 import nettletrail.protocol.OrderForward;
 import org.junit.jupiter.api.Test;
 
-/** What is known of orders that come again, and what it costs to know it. */
+/** Which retried requests are recognised, and the size of the list. */
 class AppliedChangesTest {
 
   private static final int EDITION_STEP = 3;
@@ -23,7 +23,7 @@
     return AppliedChanges.digest(new OrderForward(1L, "PUT", "" + ifMatch, bytes), ifMatch);
   }
 
-  /** Orders with the editions 3, 6, 9 and so on, each on top of the one before. */
+  /** Changes that made the editions 3, 6, 9 and so on, each built on the one before. */
   private static AppliedChanges historyOf(int orders) {
     AppliedChanges history = new AppliedChanges(List.of());
     for (long number = 1; number <= orders; number++) {
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void givenTakenOrders_whenTheyComeAgain_thenEachIsKnownByItsEdition() {
+  void givenAppliedChanges_whenSentAgain_thenEachIsKnownByItsEdition() {
     AppliedChanges history = historyOf(1_100);
     for (int number = 1; number <= 1_100; number++) {
       long ifMatch = (long) (number - 1) * EDITION_STEP;
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void givenTakenOrders_whenAnotherBuildsOnTheSameEdition_thenItWasNotTaken() {
+  void givenAppliedChanges_whenAnotherBuildsOnTheSameEdition_thenItWasNotApplied() {
     AppliedChanges history = historyOf(10);
     assertEquals(Outcome.NOT_APPLIED, outcome(history, 0, "other"));
     assertEquals(Outcome.NOT_APPLIED, outcome(history, 27, "other"));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void givenMoreOrdersThanAreRemembered_whenOneOfTheFirstComesAgain_thenItIsNotSaidToBeNotTaken() {
+  void givenMoreChangesThanAreRemembered_whenOneOfTheFirstIsSentAgain_thenItsOutcomeIsUnknown() {
     AppliedChanges history = historyOf(AppliedChanges.MAX_CHANGES + 5);
     assertEquals(AppliedChanges.MAX_CHANGES, history.changes().size());
     assertEquals(Outcome.UNKNOWN, outcome(history, 0, "order 1"));
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void givenWholeDigestOfAnEarlierVersion_whenTheOrderComesAgain_thenItIsTaken()
+  void givenFullDigestOfAnEarlierRelease_whenTheRequestIsSentAgain_thenItWasApplied()
       throws NoSuchAlgorithmException {
     MessageDigest complete = MessageDigest.getInstance("SHA-256");
     complete.update("PUT\n0\nbody".getBytes(StandardCharsets.UTF_8));
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void givenLongDay_whenEncoded_thenTheHistoryStaysSmall() {
+  void givenManyChanges_whenEncoded_thenTheirSizeIsBounded() {
     assertTrue(encodedBytes(1_100) <= 22_500, encodedBytes(1_100) + " bytes");
     assertTrue(encodedBytes(AppliedChanges.MAX_CHANGES) <= 84_000);
     assertEquals(
--- a/control/src/test/java/nettletrail/control/shard/BoundedExplorationTest.java
+++ b/control/src/test/java/nettletrail/control/shard/BoundedExplorationTest.java
@@ -6,22 +6,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays every run of three replicas over two elections, with each choice of a replica that is cut
- * off during the first and during the second, that differs from the usual order in at most {@code
- * shard.deviations} steps: a message or storage operation out of order or lost, a crash, or a
- * lease's time that passes.
+ * Bounded model checking: explores every run of three replicas over two elections, with each choice
+ * of a replica that is partitioned during the first and the second, that differs from the usual
+ * order in at most {@code shard.deviations} steps. A deviation is a message or storage operation
+ * out of order or lost, a crash, or a lease that expires.
  */
 class BoundedExplorationTest {
 
   private static final int DEVIATIONS = Integer.getInteger("shard.deviations", 1);
-  private static final List<Integer> CUT_OFF = List.of(ExploredShard.NOBODY, 0, 1, 2);
+  private static final List<Integer> PARTITIONED = List.of(ExploredShard.NONE, 0, 1, 2);
 
   @Test
-  void givenThreeReplicas_whenFewStepsDeviate_thenOneOwnerAndNothingCommittedIsLost() {
+  void givenThreeReplicas_whenFewStepsDeviate_thenOneOwnerAndNoCommittedVersionIsLost() {
     long runs = 0;
     long commits = 0;
-    for (int first : CUT_OFF) {
-      for (int second : CUT_OFF) {
+    for (int first : PARTITIONED) {
+      for (int second : PARTITIONED) {
         ChoiceSequence choices = new ChoiceSequence(DEVIATIONS);
         do {
           choices.restart();
--- a/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
@@ -12,18 +12,18 @@
 import nettletrail.protocol.PreVote;
 import org.junit.jupiter.api.Test;
 
-/** A replica that is behind, under a configuration that changes all the time. */
+/** Catch-up of a replica that is behind, while the configuration changes continuously. */
 class CatchUpTest {
 
   private static final int DOCUMENT_BYTES = 100_000;
-  private static final int THIN_LINK_BYTES_PER_SECOND = 200_000;
+  private static final int SLOW_LINK_BYTES_PER_SECOND = 200_000;
   private static final long CHANGE_PERIOD = millis(50);
   private static final int CHANGES = 400;
 
-  /** The time that four documents need on the thin link, and some for the rest. */
+  /** The transmission time of four documents on the slow link, and a margin. */
   private static final long CATCH_UP_LIMIT = millis(2_500);
 
-  /** Of letters that don't repeat, so that the document stays large when it is compressed. */
+  /** Random letters, so that the document stays large when it is compressed. */
   private static final String TEXT = randomText();
 
   private static final int STORED_BYTES =
@@ -44,7 +44,7 @@
     private final SimulatedCore core;
     private final int changes;
     private long edition;
-    private int refused;
+    private int rejected;
 
     SteadyChanges(SimulatedCluster cluster, SimulatedCore core, int changes) {
       this.cluster = cluster;
@@ -53,17 +53,17 @@
       this.changes = changes;
     }
 
-    /** Makes all changes; one is taken before the next is sent. */
+    /** Makes all changes; each is acknowledged before the next is sent. */
     void run() {
       for (int change = 0; change < changes; change++) {
         long end = cluster.now() + CHANGE_PERIOD;
         long next = edition + 1;
         String document = next + " " + TEXT;
-        refused += operator.put(core, edition, document) == OperatorResponses.OK ? 0 : 1;
+        rejected += operator.put(core, edition, document) == OperatorResponses.OK ? 0 : 1;
         edition = next;
         cluster.runFor(Math.max(0, end - cluster.now()));
       }
-      assertEquals(0, refused, "changes that were not taken");
+      assertEquals(0, rejected, "changes that were not taken");
     }
 
     long edition() {
@@ -86,7 +86,7 @@
   private static void limitLinksTo(SimulatedCluster cluster, SimulatedCore core) {
     for (SimulatedCore other : cluster.cores()) {
       String link = SimulatedCluster.link(other.address, core.address);
-      cluster.bandwidth().limit(link, THIN_LINK_BYTES_PER_SECOND);
+      cluster.bandwidth().limit(link, SLOW_LINK_BYTES_PER_SECOND);
     }
   }
 
@@ -100,29 +100,30 @@
   }
 
   @Test
-  void givenThinLinkToAReplica_whenLargeDocumentsChangeAllTheTime_thenNothingQueuesBehindAnother() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(31, 3);
+  void
+      givenSlowLinkToAReplica_whenLargeDocumentsChangeContinuously_thenNoVersionQueuesBehindAnother() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(31, 3);
     OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
-    SimulatedCore thin = operator.followers().get(0);
-    limitLinksTo(cluster, thin);
+    SimulatedCore slow = operator.followers().get(0);
+    limitLinksTo(cluster, slow);
     SteadyChanges changes = new SteadyChanges(cluster, owner, CHANGES);
     changes.run();
-    long oneDocument = STORED_BYTES * 1_000_000_000L / THIN_LINK_BYTES_PER_SECOND;
-    long longest = longestQueueTo(cluster, thin);
+    long oneDocument = STORED_BYTES * 1_000_000_000L / SLOW_LINK_BYTES_PER_SECOND;
+    long longest = longestQueueTo(cluster, slow);
     assertTrue(longest <= 22 * oneDocument / 10, "waited on the link: " + longest / 1e9 + " s");
     cluster.runFor(CATCH_UP_LIMIT);
-    assertEquals(changes.edition(), acceptedEdition(thin));
-    assertEquals(changes.edition(), thin.announced.edition());
+    assertEquals(changes.edition(), acceptedEdition(slow));
+    assertEquals(changes.edition(), slow.announced.edition());
   }
 
   @Test
-  void givenReplicaThatWasAwayForAllChanges_whenItReturns_thenOneVersionBringsItUp() {
+  void givenReplicaThatMissedAllChanges_whenItReturns_thenOneVersionCatchesItUp() {
     assertTrue(bytesOfCatchUp(CHANGES) < 1.2 * bytesOfCatchUp(CHANGES / 10));
   }
 
   private static long bytesOfCatchUp(int changeCount) {
-    SimulatedCluster cluster = OperatorClient.settledCluster(32, 3);
+    SimulatedCluster cluster = OperatorClient.startedCluster(32, 3);
     OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore away = operator.followers().get(0);
@@ -139,8 +140,8 @@
   }
 
   @Test
-  void givenFullDiskThroughAllChanges_whenItHasRoomAgain_thenTheReplicaHoldsTheNewest() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(33, 3);
+  void givenFullDiskDuringAllChanges_whenItHasSpaceAgain_thenTheReplicaStoresTheNewestVersion() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(33, 3);
     OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore full = operator.followers().get(0);
@@ -155,8 +156,8 @@
   }
 
   @Test
-  void givenStaleReplicaThatAloneStandsForElection_whenItWins_thenItLeadsWithTheNewestState() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(35, 3);
+  void givenStaleReplicaAsOnlyCandidate_whenItWins_thenItOwnsTheNewestVersion() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(35, 3);
     OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore stale = operator.followers().get(0);
--- a/control/src/test/java/nettletrail/control/shard/ChoiceSequence.java
+++ b/control/src/test/java/nettletrail/control/shard/ChoiceSequence.java
@@ -9,14 +9,14 @@
  */
 final class ChoiceSequence {
 
-  private final int maximumDeviations;
+  private final int maxDeviations;
   private final List<Integer> choices = new ArrayList<>();
   private final List<Integer> alternatives = new ArrayList<>();
   private int position;
   private int deviations;
 
-  ChoiceSequence(int maximumDeviations) {
-    this.maximumDeviations = maximumDeviations;
+  ChoiceSequence(int maxDeviations) {
+    this.maxDeviations = maxDeviations;
   }
 
   /** Starts the next run. */
@@ -27,7 +27,7 @@
 
   /** The next choice of this run, below count. */
   int choose(int count) {
-    int allowed = deviations < maximumDeviations ? count : 1;
+    int allowed = deviations < maxDeviations ? count : 1;
     if (position == choices.size()) {
       choices.add(0);
       alternatives.add(allowed);
--- a/control/src/test/java/nettletrail/control/shard/ClusterInvariants.java
+++ b/control/src/test/java/nettletrail/control/shard/ClusterInvariants.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What must hold at all times in a {@link SimulatedCluster}; a violation is an AssertionError. */
+/** The invariants of a {@link SimulatedCluster}; a violation is an AssertionError. */
 final class ClusterInvariants {
 
-  /** An order as an operator saw it end. */
+  /** A change that an operator got an acknowledgement for. */
   private record Acknowledged(long ifMatch, long edition, String document, long time) {}
 
   private final SimulatedCluster cluster;
@@ -19,7 +19,7 @@
   private final Map<Long, String> documentByEdition = new HashMap<>();
   private final Map<Long, Acknowledged> acknowledgedByIfMatch = new HashMap<>();
   private final List<Acknowledged> acknowledged = new ArrayList<>();
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> rejected = new HashSet<>();
 
   ClusterInvariants(SimulatedCluster cluster) {
     this.cluster = cluster;
@@ -29,7 +29,7 @@
     return acknowledged.size();
   }
 
-  /** Checks leases and confirmations of all processes that run. */
+  /** Checks leases and quorum reads of all running processes. */
   void check() {
     for (int shard = 0; shard < SimulatedCore.SHARDS; shard++) {
       long owners = 0;
@@ -41,11 +41,11 @@
       }
     }
     cluster.runningCores().forEach(this::checkConfirmation);
-    checkOwnerHoldsTheNewest();
+    checkOwnerKnowsTheNewest();
   }
 
-  /** Whoever owns the configuration knows every change that was acknowledged. */
-  private void checkOwnerHoldsTheNewest() {
+  /** The owner of the configuration knows every acknowledged change. */
+  private void checkOwnerKnowsTheNewest() {
     SimulatedCore owner = cluster.owner(CoreShards.CONFIGURATION_SHARD);
     if (owner == null || acknowledged.isEmpty()) {
       return;
@@ -85,7 +85,7 @@
     String document = text(configuration.document());
     requireSame(documentBySequence, configuration.sequence(), document);
     requireSame(documentByEdition, configuration.edition(), document);
-    if (refused.contains(document)) {
+    if (rejected.contains(document)) {
       throw new AssertionError("refused, yet in force: " + document);
     }
   }
@@ -97,9 +97,9 @@
     }
   }
 
-  /** An operator heard 200 to a PUT. */
+  /** An operator got 200 for a PUT. */
   void onAcknowledged(long ifMatch, long edition, String document) {
-    if (refused.contains(document)) {
+    if (rejected.contains(document)) {
       throw new AssertionError("refused before, now taken: " + document);
     }
     Acknowledged order = new Acknowledged(ifMatch, edition, document, cluster.now());
@@ -113,9 +113,9 @@
     }
   }
 
-  /** An operator heard a 4xx to a PUT. */
-  void onRefused(String document) {
-    refused.add(document);
+  /** An operator got a 4xx for a PUT. */
+  void onRejected(String document) {
+    rejected.add(document);
     boolean taken = acknowledged.stream().anyMatch(order -> order.document().equals(document));
     if (taken || documentByEdition.containsValue(document)) {
       throw new AssertionError("taken, yet refused: " + document);
--- a/control/src/test/java/nettletrail/control/shard/CoreShardsTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CoreShardsTest.java
@@ -25,32 +25,24 @@
 import org.apache.avro.specific.SpecificRecord;
 import org.junit.jupiter.api.Test;
 
-/** The basic flows of a core of three machines. */
+/** The basic flows of a simulated core of three machines. */
 class CoreShardsTest {
 
-  private static CoreAction.AnswerOperator callAndWait(
-      SimulatedCluster cluster, SimulatedCore core, String method, String ifMatch, String body) {
-    AtomicReference<CoreAction.AnswerOperator> answer = new AtomicReference<>();
-    byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    cluster.call(core, method, ifMatch, bytes, answer::set);
-    cluster.runUntil(() -> answer.get() != null, millis(1500));
-    return answer.get();
+  private static int call(
+      SimulatedCluster cluster, int core, String method, String ifMatch, String body) {
+    return new OperatorClient(cluster).call(cluster.core(core), method, ifMatch, body);
   }
 
   private static int put(SimulatedCluster cluster, int core, String ifMatch, String body) {
-    return callAndWait(cluster, cluster.core(core), "PUT", ifMatch, body).status();
+    return call(cluster, core, "PUT", ifMatch, body);
   }
 
   private static String read(SimulatedCluster cluster, int core) {
-    CoreAction.AnswerOperator answer = callAndWait(cluster, cluster.core(core), "GET", "", "");
-    return answer.status() == 200 ? ClusterInvariants.text(answer.body()) : "" + answer.status();
+    return new OperatorClient(cluster).read(cluster.core(core));
   }
 
-  private static SimulatedCluster settled(long seed) {
-    SimulatedCluster cluster = SimulatedCluster.started(seed, 3);
-    assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(5000)));
-    cluster.runFor(millis(300));
-    return cluster;
+  private static SimulatedCluster startedCluster(long seed) {
+    return OperatorClient.startedCluster(seed, 3);
   }
 
   private static int indexOf(SimulatedCluster cluster, SimulatedCore core) {
@@ -71,7 +63,7 @@
 
   @Test
   void givenFirstStart_whenSettled_thenShardsAreSpread() {
-    SimulatedCluster cluster = settled(7);
+    SimulatedCluster cluster = startedCluster(7);
     Set<String> owners = new HashSet<>();
     for (int shard = 0; shard < SimulatedCore.SHARDS; shard++) {
       owners.add(cluster.owner(shard).address);
@@ -80,10 +72,10 @@
   }
 
   @Test
-  void givenWriteThatOthersKnowAsCommitted_whenOwnerIsReadBeforeItKnows_thenNotTheOlderVersion() {
+  void givenCommitThatTheOwnerHasNotSeen_whenTheOwnerIsRead_thenNotTheOlderVersion() {
     int cases = 0;
     for (long seed = 1; seed <= 60; seed++) {
-      SimulatedCluster cluster = settled(seed);
+      SimulatedCluster cluster = startedCluster(seed);
       assertEquals(200, put(cluster, 0, "0", "3 first"));
       cluster.runFor(millis(600));
       SimulatedCore owner = cluster.owner(0);
@@ -102,8 +94,8 @@
   }
 
   @Test
-  void givenOwner_whenOrdersAtEachMachine_thenTakenAndReadEverywhere() {
-    SimulatedCluster cluster = settled(1);
+  void givenOwner_whenRequestsArriveAtEachMachine_thenAppliedAndReadEverywhere() {
+    SimulatedCluster cluster = startedCluster(1);
     assertEquals("404", read(cluster, 0));
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     assertEquals(200, put(cluster, 1, "3", "5 second"));
@@ -118,8 +110,8 @@
   }
 
   @Test
-  void givenTakenOrder_whenSentAgain_thenAcknowledgedAgainEvenAfterLaterOnes() {
-    SimulatedCluster cluster = settled(2);
+  void givenAppliedChange_whenSentAgain_thenAcknowledgedAgainEvenAfterLaterOnes() {
+    SimulatedCluster cluster = startedCluster(2);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     assertEquals(200, put(cluster, 1, "0", "3 first"));
     assertEquals(200, put(cluster, 1, "3", "5 second"));
@@ -128,29 +120,29 @@
   }
 
   @Test
-  void givenConfiguration_whenOrderIsStaleOrInvalid_thenRefused() {
-    SimulatedCluster cluster = settled(3);
+  void givenConfiguration_whenChangeIsStaleOrInvalid_thenRejected() {
+    SimulatedCluster cluster = startedCluster(3);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     assertEquals(412, put(cluster, 0, "0", "4 other"));
     assertEquals(400, put(cluster, 0, "3", "3 not above"));
     assertEquals(400, put(cluster, 0, "3", "nonsense"));
     assertEquals(400, put(cluster, 0, "", "4 no condition"));
-    assertEquals(405, callAndWait(cluster, cluster.core(0), "POST", "3", "4 x").status());
+    assertEquals(405, call(cluster, 0, "POST", "3", "4 x"));
     assertEquals("3 first", read(cluster, 0));
   }
 
   @Test
   void givenConfiguration_whenPatched_thenMerged() {
-    SimulatedCluster cluster = settled(4);
+    SimulatedCluster cluster = startedCluster(4);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
-    assertEquals(200, callAndWait(cluster, cluster.core(1), "PATCH", "3", "4 more").status());
+    assertEquals(200, call(cluster, 1, "PATCH", "3", "4 more"));
     assertEquals("4 first more", read(cluster, 2));
   }
 
   @Test
-  void givenTwoOrdersOnTheSameEdition_whenSentAtOnce_thenOneWins() {
+  void givenTwoChangesOfTheSameEdition_whenSentConcurrently_thenOneWins() {
     for (long seed = 1; seed <= 30; seed++) {
-      SimulatedCluster cluster = settled(seed);
+      SimulatedCluster cluster = startedCluster(seed);
       AtomicReference<CoreAction.AnswerOperator> one = new AtomicReference<>();
       AtomicReference<CoreAction.AnswerOperator> other = new AtomicReference<>();
       cluster.call(cluster.core(0), "PUT", "0", "1 one".getBytes(StandardCharsets.UTF_8), one::set);
@@ -162,8 +154,8 @@
   }
 
   @Test
-  void givenOwnerCrashes_whenOrderIsSent_thenTakenByAnotherOwner() {
-    SimulatedCluster cluster = settled(5);
+  void givenOwnerCrashes_whenChangeIsSent_thenAppliedByAnotherOwner() {
+    SimulatedCluster cluster = startedCluster(5);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     SimulatedCore owner = cluster.owner(0);
     owner.crash();
@@ -174,8 +166,8 @@
   }
 
   @Test
-  void givenNoOwner_whenOrderIsSent_thenUnavailableWithinASecond() {
-    SimulatedCluster cluster = settled(6);
+  void givenNoOwner_whenChangeIsSent_thenUnavailableWithinASecond() {
+    SimulatedCluster cluster = startedCluster(6);
     SimulatedCore survivor = cluster.core(0);
     cluster.core(1).crash();
     cluster.core(2).crash();
@@ -186,8 +178,8 @@
   }
 
   @Test
-  void givenAllCrash_whenRestarted_thenConfigurationIsThere() {
-    SimulatedCluster cluster = settled(8);
+  void givenAllCrash_whenRestarted_thenConfigurationIsRecovered() {
+    SimulatedCluster cluster = startedCluster(8);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     cluster.cores().forEach(SimulatedCore::crash);
     cluster.runFor(millis(500));
@@ -197,8 +189,8 @@
   }
 
   @Test
-  void givenStalledDiskOfTheOwner_whenOrderIsSent_thenTheOthersCommit() {
-    SimulatedCluster cluster = settled(9);
+  void givenStalledDiskOfTheOwner_whenChangeIsSent_thenTheOthersCommit() {
+    SimulatedCluster cluster = startedCluster(9);
     SimulatedCore owner = cluster.owner(0);
     owner.stalledUntil = cluster.now() + millis(5000);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
@@ -207,8 +199,8 @@
   }
 
   @Test
-  void givenFullDiskOfAReplica_whenOrderIsSent_thenTheOthersCommitAndItCatchesUp() {
-    SimulatedCluster cluster = settled(10);
+  void givenFullDiskOfAReplica_whenChangeIsSent_thenTheOthersCommitAndItCatchesUp() {
+    SimulatedCluster cluster = startedCluster(10);
     SimulatedCore replica = cluster.core(otherThan(indexOf(cluster, cluster.owner(0))));
     replica.storageFails = true;
     assertEquals(200, put(cluster, 0, "0", "3 first"));
@@ -220,7 +212,7 @@
 
   @Test
   void givenLostDisk_whenMachineReturns_thenItReplacesItsFormerIdentity() {
-    SimulatedCluster cluster = settled(11);
+    SimulatedCluster cluster = startedCluster(11);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     SimulatedCore lost = cluster.core(otherThan(indexOf(cluster, cluster.owner(0))));
     String formerId = lost.disk.identity.getId();
@@ -236,7 +228,7 @@
 
   @Test
   void givenOwnerLosesItsDisk_whenItReturns_thenTheConfigurationIsKept() {
-    SimulatedCluster cluster = settled(12);
+    SimulatedCluster cluster = startedCluster(12);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     SimulatedCore owner = cluster.owner(0);
     cluster.cores().forEach(SimulatedCore::crash);
@@ -248,8 +240,8 @@
   }
 
   @Test
-  void givenRemovedMachine_whenAnotherIsAdded_thenItTakesItsPlace() {
-    SimulatedCluster cluster = settled(13);
+  void givenRemovedMachine_whenAnotherIsAdded_thenItReplacesTheFormer() {
+    SimulatedCluster cluster = startedCluster(13);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     SimulatedCore removed = cluster.core(0);
     removed.crash();
@@ -262,8 +254,8 @@
   }
 
   @Test
-  void givenAdditionalMachine_whenAllLive_thenItJoinsAndASilentOneLeavesTheEvenGroup() {
-    SimulatedCluster cluster = settled(14);
+  void givenAdditionalMachine_whenAllRun_thenItJoinsAndAnUnresponsiveOneLeavesTheEvenGroup() {
+    SimulatedCluster cluster = startedCluster(14);
     SimulatedCore added = cluster.addCore();
     added.start(cluster.seeds(), false);
     assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(4000)));
@@ -274,25 +266,25 @@
   }
 
   @Test
-  void givenVoterRestartsDuringALease_whenAnotherStandsForElection_thenNoSecondOwner() {
-    SimulatedCluster cluster = settled(17);
+  void givenAcceptorRestartsDuringALease_whenAnotherStartsAnElection_thenNoSecondOwner() {
+    SimulatedCluster cluster = startedCluster(17);
     SimulatedCore owner = cluster.owner(0);
     SimulatedCore candidate = cluster.core(otherThan(indexOf(cluster, owner)));
     SimulatedCore voter = cluster.core(otherThan(indexOf(cluster, candidate)));
-    cluster.cut(owner, candidate);
+    cluster.partition(owner, candidate);
     cluster.runFor(millis(1190));
     assertTrue(owner.owns(0));
     voter.crash();
     voter.start(cluster.seeds(), false);
-    cluster.cut(owner, voter);
+    cluster.partition(owner, voter);
     long before = cluster.now();
     assertTrue(cluster.runUntil(() -> candidate.owns(0) || voter.owns(0), millis(4000)));
     assertTrue(cluster.now() - before >= millis(1100), "a lease was forgotten");
   }
 
   @Test
-  void givenReleasedLeases_whenTheProcessRunsOn_thenItOwnsNothingAndStandsForNoElection() {
-    SimulatedCluster cluster = settled(19);
+  void givenReleasedLeases_whenTheProcessRunsOn_thenItOwnsNothingAndStartsNoElection() {
+    SimulatedCluster cluster = startedCluster(19);
     SimulatedCore ending = cluster.owner(0);
     ending.release();
     for (int shard = 0; shard < SimulatedCore.SHARDS; shard++) {
@@ -305,8 +297,8 @@
   }
 
   @Test
-  void givenIsolatedOwner_whenItReturns_thenItFollowsTheNewOne() {
-    SimulatedCluster cluster = settled(15);
+  void givenPartitionedOwner_whenThePartitionHeals_thenItFollowsTheNewOwner() {
+    SimulatedCluster cluster = startedCluster(15);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     SimulatedCore former = cluster.owner(0);
     int other = otherThan(indexOf(cluster, former));
@@ -324,8 +316,8 @@
   }
 
   @Test
-  void givenFreshIdentity_whenMessagesForTheFormerOneCome_thenNoAnswer() {
-    SimulatedCluster cluster = settled(18);
+  void givenNewIdentity_whenMessagesForTheFormerOneArrive_thenNoReply() {
+    SimulatedCluster cluster = startedCluster(18);
     SimulatedCore core = cluster.core(0);
     ProposalNumber proposal = new ProposalNumber(1000L, cluster.core(1).disk.identity.getId());
     String former = core.address + "#former";
@@ -347,8 +339,8 @@
   }
 
   @Test
-  void givenQuietCore_whenTimePasses_thenEveryProcessConfirmsOften() {
-    SimulatedCluster cluster = settled(16);
+  void givenIdleCore_whenTimePasses_thenEveryProcessConfirmsOften() {
+    SimulatedCluster cluster = startedCluster(16);
     assertEquals(200, put(cluster, 0, "0", "3 first"));
     cluster.runFor(millis(1000));
     for (SimulatedCore core : cluster.cores()) {
--- a/control/src/test/java/nettletrail/control/shard/ExploredShard.java
+++ b/control/src/test/java/nettletrail/control/shard/ExploredShard.java
@@ -23,10 +23,10 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * Three replicas of one shard over which a {@link ChoiceSequence} decides: which message or storage
- * operation comes next, what is lost, who crashes, and when a lease's time passes. All three stand
- * for election at once, and each owner appends its name to the value. Checked after each step: one
- * owner at most, and committed values that only grow.
+ * Three replicas of one shard, with all nondeterminism decided by a {@link ChoiceSequence}: which
+ * message or storage operation comes next, what is lost, which replica crashes, and when a lease
+ * expires. All three start elections at once, and each owner appends its name to the value. The
+ * invariants are checked after each step: at most one owner, and committed values that only grow.
  */
 final class ExploredShard {
 
@@ -35,16 +35,16 @@
   private static final int REORDERED = 3;
   private static final ShardSettings SETTINGS = ShardSettings.defaults();
 
-  /** Something that will happen: a message that arrives, or a storage operation that ends. */
+  /** A future event: a message that arrives, or a storage operation that completes. */
   private record Pending(
       int from, int to, int incarnation, SpecificRecord message, CoreAction storage) {}
 
-  /** In place of the number of a replica that is cut off. */
-  static final int NOBODY = -1;
+  /** In place of the index of a partitioned replica. */
+  static final int NONE = -1;
 
   private final ChoiceSequence choices;
-  private final List<Integer> cutOffByPeriod;
-  private int cutOff = NOBODY;
+  private final List<Integer> partitionedByPeriod;
+  private int partitioned = NONE;
   private final List<Member> members = new ArrayList<>();
   private final ShardReplica[] replicas = new ShardReplica[REPLICAS];
   private final ActionQueue[] actionQueues = new ActionQueue[REPLICAS];
@@ -55,10 +55,10 @@
   private final Map<Long, String> committed = new TreeMap<>();
   private long now = SETTINGS.lease();
 
-  /** In each period, which is an election and the writes after it, one replica may be cut off. */
-  ExploredShard(ChoiceSequence choices, List<Integer> cutOffByPeriod) {
+  /** In each period, an election and the writes after it, one replica may be partitioned. */
+  ExploredShard(ChoiceSequence choices, List<Integer> partitionedByPeriod) {
     this.choices = choices;
-    this.cutOffByPeriod = cutOffByPeriod;
+    this.partitionedByPeriod = partitionedByPeriod;
     for (int index = 0; index < REPLICAS; index++) {
       members.add(new Member("n" + index + "#0", "n" + index));
     }
@@ -71,10 +71,10 @@
     }
   }
 
-  /** Plays one run; the count of versions committed. */
+  /** Executes one run; returns the count of versions committed. */
   int run() {
-    for (int replica : cutOffByPeriod) {
-      cutOff = replica;
+    for (int replica : partitionedByPeriod) {
+      partitioned = replica;
       passTime();
       while (!pending.isEmpty()) {
         step();
@@ -129,7 +129,8 @@
   /** A message is lost; a storage operation fails without effect. */
   private void lose(Pending lost) {
     if (lost.storage() != null && incarnations[lost.to()] == lost.incarnation()) {
-      replicas[lost.to()].onStored(ticket(lost.storage()), StoreOutcome.failed("lost"));
+      replicas[lost.to()].onStored(
+          SimulatedDisk.ticket(lost.storage()), StoreOutcome.failed("lost"));
       afterEvent(lost.to());
     }
   }
@@ -144,7 +145,7 @@
     if (next.storage() != null) {
       if (incarnations[index] == next.incarnation()) {
         disks[index].apply(next.storage());
-        replicas[index].onStored(ticket(next.storage()), StoreOutcome.STORED);
+        replicas[index].onStored(SimulatedDisk.ticket(next.storage()), StoreOutcome.STORED);
       }
     } else if (carries(next.from(), index)) {
       receive(members.get(next.from()), replicas[index], next.message());
@@ -153,7 +154,7 @@
   }
 
   private boolean carries(int from, int to) {
-    return from == to || from != cutOff && to != cutOff;
+    return from == to || from != partitioned && to != partitioned;
   }
 
   private void receive(Member from, ShardReplica replica, SpecificRecord message) {
@@ -259,12 +260,6 @@
     }
   }
 
-  private static long ticket(CoreAction action) {
-    return action instanceof CoreAction.StorePromise promise
-        ? promise.ticket()
-        : ((CoreAction.StoreVersion) action).ticket();
-  }
-
   private static String text(ByteBuffer value) {
     return StandardCharsets.UTF_8.decode(value.duplicate()).toString();
   }
--- a/control/src/test/java/nettletrail/control/shard/FailoverTimeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/FailoverTimeTest.java
@@ -6,16 +6,16 @@
 import java.util.LongSummaryStatistics;
 import org.junit.jupiter.api.Test;
 
-/** How long shards are without an owner. Links take up to 30 ms one way, as between regions. */
+/** Time without an owner after a fault. Links delay up to 30 ms one way, as between regions. */
 class FailoverTimeTest {
 
   private static final int SEEDS = 100;
-  private static final long GIVE_UP = millis(20_000);
+  private static final long TIMEOUT = millis(20_000);
 
-  /** A loss, after which the time until others own all shards is measured. */
-  private interface Loss {
-    /** The machine that is lost, or null if all of them come back. */
-    SimulatedCore strike(SimulatedCluster cluster);
+  /** A fault, after which the time until others own all shards is measured. */
+  private interface Fault {
+    /** Injects the fault; returns the machine that is lost, or null if all of them return. */
+    SimulatedCore inject(SimulatedCluster cluster);
   }
 
   private static boolean ownedByOthers(SimulatedCluster cluster, SimulatedCore lost) {
@@ -28,16 +28,16 @@
     return true;
   }
 
-  private static LongSummaryStatistics measure(String name, Loss loss) {
+  private static LongSummaryStatistics measure(String name, Fault fault) {
     LongSummaryStatistics waits = new LongSummaryStatistics();
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = SimulatedCluster.started(seed, 3);
-      cluster.maximumDelay = millis(30);
-      assertTrue(cluster.runUntil(cluster::groupIsComplete, GIVE_UP));
+      cluster.maxDelay = millis(30);
+      assertTrue(cluster.runUntil(cluster::groupIsComplete, TIMEOUT));
       cluster.runFor(millis(1000) + cluster.random().nextInt((int) millis(500)));
-      SimulatedCore lost = loss.strike(cluster);
+      SimulatedCore lost = fault.inject(cluster);
       long before = cluster.now();
-      assertTrue(cluster.runUntil(() -> ownedByOthers(cluster, lost), GIVE_UP), "seed " + seed);
+      assertTrue(cluster.runUntil(() -> ownedByOthers(cluster, lost), TIMEOUT), "seed " + seed);
       waits.accept((cluster.now() - before) / millis(1));
     }
     System.out.printf(
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void givenOwnerIsKilled_whenOthersTakeOver_thenWithinTwoSeconds() {
+  void givenOwnerCrashes_whenOthersTakeOver_thenWithinTwoSeconds() {
     LongSummaryStatistics waits =
         measure(
             "owner killed",
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void givenOwnerEndsInGoodOrder_whenOthersTakeOver_thenWithinAThirdOfALease() {
+  void givenOwnerShutsDownGracefully_whenOthersTakeOver_thenWithinAThirdOfALease() {
     LongSummaryStatistics waits =
         measure(
             "owner ended in good order",
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void givenOwnerIsCutOff_whenOthersTakeOver_thenWithinTwoSeconds() {
+  void givenOwnerIsPartitioned_whenOthersTakeOver_thenWithinTwoSeconds() {
     LongSummaryStatistics waits =
         measure(
             "owner cut off",
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void givenAllAreKilled_whenTheyReturn_thenOwnedWithinThreeSeconds() {
+  void givenAllCrash_whenTheyRestart_thenOwnedWithinThreeSeconds() {
     LongSummaryStatistics waits =
         measure(
             "all killed, back within 1 s",
@@ -103,11 +103,11 @@
   }
 
   @Test
-  void givenRunningCore_whenNothingHappens_thenNoOwnerChanges() {
+  void givenRunningCore_whenNoFaultOccurs_thenNoOwnerChanges() {
     for (long seed = 1; seed <= 20; seed++) {
       SimulatedCluster cluster = SimulatedCluster.started(seed, 3);
-      cluster.maximumDelay = millis(100);
-      assertTrue(cluster.runUntil(cluster::groupIsComplete, GIVE_UP));
+      cluster.maxDelay = millis(100);
+      assertTrue(cluster.runUntil(cluster::groupIsComplete, TIMEOUT));
       cluster.runFor(millis(1000));
       String before = cluster.describe();
       cluster.runFor(millis(60_000));
--- a/control/src/test/java/nettletrail/control/shard/GroupChangesTest.java
+++ b/control/src/test/java/nettletrail/control/shard/GroupChangesTest.java
@@ -12,34 +12,34 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each step of each kind of change of a group; the owner is the first member. */
+/** Each kind of change of a group; the owner is the first member. */
 class GroupChangesTest {
 
   private static final long OWNED_SINCE = millis(100_000);
 
-  /** Members that answer until told otherwise. */
+  /** Members with contact at all times, except where a test says otherwise. */
   private static final class Contacts implements MemberContacts {
-    private final Map<String, Long> lastHeard = new HashMap<>();
-    private final List<String> neverHeard = new ArrayList<>();
+    private final Map<String, Long> lastContact = new HashMap<>();
+    private final List<String> withoutContact = new ArrayList<>();
     private long now = OWNED_SINCE;
 
-    void silentSince(Member member, long at) {
-      lastHeard.put(member.getId(), at);
+    void noContactSince(Member member, long at) {
+      lastContact.put(member.getId(), at);
     }
 
     void neverAnswered(Member member) {
-      lastHeard.put(member.getId(), OWNED_SINCE);
-      neverHeard.add(member.getId());
+      lastContact.put(member.getId(), OWNED_SINCE);
+      withoutContact.add(member.getId());
     }
 
     @Override
     public long lastContactAt(String id) {
-      return lastHeard.getOrDefault(id, now);
+      return lastContact.getOrDefault(id, now);
     }
 
     @Override
     public boolean hasContact(String id) {
-      return !neverHeard.contains(id);
+      return !withoutContact.contains(id);
     }
 
     @Override
@@ -80,31 +80,31 @@
     contacts.now += span;
   }
 
-  private void asks(Member joiner) {
+  private void requestsToJoin(Member joiner) {
     changes.onJoinRequest(joiner, contacts.now);
   }
 
-  /** The identities of the group that follows, or null. */
+  /** The identities of the next group, or null if the group stays. */
   private List<String> next() {
     ReplicaGroup group = new ReplicaGroup(members);
     ReplicaGroup changed = changes.next(group, members.get(0), contacts, contacts.now);
     return changed == null ? null : changed.members().stream().map(Member::getId).toList();
   }
 
-  // A wiped member
+  // A member that lost its disk
 
   @Test
-  void givenWipedMember_whenItsMachineAsks_thenTheOldIdentityLeavesAtOnceAndTheNewOneEnters() {
+  void givenLostDisk_whenItsMachineRequestsToJoin_thenTheOldIdentityIsRemovedAndTheNewOneAdded() {
     keep(3);
-    contacts.silentSince(at(3), contacts.now);
-    asks(member("fresh", 3));
+    contacts.noContactSince(at(3), contacts.now);
+    requestsToJoin(member("fresh", 3));
     assertEquals(List.of("m1", "m2"), next());
     keep(2);
     assertEquals(List.of("m1", "m2", "fresh"), next());
   }
 
   @Test
-  void givenBothIdentitiesOfAnAddress_whenTheOwnerIsNew_thenTheLaterOneStays() {
+  void givenTwoIdentitiesOfAnAddress_whenTheOwnerIsNew_thenTheLaterOneStays() {
     keep(4);
     members.add(member("fresh", 4));
     contacts.neverAnswered(at(4));
@@ -113,37 +113,37 @@
   }
 
   @Test
-  void givenBothIdentitiesOfAnAddress_whenAnotherAsksToJoin_thenTheLostOneLeavesFirst() {
+  void givenTwoIdentitiesOfAnAddress_whenAnotherRequestsToJoin_thenTheEarlierOneIsRemovedFirst() {
     keep(4);
     members.add(member("fresh", 4));
-    contacts.silentSince(at(4), contacts.now);
-    asks(member("other", 7));
+    contacts.noContactSince(at(4), contacts.now);
+    requestsToJoin(member("other", 7));
     assertEquals(List.of("m1", "m2", "m3", "fresh"), next());
   }
 
   @Test
-  void givenDiskLostTwice_whenBothIdentitiesAsked_thenOnlyTheLatestEnters() {
+  void givenDiskLostTwice_whenBothIdentitiesRequestToJoin_thenOnlyTheLatestIsAdded() {
     keep(2);
-    asks(member("a", 3));
+    requestsToJoin(member("a", 3));
     pass(millis(200));
-    asks(member("b", 3));
+    requestsToJoin(member("b", 3));
     assertEquals(List.of("m1", "m2", "b"), next());
   }
 
   // A replaced member
 
   @Test
-  void givenReplacedMember_whenItHasBeenSilent_thenItLeavesBeforeItsSuccessorEnters() {
+  void givenReplacedMember_whenUnresponsive_thenItIsRemovedBeforeItsSuccessorIsAdded() {
     long lost = contacts.now;
-    contacts.silentSince(at(5), lost);
+    contacts.noContactSince(at(5), lost);
     pass(millis(500));
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     assertNull(next());
     pass(millis(1_000));
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     assertNull(next());
     pass(millis(1_001));
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     assertEquals(List.of("m1", "m2", "m3", "m4"), next());
     keep(4);
     assertEquals(List.of("m1", "m2", "m3", "m4", "new"), next());
@@ -153,21 +153,22 @@
   void givenNewOwner_whenAMemberNeverAnsweredIt_thenTheMemberIsReplacedSooner() {
     keep(3);
     contacts.neverAnswered(at(3));
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     pass(millis(1_000));
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     assertNull(next());
     pass(millis(1));
     assertEquals(List.of("m1", "m2"), next());
   }
 
   @Test
-  void givenTwoReplacedMembers_whenBothSuccessorsAsk_thenFourStepsEndWithFiveLiveMembers() {
-    contacts.silentSince(at(4), contacts.now);
-    contacts.silentSince(at(5), contacts.now + millis(1));
+  void
+      givenTwoReplacedMembers_whenBothSuccessorsRequestToJoin_thenFourStepsEndWithFiveRunningMembers() {
+    contacts.noContactSince(at(4), contacts.now);
+    contacts.noContactSince(at(5), contacts.now + millis(1));
     pass(millis(2_600));
-    asks(member("n1", 6));
-    asks(member("n2", 7));
+    requestsToJoin(member("n1", 6));
+    requestsToJoin(member("n2", 7));
     assertEquals(List.of("m1", "m2", "m3", "m5"), next());
     members.remove(at(4));
     assertEquals(List.of("m1", "m2", "m3", "m5", "n1"), next());
@@ -178,39 +179,39 @@
   }
 
   @Test
-  void givenAddressUsedBefore_whenANewMachineAsksFromThere_thenTheFormerMemberMakesWayAtOnce() {
-    asks(member("new", 2));
+  void givenReusedAddress_whenANewMachineRequestsToJoin_thenTheFormerMemberIsRemovedAtOnce() {
+    requestsToJoin(member("new", 2));
     assertEquals(List.of("m1", "m3", "m4", "m5"), next());
   }
 
   // Majorities
 
   @Test
-  void givenAMemberThatDied_whenTheJoinerWouldBeNeededForAMajority_thenItDoesNotEnter() {
+  void givenFailedMember_whenTheJoinerWouldBeNeededForAMajority_thenItIsNotAdded() {
     keep(3);
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     pass(millis(1_500));
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     pass(millis(500));
-    contacts.silentSince(at(3), contacts.now);
+    contacts.noContactSince(at(3), contacts.now);
     pass(millis(600));
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     assertNull(next());
   }
 
   @Test
-  void givenEvenGroup_whenNoMajorityGrantedLately_thenNothingChanges() {
+  void givenEvenGroup_whenNoMajorityGrantedRecently_thenNothingChanges() {
     keep(4);
     for (int machine : List.of(2, 3, 4)) {
-      contacts.silentSince(at(machine), contacts.now - millis(4_000));
+      contacts.noContactSince(at(machine), contacts.now - millis(4_000));
     }
     assertNull(next());
   }
 
   @Test
-  void givenEvenGroup_whenAMemberIsSilentForLong_thenItLeaves() {
+  void givenEvenGroup_whenAMemberIsUnresponsiveForLong_thenItIsRemoved() {
     keep(4);
-    contacts.silentSince(at(2), contacts.now);
+    contacts.noContactSince(at(2), contacts.now);
     pass(millis(3_000));
     assertNull(next());
     pass(millis(1));
@@ -218,8 +219,8 @@
   }
 
   @Test
-  void givenOddGroup_whenAMemberIsSilentAndNobodyAsks_thenNothingChanges() {
-    contacts.silentSince(at(2), contacts.now);
+  void givenOddGroup_whenAMemberIsUnresponsiveAndNoneRequestsToJoin_thenNothingChanges() {
+    contacts.noContactSince(at(2), contacts.now);
     pass(millis(60_000));
     assertNull(next());
   }
@@ -227,20 +228,20 @@
   // Growth
 
   @Test
-  void givenFirstStart_whenAMachineAsks_thenTheGroupGrowsAtOnce() {
+  void givenFirstStart_whenAMachineRequestsToJoin_thenTheGroupGrowsAtOnce() {
     members.clear();
     for (int machine = 1; machine <= 3; machine++) {
       members.add(founding(machine));
     }
-    asks(founding(4));
+    requestsToJoin(founding(4));
     assertEquals(4, next().size());
   }
 
   @Test
-  void givenLaterStart_whenAMachineAsks_thenItWaitsUntilADeadMemberWouldBeKnown() {
-    asks(member("new", 6));
+  void givenLaterStart_whenAMachineRequestsToJoin_thenItWaitsUntilAFailureWouldBeDetected() {
+    requestsToJoin(member("new", 6));
     pass(millis(1_499));
-    asks(member("new", 6));
+    requestsToJoin(member("new", 6));
     assertNull(next());
     pass(millis(1_001));
     assertEquals(6, next().size());
@@ -253,7 +254,7 @@
       members.add(founding(machine));
     }
     contacts.neverAnswered(at(5));
-    asks(founding(6));
+    requestsToJoin(founding(6));
     assertNull(next());
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/OperatorClient.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorClient.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** An operator's calls to the machines of a {@link SimulatedCluster}, one at a time or at once. */
+/** Sends operators' calls to the machines of a {@link SimulatedCluster}. */
 final class OperatorClient {
 
   /** Longer than the core takes to answer any call. */
-  private static final long LONGEST_CALL = millis(1_500);
+  private static final long CALL_TIMEOUT = millis(1_500);
 
   private final SimulatedCluster cluster;
 
@@ -19,8 +19,8 @@
     this.cluster = cluster;
   }
 
-  /** A core of that many machines that runs in order. */
-  static SimulatedCluster settledCluster(long seed, int size) {
+  /** A cluster of that many machines that are all members. */
+  static SimulatedCluster startedCluster(long seed, int size) {
     SimulatedCluster cluster = SimulatedCluster.started(seed, size);
     assertTrue(cluster.runUntil(cluster::groupIsComplete, millis(5_000)), "no start");
     cluster.runFor(millis(300));
@@ -49,7 +49,7 @@
     return call(core, "PATCH", Long.toString(ifMatch), body);
   }
 
-  /** The document that a machine gives out, or the status of its refusal. */
+  /** The document that a machine returns, or the status of its error. */
   String read(SimulatedCore core) {
     CoreAction.AnswerOperator answer = await(send(core, "GET", "", ""));
     boolean found = answer.status() == OperatorResponses.OK;
@@ -57,7 +57,7 @@
   }
 
   CoreAction.AnswerOperator await(AtomicReference<CoreAction.AnswerOperator> answer) {
-    assertTrue(cluster.runUntil(() -> answer.get() != null, LONGEST_CALL), "no answer");
+    assertTrue(cluster.runUntil(() -> answer.get() != null, CALL_TIMEOUT), "no answer");
     return answer.get();
   }
 
--- a/control/src/test/java/nettletrail/control/shard/OperatorRequestOutcomeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorRequestOutcomeTest.java
@@ -16,7 +16,7 @@
 import org.apache.avro.specific.SpecificRecord;
 import org.junit.jupiter.api.Test;
 
-/** What two operators hear of their orders when the owner changes under them. */
+/** The answers to two operators' requests across retries and changes of the owner. */
 class OperatorRequestOutcomeTest {
 
   private static boolean isQuorumRead(SpecificRecord message) {
@@ -27,10 +27,10 @@
   }
 
   @Test
-  void givenWriteOfAFormerOwner_whenItLearnsOfTheNextOwnersVersion_thenItConfirmsNothing() {
+  void givenWriteOfAFormerOwner_whenItLearnsTheNextOwnersVersion_thenItIsNotAcknowledged() {
     int cases = 0;
     for (long seed = 1; seed <= 40; seed++) {
-      SimulatedCluster cluster = OperatorClient.settledCluster(seed, 3);
+      SimulatedCluster cluster = OperatorClient.startedCluster(seed, 3);
       OperatorClient operator = new OperatorClient(cluster);
       SimulatedCore former = operator.awaitOwner();
       SimulatedCore follower = operator.followers().get(0);
@@ -43,18 +43,20 @@
       operator.awaitOwner();
       AtomicReference<CoreAction.AnswerOperator> won = operator.send(follower, "PUT", "3", "4 won");
       cluster.runUntil(() -> won.get() != null, millis(300));
-      boolean openAtTheFormerOwner = won.get() != null && lost.get() == null;
+      boolean pendingAtTheFormerOwner = won.get() != null && lost.get() == null;
       cluster.heal();
       cluster.lose(message -> !isQuorumRead(message));
       cluster.runUntil(() -> former.announced.edition() == 4, millis(600));
-      cases += openAtTheFormerOwner && former.announced.edition() == 4 ? 1 : 0;
+      cases += pendingAtTheFormerOwner && former.announced.edition() == 4 ? 1 : 0;
       assertNotEquals(200, operator.await(lost).status(), "seed " + seed);
     }
     assertTrue(cases > 0, "in no run did the order still wait when the next version came");
   }
 
-  /** Takes that many orders after edition 3, each at another machine; the last edition. */
-  private static long takeOrders(SimulatedCluster cluster, OperatorClient operator, int orders) {
+  /**
+   * Applies that many changes after edition 3, each at another machine; returns the last edition.
+   */
+  private static long applyChanges(SimulatedCluster cluster, OperatorClient operator, int orders) {
     for (long edition = 4; edition < 4 + orders; edition++) {
       SimulatedCore core = cluster.core((int) (edition % cluster.cores().size()));
       assertEquals(200, operator.put(core, edition - 1, edition + " later"));
@@ -63,12 +65,12 @@
   }
 
   @Test
-  void givenHundredsOfLaterChanges_whenAnOrderIsRepeated_thenTheWinnerIsTakenAndTheLoserRefused() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(21, 3);
+  void givenHundredsOfLaterChanges_whenRequestsAreRetried_thenOnlyTheWinnerIsAcknowledged() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(21, 3);
     OperatorClient operator = new OperatorClient(cluster);
     assertEquals(200, operator.put(cluster.core(0), 0, "3 winner"));
     assertEquals(412, operator.put(cluster.core(1), 0, "3 loser"));
-    long last = takeOrders(cluster, operator, 600);
+    long last = applyChanges(cluster, operator, 600);
     operator.awaitOwner().crash();
     operator.awaitOwner();
     for (SimulatedCore core : cluster.runningCores()) {
@@ -81,8 +83,8 @@
   }
 
   @Test
-  void givenBothOperatorsSendTheSameBytes_whenAtOnce_thenBothHearOfTheOneChange() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(22, 3);
+  void givenTwoOperatorsSendTheSameChange_whenConcurrent_thenBothAreAcknowledgedForOneChange() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(22, 3);
     OperatorClient operator = new OperatorClient(cluster);
     AtomicReference<CoreAction.AnswerOperator> one =
         operator.send(cluster.core(0), "PUT", "0", "3 a");
@@ -96,8 +98,8 @@
   }
 
   @Test
-  void givenPatchAndPutThatLeadToTheSameDocument_whenOneIsTaken_thenTheOtherIsRefused() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(23, 3);
+  void givenPatchAndPutOfTheSameDocument_whenOneIsApplied_thenTheOtherIsRejected() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(23, 3);
     OperatorClient operator = new OperatorClient(cluster);
     assertEquals(200, operator.put(cluster.core(0), 0, "3 first"));
     assertEquals(200, operator.patch(cluster.core(1), 3, "4 more"));
@@ -108,8 +110,8 @@
   }
 
   @Test
-  void givenRepeatThatOvertakesItsFirstSending_whenTheFirstComesLast_thenItIsTakenOnce() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(24, 3);
+  void givenRetryThatOvertakesTheFirstAttempt_whenBothArrive_thenTheChangeIsAppliedOnce() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(24, 3);
     OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore slow = operator.followers().get(0);
@@ -124,8 +126,8 @@
   }
 
   @Test
-  void givenOwnerThatDiesBetweenCommitAndAnswer_whenTheOrderIsRepeated_thenItIsTakenAgain() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(25, 3);
+  void givenOwnerCrashBetweenCommitAndAnswer_whenTheChangeIsRetried_thenItIsAcknowledged() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(25, 3);
     OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore other = operator.followers().get(0);
@@ -144,8 +146,8 @@
   }
 
   @Test
-  void givenAnswersThatAreLostAgainAndAgain_whenOneComesThrough_thenTheOrderWasTakenOnce() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(26, 3);
+  void givenAnswersLostRepeatedly_whenOneArrives_thenTheChangeWasAppliedOnce() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(26, 3);
     OperatorClient operator = new OperatorClient(cluster);
     List<SimulatedCore> followers = operator.followers();
     cluster.lose(message -> message instanceof OrderForwardReply);
@@ -158,8 +160,8 @@
   }
 
   @Test
-  void givenOrdersThatWaitBehindAWrite_whenItCommits_thenEachIsJudgedAnewAfterIt() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(27, 3);
+  void givenRequestsQueuedBehindAWrite_whenItCommits_thenEachIsEvaluatedAfterIt() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(27, 3);
     OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     List<AtomicReference<CoreAction.AnswerOperator>> answers = new ArrayList<>();
@@ -178,8 +180,8 @@
   }
 
   @Test
-  void givenEightLargeOrdersAtOnce_whenRepeatedForAHundredChanges_thenOneIsTakenEachTime() {
-    SimulatedCluster cluster = OperatorClient.settledCluster(28, 3);
+  void givenEightLargeConcurrentChanges_whenRepeatedAHundredTimes_thenOneIsAppliedEachTime() {
+    SimulatedCluster cluster = OperatorClient.startedCluster(28, 3);
     OperatorClient operator = new OperatorClient(cluster);
     String text = "x".repeat(100_000);
     for (long edition = 1; edition <= 100; edition++) {
--- a/control/src/test/java/nettletrail/control/shard/OperatorRequestRouterTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorRequestRouterTest.java
@@ -8,7 +8,7 @@
 import nettletrail.protocol.OrderForward;
 import org.junit.jupiter.api.Test;
 
-/** Which answer belongs to which call that was passed to another core process. */
+/** Which answers of other core processes are relayed to which calls. */
 class OperatorRequestRouterTest {
   private static final String SELF = "10.0.0.1:7000";
   private static final String OWNER = "10.0.0.2:7000";
@@ -22,7 +22,7 @@
       new OperatorRequestRouter(settings, actionQueue, 100);
 
   @Test
-  void givenCallsInHand_whenAnswersCross_thenEachGoesToItsCall() {
+  void givenPendingCalls_whenAnswersArriveOutOfOrder_thenEachGoesToItsCall() {
     long first = forward(1, OWNER);
     long second = forward(2, OWNER);
     router.onReply(OWNER, OperatorResponses.applied(second, EDITION), CoreAction.ALWAYS);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void givenACall_whenAnotherProcessAnswersUnderItsNumber_thenThatIsLeft() {
+  void givenPendingCall_whenAnotherProcessAnswersUnderItsNumber_thenTheAnswerIsIgnored() {
     long number = forward(1, OWNER);
     router.onReply(NEXT_OWNER, OperatorResponses.applied(number, EDITION), CoreAction.ALWAYS);
     assertTrue(answers().isEmpty());
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void givenACallPassedOnAgain_whenTheFormerOwnerAnswersToo_thenOnlyTheNewOneCounts() {
+  void givenCallForwardedAgain_whenTheFormerOwnerAnswersToo_thenOnlyTheNewOwnersAnswerCounts() {
     long number = forward(1, OWNER);
     router.onReply(OWNER, OperatorResponses.notOwner(number), CoreAction.ALWAYS);
     router.tick(NEXT_OWNER, 1);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void givenACallThatWasGivenUp_whenItsAnswerComes_thenNobodyGetsIt() {
+  void givenCallThatTimedOut_whenItsAnswerArrives_thenTheAnswerIsIgnored() {
     long number = forward(1, OWNER);
     router.tick(OWNER, settings.requestTimeout());
     assertEquals(503, answers().get(0).status());
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void givenARestart_whenAnAnswerOfTheFormerLifeComes_thenItsNumberIsNobodys() {
+  void givenRestart_whenAnAnswerToAnEarlierIncarnationArrives_thenItMatchesNoCall() {
     OperatorRequestRouter former = new OperatorRequestRouter(settings, actionQueue, 1 << 20);
     former.submit(1, "PUT", "3", BODY, OWNER, 0);
     long late = forwarded(OWNER).getCall();
@@ -84,7 +84,7 @@
     return forwarded(owner).getCall();
   }
 
-  /** The one order that was passed on, to that process. */
+  /** The only message sent, which must be a request forwarded to that process. */
   private OrderForward forwarded(String owner) {
     List<CoreAction> actions = actionQueue.drain();
     assertEquals(1, actions.size());
--- a/control/src/test/java/nettletrail/control/shard/OwnerFencingTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OwnerFencingTest.java
@@ -16,14 +16,14 @@
 import nettletrail.store.NodeIdentity;
 import org.junit.jupiter.api.Test;
 
-/** What an owner says that was cut off while another process took over from it. */
+/** The answers of a partitioned owner while another process takes over from it. */
 class OwnerFencingTest {
   private static final int OK = 200;
   private static final int PRECONDITION_FAILED = 412;
   private static final int UNAVAILABLE = 503;
 
   @Test
-  void givenAWriteInHandWhenAnotherOwnersVersionTakesItsNumberThenItIsNotConfirmed() {
+  void givenWriteInFlight_whenAnotherOwnersVersionHasItsSequence_thenItIsNotAcknowledged() {
     ScriptedOwner owner = ownerWithFirstConfiguration();
     owner.connected = false;
     long call = owner.put(3, "5 mine");
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void givenAWriteInHandWhenTheNewOwnerHasCommittedItThenItIsConfirmed() {
+  void givenWriteInFlight_whenTheNewOwnerHasCommittedIt_thenItIsAcknowledged() {
     ScriptedOwner owner = ownerWithFirstConfiguration();
     owner.connected = false;
     long call = owner.put(3, "5 mine");
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void givenAReadAtTheOwnerThenItsAnswerIsValidUntilTheLeaseEnds() {
+  void givenReadAtTheOwner_whenAnswered_thenValidUntilTheLeaseEnds() {
     ScriptedOwner owner = ownerWithFirstConfiguration();
     owner.connected = false;
     owner.pass(SimulatedCluster.millis(400));
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void givenARefusalAtTheOwnerThenItsAnswerIsValidUntilTheLeaseEnds() {
+  void givenRejectionAtTheOwner_whenAnswered_thenValidUntilTheLeaseEnds() {
     ScriptedOwner owner = ownerWithFirstConfiguration();
     owner.connected = false;
     owner.pass(SimulatedCluster.millis(400));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void givenAReadForAnotherProcessThenTheReplyIsValidUntilTheLeaseEnds() {
+  void givenReadForAnotherProcess_whenAnswered_thenValidUntilTheLeaseEnds() {
     ScriptedOwner owner = ownerWithFirstConfiguration();
     owner.receive(ScriptedOwner.PEER, new OrderForward(7L, "GET", "", ByteBuffer.allocate(0)));
     CoreAction.Send reply = owner.sent.get(owner.sent.size() - 1);
@@ -70,14 +70,14 @@
   }
 
   @Test
-  void givenATakenOrderWhenItIsAcknowledgedThenThatIsValidForEver() {
+  void givenAppliedChange_whenAcknowledged_thenValidForever() {
     ScriptedOwner owner = ownerWithFirstConfiguration();
     assertEquals(CoreAction.ALWAYS, owner.answer(owner.put(3, "5 next")).validUntil());
     assertEquals(CoreAction.ALWAYS, owner.answer(owner.put(3, "5 next")).validUntil());
   }
 
   @Test
-  void givenALeaseThatHasEndedWhenOrdersComeThenNoneIsRefusedOrTakenOrRead() {
+  void givenExpiredLease_whenRequestsArrive_thenNoneIsRejectedAppliedOrRead() {
     ScriptedOwner owner = ownerWithFirstConfiguration();
     owner.connected = false;
     owner.pass(ShardSettings.defaults().lease());
@@ -92,16 +92,16 @@
   }
 
   @Test
-  void givenAProcessThatWasStoppedWhenAReplyToAnOldCallIsFoundThenItIsValidNoMore() {
+  void givenProcessThatWasStopped_whenAReplyToAnOldCallArrives_thenItIsNotValidAnyMore() {
     ScriptedOwner process = new ScriptedOwner();
     process.followPeer();
     long call = process.get();
     CoreAction.Send forwarded = process.sent.get(process.sent.size() - 1);
-    OrderForward order = assertInstanceOf(OrderForward.class, forwarded.message());
+    OrderForward change = assertInstanceOf(OrderForward.class, forwarded.message());
     process.now += ShardSettings.defaults().requestTimeout();
     process.receive(
         ScriptedOwner.PEER,
-        OperatorResponses.rejected(order.getCall(), PRECONDITION_FAILED, 3, "another edition"));
+        OperatorResponses.rejected(change.getCall(), PRECONDITION_FAILED, 3, "another edition"));
     assertTrue(process.answer(call).validUntil() <= process.now);
   }
 
@@ -124,11 +124,11 @@
         new ProposalNumber(
             before.getProposal().getTerm() + 1, NodeIdentity.founding(ScriptedOwner.PEER).getId());
     byte[] json = document.getBytes(StandardCharsets.UTF_8);
-    OrderForward order = new OrderForward(1L, "PUT", "3", ByteBuffer.wrap(json));
+    OrderForward change = new OrderForward(1L, "PUT", "3", ByteBuffer.wrap(json));
     ConfigurationState state =
         ConfigurationState.decode(before.getValue())
             .after(
-                new ConfigurationRules.CheckedDocument(5, json), AppliedChanges.digest(order, 3));
+                new ConfigurationRules.CheckedDocument(5, json), AppliedChanges.digest(change, 3));
     return new VersionReply(
         CoreShards.CONFIGURATION_SHARD,
         new ShardVersion(
--- a/control/src/test/java/nettletrail/control/shard/RandomFaults.java
+++ b/control/src/test/java/nettletrail/control/shard/RandomFaults.java
@@ -6,27 +6,26 @@
 import java.util.Random;
 
 /**
- * Troubles of a {@link SimulatedCluster}, drawn at random: crashes, freezes, cuts, slow links,
- * loss, stalled and full disks, lost disks and machines that are replaced. A disk or a machine is
- * lost only while all groups are whole.
+ * Random fault injection for a {@link SimulatedCluster}: crashes, freezes, network partitions, slow
+ * links, message loss, stalled and full disks, lost disks and replaced machines. A disk or a
+ * machine is lost only while all groups are complete.
  *
- * <p>Within the contract no other machine counts as lost around the loss of a disk or a machine, as
- * {@code withstand.machines=1} has it: neither in trouble nor back for less than its time to catch
- * up.
+ * <p>Within the contract of {@code withstand.machines=1} no other machine counts as lost when a
+ * disk or a machine is lost: none is faulty, or has recovered for less than its catch-up time.
  */
 final class RandomFaults {
 
-  private static final int KINDS_OF_TROUBLE = 10;
-  private static final int KINDS_OF_LOSS = 3;
+  private static final int TRANSIENT_FAULT_KINDS = 10;
+  private static final int LOSS_KINDS = 3;
   private static final long CATCH_UP = millis(4000);
-  private static final long SHORT = millis(500);
-  private static final long LONGEST = millis(4000);
+  private static final long MAX_SHORT_FAULT = millis(500);
+  private static final long MAX_LONG_FAULT = millis(4000);
 
   private final SimulatedCluster cluster;
   private final Random random;
-  private final long longestPause;
+  private final long maxFaultInterval;
   private final boolean withinContract;
-  private long troubledUntil;
+  private long faultsUntil;
   private long quietUntil;
   private int losses;
   private boolean stopped;
@@ -35,20 +34,20 @@
     this.withinContract = withinContract;
     this.cluster = cluster;
     this.random = cluster.random();
-    this.longestPause = millis(200) + randomBelow(millis(1500));
+    this.maxFaultInterval = millis(200) + randomBelow(millis(1500));
   }
 
   void start() {
-    cluster.after(randomBelow(longestPause), this::next);
+    cluster.after(randomBelow(maxFaultInterval), this::next);
   }
 
-  /** Ends all troubles: machines run, links carry, disks store. */
+  /** Ends all faults: machines run, links deliver, disks store. */
   void stop() {
     stopped = true;
     cluster.heal();
     cluster.lossRate = 0;
     cluster.duplicationRate = 0;
-    cluster.maximumDelay = millis(5);
+    cluster.maxDelay = millis(5);
     for (SimulatedCore core : cluster.cores()) {
       core.storageFails = false;
       restart(core);
@@ -67,34 +66,34 @@
     if (cluster.now() >= quietUntil) {
       draw();
     }
-    cluster.after(randomBelow(longestPause), this::next);
+    cluster.after(randomBelow(maxFaultInterval), this::next);
   }
 
   private void draw() {
-    int fault = random.nextInt(KINDS_OF_TROUBLE + KINDS_OF_LOSS);
-    if (fault < KINDS_OF_TROUBLE) {
-      trouble(fault);
+    int fault = random.nextInt(TRANSIENT_FAULT_KINDS + LOSS_KINDS);
+    if (fault < TRANSIENT_FAULT_KINDS) {
+      injectTransientFault(fault);
     } else if (withinContract) {
-      quietUntil = Math.max(cluster.now(), troubledUntil);
+      quietUntil = Math.max(cluster.now(), faultsUntil);
       cluster.at(quietUntil, () -> lose(fault));
     } else {
       lose(fault);
     }
   }
 
-  private void trouble(int kind) {
+  private void injectTransientFault(int kind) {
     SimulatedCore core = anyCore();
-    long longest = random.nextBoolean() ? LONGEST : SHORT;
+    long longest = random.nextBoolean() ? MAX_LONG_FAULT : MAX_SHORT_FAULT;
     long duration = millis(10) + randomBelow(longest);
-    troubledUntil = Math.max(troubledUntil, cluster.now() + duration + CATCH_UP);
+    faultsUntil = Math.max(faultsUntil, cluster.now() + duration + CATCH_UP);
     switch (kind) {
       case 0, 1 -> crash(core, duration);
       case 2 -> crashAll();
       case 3 -> core.frozenUntil = cluster.now() + duration;
       case 4 -> core.stalledUntil = cluster.now() + duration;
       case 5 -> failStorage(core, duration);
-      case 6 -> cutOff(core, duration);
-      case 7 -> cutPair(core, anyCore(), duration);
+      case 6 -> partitioned(core, duration);
+      case 7 -> partitionPair(core, anyCore(), duration);
       case 8 -> disturbLinks(duration);
       default -> slowLinks(duration);
     }
@@ -106,7 +105,7 @@
     }
     losses++;
     SimulatedCore core = anyCore();
-    switch (kind - KINDS_OF_TROUBLE) {
+    switch (kind - TRANSIENT_FAULT_KINDS) {
       case 0 -> loseDisk(core, false);
       case 1 -> loseDisk(core, true);
       default -> replace(core);
@@ -151,13 +150,13 @@
     cluster.after(duration, () -> core.storageFails = false);
   }
 
-  private void cutOff(SimulatedCore core, long duration) {
+  private void partitioned(SimulatedCore core, long duration) {
     cluster.isolate(core);
     cluster.after(duration, cluster::heal);
   }
 
-  private void cutPair(SimulatedCore one, SimulatedCore other, long duration) {
-    cluster.cut(one, other);
+  private void partitionPair(SimulatedCore one, SimulatedCore other, long duration) {
+    cluster.partition(one, other);
     cluster.after(duration, cluster::heal);
   }
 
@@ -173,8 +172,8 @@
   }
 
   private void slowLinks(long duration) {
-    cluster.maximumDelay = millis(5 + random.nextInt(300));
-    cluster.after(duration, () -> cluster.maximumDelay = millis(5));
+    cluster.maxDelay = millis(5 + random.nextInt(300));
+    cluster.after(duration, () -> cluster.maxDelay = millis(5));
   }
 
   /** Leaves a machine that was lost its time to come back and catch up. */
--- a/control/src/test/java/nettletrail/control/shard/RandomFaultsTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RandomFaultsTest.java
@@ -14,8 +14,8 @@
  */
 class RandomFaultsTest {
 
-  private static final long TROUBLED_TIME = millis(25_000);
-  private static final long CALM_TIME = millis(4_000);
+  private static final long FAULT_TIME = millis(25_000);
+  private static final long RECOVERED_TIME = millis(4_000);
   private static final long RECOVERY_LIMIT = millis(10_000);
 
   private static final int SEEDS = Integer.getInteger("shard.seeds", 300);
@@ -25,17 +25,17 @@
   private enum Contract {
     /** One machine is lost at a time: everything is safe, and all shards recover. */
     KEPT,
-    /** Machines are lost for good while others are in trouble: everything is safe. */
+    /** Machines are lost for good while others are faulty: everything is safe. */
     BROKEN
   }
 
   @Test
-  void givenFaultsWithinTheContract_whenTwoOperatorsRace_thenNothingIsLostAndAllRecovers() {
+  void givenToleratedFaults_whenTwoOperatorsRace_thenNothingIsLostAndAllRecovers() {
     runAll(SEEDS, 3, Contract.KEPT);
   }
 
   @Test
-  void givenFaultsBeyondTheContract_whenTwoOperatorsRace_thenNothingIsLost() {
+  void givenMoreFaultsThanTolerated_whenTwoOperatorsRace_thenNothingIsLost() {
     runAll(SEEDS, 3, Contract.BROKEN);
   }
 
@@ -71,16 +71,16 @@
     one.start();
     other.start();
     faults.start();
-    cluster.runFor(TROUBLED_TIME);
+    cluster.runFor(FAULT_TIME);
     faults.stop();
     losses += faults.losses();
-    boolean recovered = cluster.runUntil(() -> calm(cluster), RECOVERY_LIMIT);
+    boolean recovered = cluster.runUntil(() -> hasRecovered(cluster), RECOVERY_LIMIT);
     if (!recovered && contract == Contract.BROKEN) {
       return false;
     }
     assertTrue(recovered, () -> "no recovery" + cluster.describe());
     int before = cluster.invariants().acknowledgedCount();
-    cluster.runFor(CALM_TIME);
+    cluster.runFor(RECOVERED_TIME);
     assertTrue(cluster.invariants().acknowledgedCount() > before + 5, "no progress");
     one.stop();
     other.stop();
@@ -89,7 +89,7 @@
     return true;
   }
 
-  private static boolean calm(SimulatedCluster cluster) {
+  private static boolean hasRecovered(SimulatedCluster cluster) {
     boolean thawed = cluster.cores().stream().noneMatch(SimulatedCore::frozen);
     return thawed && cluster.groupIsComplete();
   }
--- a/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
@@ -12,39 +12,39 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long it takes until each group consists of the machines that are there, after a return or a
- * start. A machine counts as lost for a time to catch up (4 s on three core machines, 6 s on five);
- * after that the next one may be lost, so every group must be whole before. What is left of that
- * time is for the start of a process, which takes no time here. Links take up to 30 ms one way.
+ * Time until each group consists of exactly the running machines, after a fault or a start. A
+ * machine counts as lost for a catch-up time (4 s on three core machines, 6 s on five); after that
+ * the next one may be lost, so every group must be complete before. The limit is shortened by the
+ * start time of a process, which is zero here. Links delay up to 30 ms one way.
  */
 class RepairTimeTest {
 
   private static final int SEEDS = 40;
-  private static final long GIVE_UP = millis(20_000);
+  private static final long TIMEOUT = millis(20_000);
   private static final long CATCH_UP = millis(4_000);
   private static final long LARGE_CATCH_UP = millis(6_000);
   private static final long PROCESS_START = millis(700);
 
-  /** A loss; the instant from which the time until the groups are whole is measured. */
-  private interface Loss {
-    long strike(SimulatedCluster cluster);
+  /** A fault; injecting it returns the instant from which the time to repair is measured. */
+  private interface Fault {
+    long inject(SimulatedCluster cluster);
   }
 
-  private static SimulatedCluster settled(long seed, int size) {
+  private static SimulatedCluster startedCluster(long seed, int size) {
     SimulatedCluster cluster = SimulatedCluster.started(seed, size);
-    cluster.maximumDelay = millis(30);
-    assertTrue(cluster.runUntil(cluster::allRun, GIVE_UP));
-    assertTrue(cluster.runUntil(cluster::groupIsComplete, GIVE_UP));
+    cluster.maxDelay = millis(30);
+    assertTrue(cluster.runUntil(cluster::allRun, TIMEOUT));
+    assertTrue(cluster.runUntil(cluster::groupIsComplete, TIMEOUT));
     cluster.runFor(millis(1_000) + cluster.random().nextInt((int) millis(500)));
     return cluster;
   }
 
-  private static void assertCompleteWithin(String name, int size, long limit, Loss loss) {
+  private static void assertCompleteWithin(String name, int size, long limit, Fault fault) {
     LongSummaryStatistics waits = new LongSummaryStatistics();
     for (long seed = 1; seed <= SEEDS; seed++) {
-      SimulatedCluster cluster = settled(seed, size);
-      long from = loss.strike(cluster);
-      assertTrue(cluster.runUntil(cluster::groupIsComplete, GIVE_UP), cluster::describe);
+      SimulatedCluster cluster = startedCluster(seed, size);
+      long from = fault.inject(cluster);
+      assertTrue(cluster.runUntil(cluster::groupIsComplete, TIMEOUT), cluster::describe);
       waits.accept((cluster.now() - from) / millis(1));
     }
     System.out.printf(
@@ -81,18 +81,18 @@
   }
 
   @Test
-  void givenFollowerLosesItsDisk_thenItIsAMemberAgainInTime() {
+  void givenFollower_whenItLosesItsDisk_thenItIsAMemberAgainInTime() {
     assertCompleteWithin(
         "follower wiped", 3, CATCH_UP, cluster -> wipe(cluster, follower(cluster)));
   }
 
   @Test
-  void givenOwnerLosesItsDisk_thenItIsAMemberAgainInTime() {
+  void givenOwner_whenItLosesItsDisk_thenItIsAMemberAgainInTime() {
     assertCompleteWithin("owner wiped", 3, CATCH_UP, cluster -> wipe(cluster, cluster.owner(0)));
   }
 
   @Test
-  void givenOwnerLosesItsDiskAndTheOthersPower_thenItIsAMemberAgainInTime() {
+  void givenOwnerLosesItsDisk_whenTheOthersLosePower_thenItIsAMemberAgainInTime() {
     assertCompleteWithin(
         "owner wiped, others without power",
         3,
@@ -104,36 +104,36 @@
   }
 
   @Test
-  void givenReplacedFollower_thenItsSuccessorIsAMemberInTime() {
+  void givenFollower_whenReplaced_thenItsSuccessorIsAMemberInTime() {
     assertCompleteWithin(
         "follower replaced", 3, CATCH_UP, cluster -> replace(cluster, follower(cluster)));
   }
 
   @Test
-  void givenReplacedOwner_thenItsSuccessorIsAMemberInTime() {
+  void givenOwner_whenReplaced_thenItsSuccessorIsAMemberInTime() {
     assertCompleteWithin(
         "owner replaced", 3, CATCH_UP, cluster -> replace(cluster, cluster.owner(0)));
   }
 
   @Test
-  void givenPlannedReplacementOfTheOwner_thenItsSuccessorIsAMemberInTime() {
+  void givenOwner_whenReplacedAsPlanned_thenItsSuccessorIsAMemberInTime() {
     assertCompleteWithin(
         "owner replaced as planned",
         3,
         CATCH_UP,
         cluster -> {
-          SimulatedCore leaver = cluster.owner(0);
+          SimulatedCore removed = cluster.owner(0);
           cluster.addCore().start(cluster.seeds(), false);
           long started = cluster.now();
           cluster.runFor(millis(300));
-          leaver.terminate();
-          cluster.remove(leaver);
+          removed.terminate();
+          cluster.remove(removed);
           return started;
         });
   }
 
   @Test
-  void givenReplacementAndThenAllAreKilled_thenTheSuccessorIsAMemberInTime() {
+  void givenReplacement_whenAllCrashAfterIt_thenTheSuccessorIsAMemberInTime() {
     assertCompleteWithin(
         "follower replaced, then all killed",
         3,
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void givenTwoOfFiveLoseTheirDisks_thenBothAreMembersAgainInTime() {
+  void givenFiveMachines_whenTwoLoseTheirDisks_thenBothAreMembersAgainInTime() {
     assertCompleteWithin(
         "two of five wiped, others without power",
         5,
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void givenOneOrderAfterTheOther_whenADiskIsLost_thenItIsAMemberAgainInTime() {
+  void givenContinuousChanges_whenADiskIsLost_thenItIsAMemberAgainInTime() {
     assertCompleteWithin(
         "follower wiped under orders",
         3,
@@ -185,7 +185,7 @@
         });
   }
 
-  /** Sends an order as soon as the one before is acknowledged, so that one is always in flight. */
+  /** Sends a change as soon as the one before is acknowledged, so that one is always in flight. */
   private static void sendNext(SimulatedCluster cluster, SimulatedCore owner, AtomicInteger last) {
     int edition = last.incrementAndGet();
     byte[] body = (edition + " next").getBytes(StandardCharsets.UTF_8);
@@ -202,8 +202,8 @@
   }
 
   @Test
-  void givenOldestDisksAreLostOneAfterTheOther_whenEachHadItsTime_thenNothingIsLost() {
-    SimulatedCluster cluster = settled(1, 3);
+  void givenDisksLostOneAfterTheOther_whenEachHasCaughtUp_thenNothingIsLost() {
+    SimulatedCluster cluster = startedCluster(1, 3);
     AtomicInteger acknowledged = new AtomicInteger();
     for (SimulatedCore core : cluster.cores()) {
       String edition = acknowledged.toString();
@@ -222,11 +222,11 @@
   // The first start
 
   @Test
-  void givenFirstStartOfFive_thenTheGroupIsWholeInLessThanTwoSeconds() {
+  void givenFiveMachines_whenFirstStarted_thenTheGroupIsCompleteInLessThanTwoSeconds() {
     LongSummaryStatistics waits = new LongSummaryStatistics();
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster = SimulatedCluster.started(seed, 5);
-      cluster.maximumDelay = millis(30);
+      cluster.maxDelay = millis(30);
       boolean complete =
           cluster.runUntil(() -> cluster.allRun() && cluster.groupIsComplete(), millis(20_000));
       assertTrue(complete, cluster::describe);
@@ -237,11 +237,11 @@
   }
 
   @Test
-  void givenFirstStartOfFive_whenTheFirstOrderIsAcknowledged_thenTwoLostDisksDoNotLoseIt() {
+  void givenFirstStartOfFive_whenTheFirstChangeIsAcknowledged_thenTwoLostDisksDoNotLoseIt() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster =
           SimulatedCluster.started(seed, 5, ShardSettings.defaults().withstanding(2));
-      cluster.runUntil(cluster::allRun, GIVE_UP);
+      cluster.runUntil(cluster::allRun, TIMEOUT);
       sendUntilAcknowledged(cluster);
       for (SimulatedCore seedMachine : List.of(cluster.core(0), cluster.core(1))) {
         seedMachine.loseDisk();
@@ -256,10 +256,10 @@
   }
 
   @Test
-  void givenFewerMachinesThanAFullGroup_whenTheFirstOrderIsSent_thenItIsAcknowledgedSoon() {
+  void givenFewerMachinesThanAFullGroup_whenTheFirstChangeIsSent_thenItIsAcknowledgedSoon() {
     SimulatedCluster cluster =
         SimulatedCluster.started(1, 3, ShardSettings.defaults().withstanding(2));
-    cluster.runUntil(cluster::allRun, GIVE_UP);
+    cluster.runUntil(cluster::allRun, TIMEOUT);
     sendUntilAcknowledged(cluster);
     assertTrue(cluster.now() < millis(4_000), "after " + cluster.now() / millis(1));
   }
--- a/control/src/test/java/nettletrail/control/shard/ReplicaGroupTest.java
+++ b/control/src/test/java/nettletrail/control/shard/ReplicaGroupTest.java
@@ -49,7 +49,7 @@
   }
 
   @Property
-  void givenRanks_whenAllMembersAreRanked_thenEachRankIsThereOnce(
+  void givenGroup_whenAllMembersAreRanked_thenEachRankOccursOnce(
       @ForAll @IntRange(min = 1, max = 9) int size, @ForAll @IntRange(min = 0, max = 4) int shard) {
     ReplicaGroup group = group(size);
     Set<Integer> ranks = new HashSet<>();
@@ -60,7 +60,7 @@
   }
 
   @Property
-  void givenInstants_whenMajorityIsAsked_thenAMajorityIsAtLeastThere(
+  void givenInstants_whenMajorityInstantIsComputed_thenAMajorityHasReachedIt(
       @ForAll @IntRange(min = -5, max = 5) int first,
       @ForAll @IntRange(min = -5, max = 5) int second,
       @ForAll @IntRange(min = -5, max = 5) int third) {
--- a/control/src/test/java/nettletrail/control/shard/ScriptedOwner.java
+++ b/control/src/test/java/nettletrail/control/shard/ScriptedOwner.java
@@ -22,9 +22,9 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * The core process {@value #SELF} with two peers that are played by the test: they vote for it and
- * store what it writes for as long as they are connected, and say nothing otherwise. Its disk is
- * immediate, and time passes only when the test says so.
+ * The core process {@value #SELF} with two fake peers, which promise and accept everything while
+ * they are connected and don't reply otherwise. Storage completes at once, and time is advanced by
+ * the test.
  */
 final class ScriptedOwner {
   static final String SELF = "10.0.0.1:7680";
@@ -54,7 +54,7 @@
             new TextRules());
   }
 
-  /** Lets time pass until the process owns the configuration. */
+  /** Advances time until the process owns the configuration. */
   static ScriptedOwner elected() {
     ScriptedOwner owner = new ScriptedOwner();
     while (!owner.shards.owns(CoreShards.CONFIGURATION_SHARD, owner.now)) {
@@ -63,7 +63,7 @@
     return owner;
   }
 
-  /** Lets time pass, with a tick at the end of each period. */
+  /** Advances time, with a tick at the end of each period. */
   void pass(long span) {
     long end = now + span;
     while (now < end) {
@@ -89,12 +89,12 @@
     return lastCall;
   }
 
-  /** The process gets a message. */
+  /** Delivers a message to the process. */
   void receive(String from, SpecificRecord message) {
     perform(shards.receive(from, message, now));
   }
 
-  /** The process grants a peer the lease. */
+  /** Has the process grant the lease to a peer. */
   void followPeer() {
     ProposalNumber proposal = new ProposalNumber(1L, NodeIdentity.founding(PEER).getId());
     String recipient = NodeIdentity.founding(SELF).getId();
@@ -172,12 +172,12 @@
   }
 
   private ShardHeartbeatReply granted(String address, ShardHeartbeat heartbeat) {
-    ShardVersion held = stored.get(address);
+    ShardVersion accepted = stored.get(address);
     return new ShardHeartbeatReply(
         heartbeat.getShard(),
         true,
         heartbeat.getProposal(),
-        held == null ? null : held.getProposal(),
-        held == null ? 0L : held.getSequence());
+        accepted == null ? null : accepted.getProposal(),
+        accepted == null ? 0L : accepted.getSequence());
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/SimulatedBandwidth.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedBandwidth.java
@@ -11,15 +11,15 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * How fast the links of a {@link SimulatedCluster} carry bytes, and how many they carried. A link
- * is a queue: a message leaves once those before it have left.
+ * Bandwidth limits of the links of a {@link SimulatedCluster}, and the bytes that they carried. A
+ * link is a FIFO queue.
  */
 final class SimulatedBandwidth {
 
   /** About the size of a message that carries no document. */
   private static final long SMALL_MESSAGE_BYTES = 150;
 
-  private static final double NANOS_A_SECOND = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final Map<String, Double> bytesPerSecond = new HashMap<>();
   private final Map<String, Long> busyUntil = new HashMap<>();
@@ -41,7 +41,7 @@
     }
     long start = Math.max(now, busyUntil.getOrDefault(link, now));
     longestQueue.merge(link, start - now, Math::max);
-    long end = start + (long) (size / rate * NANOS_A_SECOND);
+    long end = start + (long) (size / rate * NANOS_PER_SECOND);
     busyUntil.put(link, end);
     return end;
   }
@@ -63,8 +63,8 @@
       return size(reply.getAccepted());
     } else if (message instanceof VersionReply reply) {
       return size(reply.getVersion());
-    } else if (message instanceof OrderForward order) {
-      return SMALL_MESSAGE_BYTES + order.getBody().remaining();
+    } else if (message instanceof OrderForward change) {
+      return SMALL_MESSAGE_BYTES + change.getBody().remaining();
     } else if (message instanceof OrderForwardReply reply) {
       return SMALL_MESSAGE_BYTES + reply.getBody().remaining();
     }
--- a/control/src/test/java/nettletrail/control/shard/SimulatedCluster.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedCluster.java
@@ -23,7 +23,7 @@
 
   private record Event(long time, long order, Runnable action) {}
 
-  private static final int MAXIMUM_SKEW_PER_MILLE = 10;
+  private static final int MAX_SKEW_PER_MILLE = 10;
 
   private final Random random;
   private final ShardSettings settings;
@@ -36,7 +36,7 @@
   private final Map<String, SimulatedCore> cores = new LinkedHashMap<>();
   private final Map<String, Long> lastArrival = new HashMap<>();
   private final SimulatedBandwidth bandwidth = new SimulatedBandwidth();
-  private final Set<String> cutLinks = new HashSet<>();
+  private final Set<String> partitionedLinks = new HashSet<>();
   private Predicate<SpecificRecord> lost = message -> false;
   private final Map<Long, Consumer<CoreAction.AnswerOperator>> callers = new HashMap<>();
   private final ClusterInvariants invariants = new ClusterInvariants(this);
@@ -47,7 +47,7 @@
 
   double lossRate;
   double duplicationRate;
-  long maximumDelay = millis(5);
+  long maxDelay = millis(5);
 
   SimulatedCluster(long seed, ShardSettings settings) {
     this.random = new Random(seed);
@@ -135,7 +135,7 @@
     machines++;
     String address = "10.0.0." + machines + ":8665";
     long origin = random.nextInt(1_000_000_000) * 1000L;
-    int skew = random.nextInt(2 * MAXIMUM_SKEW_PER_MILLE + 1) - MAXIMUM_SKEW_PER_MILLE;
+    int skew = random.nextInt(2 * MAX_SKEW_PER_MILLE + 1) - MAX_SKEW_PER_MILLE;
     SimulatedCore core =
         new SimulatedCore(this, address, new SimulatedClock(origin, 1 + skew / 1000.0));
     cores.put(address, core);
@@ -220,13 +220,13 @@
 
   // Network
 
-  void cut(SimulatedCore one, SimulatedCore other) {
-    cutLinks.add(link(one.address, other.address));
-    cutLinks.add(link(other.address, one.address));
+  void partition(SimulatedCore one, SimulatedCore other) {
+    partitionedLinks.add(link(one.address, other.address));
+    partitionedLinks.add(link(other.address, one.address));
   }
 
   void isolate(SimulatedCore core) {
-    cores.values().stream().filter(other -> other != core).forEach(other -> cut(core, other));
+    cores.values().stream().filter(other -> other != core).forEach(other -> partition(core, other));
   }
 
   /** Loses each message for which the condition holds, from now on. */
@@ -235,7 +235,7 @@
   }
 
   void heal() {
-    cutLinks.clear();
+    partitionedLinks.clear();
     lost = message -> false;
   }
 
@@ -256,7 +256,7 @@
       return;
     }
     String link = link(from, to);
-    long delay = 200_000 + (long) (random.nextDouble() * maximumDelay);
+    long delay = 200_000 + (long) (random.nextDouble() * maxDelay);
     long arrival = bandwidth.transmitted(link, message, now) + delay;
     arrival = Math.max(arrival, lastArrival.getOrDefault(link, 0L) + 1);
     lastArrival.put(link, arrival);
@@ -264,7 +264,7 @@
         arrival,
         () -> {
           SimulatedCore target = cores.get(to);
-          if (target != null && !cutLinks.contains(link)) {
+          if (target != null && !partitionedLinks.contains(link)) {
             target.receive(from, message);
           }
         });
--- a/control/src/test/java/nettletrail/control/shard/SimulatedCore.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedCore.java
@@ -77,7 +77,7 @@
     scheduleTick();
   }
 
-  /** Ends the process; a storage operation under way may have come through. */
+  /** Crashes the process; a storage operation in flight may have been applied. */
   void crash() {
     if (storing && cluster.random().nextBoolean()) {
       disk.apply(storageQueue.peek());
@@ -86,7 +86,7 @@
     incarnation++;
   }
 
-  /** Ends the process in good order. */
+  /** Shuts the process down gracefully. */
   void terminate() {
     release();
     crash();
@@ -101,11 +101,11 @@
   }
 
   void receive(String from, SpecificRecord message) {
-    whenAwake(now -> shards.receive(from, message, now));
+    whenRunning(now -> shards.receive(from, message, now));
   }
 
   void submit(long call, String method, String ifMatch, byte[] body) {
-    whenAwake(now -> shards.submit(call, method, ifMatch, body, now));
+    whenRunning(now -> shards.submit(call, method, ifMatch, body, now));
   }
 
   private void scheduleTick() {
@@ -114,14 +114,14 @@
         TICK,
         () -> {
           if (incarnation == scheduledIn) {
-            whenAwake(now -> shards.tick(now));
+            whenRunning(now -> shards.tick(now));
             scheduleTick();
           }
         });
   }
 
-  /** Runs an event now, or when the process thaws; not at all in another life. */
-  private void whenAwake(Function<Long, List<CoreAction>> event) {
+  /** Runs an event now, or once the process isn't frozen; never in another incarnation. */
+  private void whenRunning(Function<Long, List<CoreAction>> event) {
     int scheduledIn = incarnation;
     if (!running()) {
       return;
@@ -131,7 +131,7 @@
           frozenUntil,
           () -> {
             if (incarnation == scheduledIn) {
-              whenAwake(event);
+              whenRunning(event);
             }
           });
       return;
@@ -191,11 +191,7 @@
       disk.apply(action);
     }
     StoreOutcome outcome = storageFails ? StoreOutcome.failed("disk full") : StoreOutcome.STORED;
-    long ticket =
-        action instanceof CoreAction.StorePromise promise
-            ? promise.ticket()
-            : ((CoreAction.StoreVersion) action).ticket();
-    whenAwake(now -> shards.stored(ticket, outcome, now));
+    whenRunning(now -> shards.stored(SimulatedDisk.ticket(action), outcome, now));
     storeNext();
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/SimulatedDisk.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedDisk.java
@@ -6,7 +6,7 @@
 import nettletrail.protocol.Member;
 import nettletrail.store.StoredShard;
 
-/** What is durable on one machine. */
+/** The durable state of one machine. */
 final class SimulatedDisk {
 
   Member identity;
@@ -16,7 +16,7 @@
     return Map.copyOf(shards);
   }
 
-  /** Applies a storage action in whole. */
+  /** Applies a complete storage action. */
   void apply(CoreAction action) {
     if (action instanceof CoreAction.StorePromise promise) {
       StoredShard before = before(promise.shard());
@@ -27,6 +27,13 @@
     }
   }
 
+  /** The ticket of a storage action, with which its outcome is reported. */
+  static long ticket(CoreAction action) {
+    return action instanceof CoreAction.StorePromise promise
+        ? promise.ticket()
+        : ((CoreAction.StoreVersion) action).ticket();
+  }
+
   private StoredShard before(int shard) {
     return shards.getOrDefault(shard, new StoredShard(null, null, List.of()));
   }
--- a/control/src/test/java/nettletrail/control/shard/SimulatedOperator.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedOperator.java
@@ -3,21 +3,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/**
- * An operator that sends one change after another, each again and again until it has a clear
- * answer.
- */
+/** An operator that sends one change after another and retries each until its outcome is known. */
 final class SimulatedOperator {
 
-  private static final long PATIENCE = SimulatedCluster.millis(1000);
-  private static final long PAUSE = SimulatedCluster.millis(150);
+  private static final long REQUEST_TIMEOUT = SimulatedCluster.millis(1000);
+  private static final long THINK_TIME = SimulatedCluster.millis(150);
 
   private final SimulatedCluster cluster;
   private final String name;
   private final ClusterInvariants invariants;
   private long current;
   private int changes;
-  private long round;
+  private long lastAttempt;
   private boolean stopped;
 
   SimulatedOperator(SimulatedCluster cluster, String name) {
@@ -27,7 +24,7 @@
   }
 
   void start() {
-    cluster.after(cluster.random().nextInt((int) PAUSE), this::nextChange);
+    cluster.after(cluster.random().nextInt((int) THINK_TIME), this::nextChange);
   }
 
   void stop() {
@@ -46,9 +43,9 @@
   }
 
   private void sendChange(long ifMatch, String document) {
-    round++;
-    long sentRound = round;
-    cluster.after(PATIENCE, () -> repeatAfterSilence(sentRound, ifMatch, document));
+    lastAttempt++;
+    long attempt = lastAttempt;
+    cluster.after(REQUEST_TIMEOUT, () -> retryAfterTimeout(attempt, ifMatch, document));
     SimulatedCore core = anyCore();
     byte[] body = document.getBytes(StandardCharsets.UTF_8);
     cluster.call(
@@ -56,43 +53,43 @@
         "PUT",
         Long.toString(ifMatch),
         body,
-        answer -> onChangeAnswer(sentRound, ifMatch, document, answer));
+        answer -> onChangeAnswer(attempt, ifMatch, document, answer));
   }
 
-  private void repeatAfterSilence(long sentRound, long ifMatch, String document) {
-    if (sentRound == round && !stopped) {
+  private void retryAfterTimeout(long attempt, long ifMatch, String document) {
+    if (attempt == lastAttempt && !stopped) {
       sendChange(ifMatch, document);
     }
   }
 
   private void onChangeAnswer(
-      long sentRound, long ifMatch, String document, CoreAction.AnswerOperator answer) {
+      long attempt, long ifMatch, String document, CoreAction.AnswerOperator answer) {
     if (answer.status() == OperatorResponses.OK) {
       invariants.onAcknowledged(ifMatch, Long.parseLong(answer.edition()), document);
     } else if (answer.status() < 500) {
-      invariants.onRefused(document);
+      invariants.onRejected(document);
     }
-    if (sentRound != round) {
+    if (attempt != lastAttempt) {
       return;
     }
-    round++;
+    lastAttempt++;
     if (answer.status() == OperatorResponses.OK) {
       current = Math.max(current, Long.parseLong(answer.edition()));
-      pause(this::nextChange);
+      afterThinkTime(this::nextChange);
     } else if (answer.status() < 500) {
-      pause(this::readCurrent);
+      afterThinkTime(this::readCurrent);
     } else {
-      pause(() -> sendChange(ifMatch, document));
+      afterThinkTime(() -> sendChange(ifMatch, document));
     }
   }
 
   private void readCurrent() {
-    round++;
-    long sentRound = round;
+    lastAttempt++;
+    long attempt = lastAttempt;
     cluster.after(
-        PATIENCE,
+        REQUEST_TIMEOUT,
         () -> {
-          if (sentRound == round) {
+          if (attempt == lastAttempt) {
             readCurrent();
           }
         });
@@ -102,20 +99,20 @@
         "",
         new byte[0],
         answer -> {
-          if (sentRound != round) {
+          if (attempt != lastAttempt) {
             return;
           }
-          round++;
+          lastAttempt++;
           if (answer.status() == OperatorResponses.OK) {
             current = Long.parseLong(answer.edition());
           }
-          pause(answer.status() < 500 ? this::nextChange : this::readCurrent);
+          afterThinkTime(answer.status() < 500 ? this::nextChange : this::readCurrent);
         });
   }
 
-  private void pause(Runnable next) {
+  private void afterThinkTime(Runnable next) {
     if (!stopped) {
-      cluster.after(cluster.random().nextInt((int) PAUSE), next);
+      cluster.after(cluster.random().nextInt((int) THINK_TIME), next);
     }
   }
 
