--- a/control/src/main/java/nettletrail/control/shard/Acceptor.java
+++ b/control/src/main/java/nettletrail/control/shard/Acceptor.java
@@ -131,13 +131,13 @@
   }
 
   private boolean canPromise(ProposalNumber proposal, long now) {
-    return ProposalNumbers.above(proposal, promised) && !isLeasedToOther(proposal.getNode(), now);
+    return ProposalNumbers.isAbove(proposal, promised) && !isLeasedToOther(proposal.getNode(), now);
   }
 
   /** Accepts a version unless a higher proposal number is promised. */
   void onAccept(String address, Accept request) {
     ShardVersion version = request.getVersion();
-    if (ProposalNumbers.above(promised, version.getProposal())) {
+    if (ProposalNumbers.isAbove(promised, version.getProposal())) {
       replyAccept(address, version, false, "");
       return;
     }
@@ -164,7 +164,7 @@
 
   /** Grants or renews the owner's lease unless a higher proposal number is promised. */
   ShardHeartbeatReply onHeartbeat(ShardHeartbeat heartbeat, long now) {
-    boolean granted = !ProposalNumbers.above(promised, heartbeat.getProposal());
+    boolean granted = !ProposalNumbers.isAbove(promised, heartbeat.getProposal());
     if (granted) {
       leaseProposal = heartbeat.getProposal();
       leaseUntil = Math.max(leaseUntil, now + settings.lease());
@@ -219,7 +219,7 @@
   }
 
   private void finishPrepare(PendingPrepare done, StoreOutcome outcome) {
-    boolean overtaken = ProposalNumbers.above(promised, done.proposal());
+    boolean overtaken = ProposalNumbers.isAbove(promised, done.proposal());
     boolean granted = outcome.stored() && !overtaken;
     actionQueue.send(
         done.address(),
--- a/control/src/main/java/nettletrail/control/shard/ProposalNumbers.java
+++ b/control/src/main/java/nettletrail/control/shard/ProposalNumbers.java
@@ -19,7 +19,7 @@
   }
 
   /** True if the left one is strictly above the right one; null counts as {@link #ZERO}. */
-  public static boolean above(ProposalNumber left, ProposalNumber right) {
+  public static boolean isAbove(ProposalNumber left, ProposalNumber right) {
     return compare(left, right) > 0;
   }
 
--- a/control/src/main/java/nettletrail/control/shard/ReplicaStateMachine.java
+++ b/control/src/main/java/nettletrail/control/shard/ReplicaStateMachine.java
@@ -184,7 +184,7 @@
   void onProposalSeen(ProposalNumber proposal, long now) {
     highestSeen = ProposalNumbers.max(highestSeen, proposal);
     if (!(state instanceof OwnerState owner)
-        || !ProposalNumbers.above(proposal, owner.proposal())) {
+        || !ProposalNumbers.isAbove(proposal, owner.proposal())) {
       return;
     }
     boolean leaseRuns = now < owner.leaseUntil();
--- a/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
@@ -36,7 +36,8 @@
   }
 
   /**
-   * Changes the configuration at a steady pace, each change at one machine, until it is stopped.
+   * Changes the configuration at a steady pace, each change at one machine, each after the one
+   * before.
    */
   private static final class SteadyChanges {
     private final SimulatedCluster cluster;
@@ -63,7 +64,7 @@
         edition = next;
         cluster.runFor(Math.max(0, end - cluster.now()));
       }
-      assertEquals(0, rejected, "changes that were not taken");
+      assertEquals(0, rejected, "changes that were rejected");
     }
 
     long edition() {
--- a/control/src/test/java/nettletrail/control/shard/ClusterInvariants.java
+++ b/control/src/test/java/nettletrail/control/shard/ClusterInvariants.java
@@ -65,15 +65,15 @@
     long trueInstant = core.clock.trueTime(confirmedAt);
     long known = core.announced == null ? 0 : core.announced.edition();
     for (int index = acknowledged.size() - 1; index >= 0; index--) {
-      Acknowledged order = acknowledged.get(index);
-      boolean before = order.time() < trueInstant - 1000;
-      if (before && order.edition() > known) {
+      Acknowledged change = acknowledged.get(index);
+      boolean before = change.time() < trueInstant - 1000;
+      if (before && change.edition() > known) {
         throw new AssertionError(
             core.address
                 + " confirmed edition "
                 + known
                 + " after the acknowledgement of "
-                + order);
+                + change);
       }
       if (before) {
         return;
@@ -86,7 +86,7 @@
     requireSame(documentBySequence, configuration.sequence(), document);
     requireSame(documentByEdition, configuration.edition(), document);
     if (rejected.contains(document)) {
-      throw new AssertionError("refused, yet in force: " + document);
+      throw new AssertionError("rejected, yet active: " + document);
     }
   }
 
@@ -100,36 +100,36 @@
   /** An operator got 200 for a PUT. */
   void onAcknowledged(long ifMatch, long edition, String document) {
     if (rejected.contains(document)) {
-      throw new AssertionError("refused before, now taken: " + document);
+      throw new AssertionError("rejected before, now applied: " + document);
     }
-    Acknowledged order = new Acknowledged(ifMatch, edition, document, cluster.now());
-    Acknowledged before = acknowledgedByIfMatch.putIfAbsent(ifMatch, order);
+    Acknowledged change = new Acknowledged(ifMatch, edition, document, cluster.now());
+    Acknowledged before = acknowledgedByIfMatch.putIfAbsent(ifMatch, change);
     if (before != null && !before.document().equals(document)) {
-      throw new AssertionError("two winners on top of " + ifMatch + ": " + before + ", " + order);
+      throw new AssertionError("two winners on top of " + ifMatch + ": " + before + ", " + change);
     }
     requireSame(documentByEdition, edition, document);
     if (before == null) {
-      acknowledged.add(order);
+      acknowledged.add(change);
     }
   }
 
   /** An operator got a 4xx for a PUT. */
   void onRejected(String document) {
     rejected.add(document);
-    boolean taken = acknowledged.stream().anyMatch(order -> order.document().equals(document));
-    if (taken || documentByEdition.containsValue(document)) {
-      throw new AssertionError("taken, yet refused: " + document);
+    boolean applied = acknowledged.stream().anyMatch(change -> change.document().equals(document));
+    if (applied || documentByEdition.containsValue(document)) {
+      throw new AssertionError("applied, yet rejected: " + document);
     }
   }
 
   /** The configuration that was read back must hold every acknowledged change. */
   void checkReadBack(long edition, String document) {
-    for (Acknowledged order : acknowledged) {
-      if (order.edition() > edition) {
-        throw new AssertionError("lost: " + order + ", read back " + edition);
+    for (Acknowledged change : acknowledged) {
+      if (change.edition() > edition) {
+        throw new AssertionError("lost: " + change + ", read back " + edition);
       }
-      if (order.edition() == edition && !order.document().equals(document)) {
-        throw new AssertionError("differs: " + order + ", read back " + document);
+      if (change.edition() == edition && !change.document().equals(document)) {
+        throw new AssertionError("differs: " + change + ", read back " + document);
       }
     }
   }
--- a/control/src/test/java/nettletrail/control/shard/OperatorRequestOutcomeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorRequestOutcomeTest.java
@@ -50,7 +50,7 @@
       cases += pendingAtTheFormerOwner && former.announced.edition() == 4 ? 1 : 0;
       assertNotEquals(200, operator.await(lost).status(), "seed " + seed);
     }
-    assertTrue(cases > 0, "in no run did the order still wait when the next version came");
+    assertTrue(cases > 0, "in no run was the change pending when the next version came");
   }
 
   /**
--- a/control/src/test/java/nettletrail/control/shard/RandomFaults.java
+++ b/control/src/test/java/nettletrail/control/shard/RandomFaults.java
@@ -26,7 +26,7 @@
   private final long maxFaultInterval;
   private final boolean withinContract;
   private long faultsUntil;
-  private long quietUntil;
+  private long pausedUntil;
   private int losses;
   private boolean stopped;
 
@@ -63,7 +63,7 @@
     if (stopped) {
       return;
     }
-    if (cluster.now() >= quietUntil) {
+    if (cluster.now() >= pausedUntil) {
       draw();
     }
     cluster.after(randomBelow(maxFaultInterval), this::next);
@@ -74,8 +74,8 @@
     if (fault < TRANSIENT_FAULT_KINDS) {
       injectTransientFault(fault);
     } else if (withinContract) {
-      quietUntil = Math.max(cluster.now(), faultsUntil);
-      cluster.at(quietUntil, () -> lose(fault));
+      pausedUntil = Math.max(cluster.now(), faultsUntil);
+      cluster.at(pausedUntil, () -> lose(fault));
     } else {
       lose(fault);
     }
@@ -92,7 +92,7 @@
       case 3 -> core.frozenUntil = cluster.now() + duration;
       case 4 -> core.stalledUntil = cluster.now() + duration;
       case 5 -> failStorage(core, duration);
-      case 6 -> partitioned(core, duration);
+      case 6 -> isolate(core, duration);
       case 7 -> partitionPair(core, anyCore(), duration);
       case 8 -> disturbLinks(duration);
       default -> slowLinks(duration);
@@ -150,7 +150,7 @@
     cluster.after(duration, () -> core.storageFails = false);
   }
 
-  private void partitioned(SimulatedCore core, long duration) {
+  private void isolate(SimulatedCore core, long duration) {
     cluster.isolate(core);
     cluster.after(duration, cluster::heal);
   }
@@ -176,15 +176,15 @@
     cluster.after(duration, () -> cluster.maxDelay = millis(5));
   }
 
-  /** Leaves a machine that was lost its time to come back and catch up. */
-  private void keepQuiet(long downFor) {
+  /** Injects no fault until a lost machine has returned and caught up. */
+  private void pauseFaults(long downFor) {
     if (withinContract) {
-      quietUntil = cluster.now() + downFor + CATCH_UP;
+      pausedUntil = cluster.now() + downFor + CATCH_UP;
     }
   }
 
   private void loseDisk(SimulatedCore core, boolean othersLosePower) {
-    keepQuiet(millis(1000));
+    pauseFaults(millis(1000));
     if (othersLosePower) {
       crashAll();
     } else {
@@ -197,7 +197,7 @@
     cluster.remove(core);
     SimulatedCore added = cluster.addCore();
     long downFor = randomBelow(millis(3000));
-    keepQuiet(downFor);
+    pauseFaults(downFor);
     cluster.after(downFor, () -> restart(added));
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/RandomFaultsTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RandomFaultsTest.java
@@ -97,7 +97,7 @@
   private static void readBack(SimulatedCluster cluster, SimulatedCore core) {
     AtomicReference<CoreAction.AnswerOperator> answer = new AtomicReference<>();
     cluster.call(core, "GET", "", new byte[0], answer::set);
-    assertTrue(cluster.runUntil(() -> answer.get() != null, millis(1500)), "GET silent");
+    assertTrue(cluster.runUntil(() -> answer.get() != null, millis(1500)), "no answer to GET");
     String document = new String(answer.get().body(), StandardCharsets.UTF_8);
     assertTrue(answer.get().status() == 200, "GET " + answer.get().status() + " " + document);
     cluster.invariants().checkReadBack(Long.parseLong(answer.get().edition()), document);
