--- a/control/src/main/java/nettletrail/control/CoreRegistrySettings.java
+++ b/control/src/main/java/nettletrail/control/CoreRegistrySettings.java
@@ -3,13 +3,13 @@
 import nettletrail.control.grant.GrantTerms;
 
 /**
- * What the core's registry has to be told.
+ * Settings of a core process's registry.
  *
  * @param address this process's address as other core processes and doors dial it
- * @param zone the zone that this process stands in
- * @param feed the id of this life's feed; above 0 and never used before
- * @param heartbeatMs how often backends call, in milliseconds
- * @param grants the bounds that grants keep
+ * @param zone the failure domain that this process runs in
+ * @param feed the id of this incarnation's feed; above 0 and never used before
+ * @param heartbeatMs the interval of backends' heartbeats in milliseconds, above 0
+ * @param grants the bound that grants keep
  */
 public record CoreRegistrySettings(
     String address, String zone, long feed, long heartbeatMs, GrantTerms grants) {
@@ -17,7 +17,7 @@
   public CoreRegistrySettings {
     if (feed <= 0 || heartbeatMs <= 0) {
       throw new IllegalArgumentException(
-          "feed and beatMs must be above 0, not " + feed + ", " + heartbeatMs);
+          "feed and heartbeatMs must be above 0, not " + feed + ", " + heartbeatMs);
     }
   }
 }
--- a/control/src/main/java/nettletrail/control/RendezvousHash.java
+++ b/control/src/main/java/nettletrail/control/RendezvousHash.java
@@ -1,8 +1,8 @@
 package nettletrail.control;
 
 /**
- * A 64-bit hash of a key and a node, for rendezvous hashing: FNV-1a over the node's name, then the
- * finalizer of SplitMix64.
+ * The hash of a key and a node for rendezvous hashing (Thaler and Ravishankar, 1998): 64-bit FNV-1a
+ * over the node's name, then the finalizer of SplitMix64. The same in every process and release.
  */
 public final class RendezvousHash {
 
@@ -16,7 +16,7 @@
 
   private RendezvousHash() {}
 
-  /** The weight of a node for a key; the node with the highest stands first. */
+  /** The weight of a node for a key; the node with the highest weight is the first choice. */
   public static long weight(int key, String node) {
     long hash = FNV_OFFSET_BASIS ^ key;
     for (int index = 0; index < node.length(); index++) {
--- /dev/null
+++ b/control/src/main/java/nettletrail/control/ReplicationManager.java
@@ -0,0 +1,112 @@
+package nettletrail.control;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import nettletrail.control.registry.CorePeers;
+import nettletrail.control.registry.DoorSessions;
+import nettletrail.control.registry.Feed;
+import nettletrail.control.registry.PendingCalls;
+import nettletrail.control.registry.RegistryAction;
+import nettletrail.protocol.Backend;
+import nettletrail.protocol.Member;
+import nettletrail.protocol.RegistryDigest;
+import nettletrail.protocol.RegistryUpdateReply;
+
+/**
+ * Replicates changes of backends to the other core processes and the doors, and answers the calls
+ * that wait for that. Not thread-safe; instants are steady nanoseconds.
+ *
+ * <p>The call of a draining or deregistering backend is acknowledged once another core process has
+ * the report and it was sent to all connected doors, or all live doors acknowledged it, or there is
+ * neither another core process nor a live door. A process that just started knows which doors are
+ * live only when the leases of its former incarnation have expired.
+ */
+final class ReplicationManager {
+  private final ShardOwnership ownership;
+  private final Feed feed;
+  private final DoorSessions doors;
+  private final CorePeers peers;
+  private final PendingCalls pendingCalls = new PendingCalls();
+
+  ReplicationManager(
+      CoreRegistrySettings settings, ShardOwnership ownership, Feed feed, DoorSessions doors) {
+    this.ownership = ownership;
+    this.feed = feed;
+    this.doors = doors;
+    this.peers = new CorePeers(settings.address(), settings.feed());
+  }
+
+  /** Sends a changed record to the other core processes and to the doors. */
+  void publish(Backend backend) {
+    updateMembers();
+    peers.replicate(backend);
+    feed.append(backend);
+  }
+
+  /**
+   * Answers a call once its report may be acknowledged, or at its deadline. A repeated call waits
+   * on its own; its report is replicated again, so that there is an acknowledgement to wait for.
+   * Doors have to read the feed only up to the newest withdrawal: entries after it may still wait
+   * to be sent in a batch.
+   */
+  void acknowledgeWhenReplicated(long call, Backend backend, long now) {
+    updateMembers();
+    peers.replicate(backend);
+    pendingCalls.add(call, backend, feed.lastWithdrawalOffset(), now);
+  }
+
+  /** A peer acknowledged an update. */
+  void acknowledged(String address, RegistryUpdateReply reply) {
+    peers.acknowledged(address, reply).forEach(pendingCalls::replicated);
+  }
+
+  /** A link to a peer is up; {@code contents} are all records that it has to know. */
+  void peerUp(String address, List<Backend> contents, long now) {
+    peers.linkUp(address, contents, now);
+  }
+
+  /** The link to a peer is down. */
+  void peerDown(String address) {
+    peers.linkDown(address);
+  }
+
+  /** Takes over the current members of the core. */
+  void updateMembers() {
+    Set<String> addresses = new HashSet<>();
+    for (Member member : ownership.members()) {
+      addresses.add(member.getAddress());
+    }
+    peers.updateMembers(addresses);
+  }
+
+  /** Sends a digest to each connected peer. */
+  List<RegistryAction> broadcast(RegistryDigest digest) {
+    return peers.broadcast(digest);
+  }
+
+  /** All messages and answers that are due; the cost grows with the number of doors and peers. */
+  List<RegistryAction> sendDue(long now) {
+    List<RegistryAction> actions = new ArrayList<>(peers.updatesDue(now));
+    actions.addAll(doors.push(now));
+    actions.addAll(answerDue(now));
+    return actions;
+  }
+
+  /** The answers to calls that may be acknowledged or have reached their deadline. */
+  List<RegistryAction> answerDue(long now) {
+    return pendingCalls.answerDue(this::mayAcknowledge, now);
+  }
+
+  private boolean mayAcknowledge(PendingCalls.Call call, long now) {
+    return call.isReplicated() && doors.isSentToAllConnected(call.feedOffset())
+        || doors.isAcknowledgedByAllLive(call.feedOffset(), now)
+        || isOnlyCore() && doors.isNoneLive(now);
+  }
+
+  /** Whether this is the only core process; false while the membership isn't known. */
+  private boolean isOnlyCore() {
+    return peers.isEmpty() && !ownership.members().isEmpty();
+  }
+}
--- a/control/src/main/java/nettletrail/control/ShardMap.java
+++ b/control/src/main/java/nettletrail/control/ShardMap.java
@@ -4,17 +4,17 @@
 import java.util.zip.CRC32C;
 
 /**
- * Which shard a name belongs to: shard 0 holds the configuration, tenants and services hash to the
- * shards above it.
+ * Maps names to shards: shard 0 is the configuration's, tenants and services are spread over the
+ * shards above it by a hash.
  */
 public final class ShardMap {
-  /** The shard that holds the configuration. */
+  /** The shard of the configuration. */
   public static final int CONFIGURATION_SHARD = 0;
 
-  /** How many shards tenants and services are spread over; they are numbered from 1. */
+  /** The number of shards that tenants and services are spread over; the first of them is 1. */
   public static final int NAMED_SHARDS = 4;
 
-  /** All shards, the configuration's included. */
+  /** The number of all shards, the configuration's included. */
   public static final int SHARD_COUNT = 1 + NAMED_SHARDS;
 
   private ShardMap() {}
--- a/control/src/main/java/nettletrail/control/ShardOwnership.java
+++ b/control/src/main/java/nettletrail/control/ShardOwnership.java
@@ -6,8 +6,8 @@
 import nettletrail.protocol.ProposalNumber;
 
 /**
- * What the registry and the grants need to know of the replicated shards. Called on the control
- * thread only.
+ * The state of the replicated shards that the registry and the grants depend on. Called by the
+ * control thread only.
  */
 public interface ShardOwnership {
   /**
@@ -22,7 +22,7 @@
    */
   ProposalNumber token(int shard);
 
-  /** The address of the shard's owner as this process knows it, empty where it knows none. */
+  /** The address of the shard's owner as far as this process knows; empty if it knows none. */
   String ownerAddress(int shard);
 
   /** The core processes, this one included. */
@@ -33,10 +33,10 @@
 
   /**
    * The steady instant, in nanoseconds, at which a majority confirmed that the committed
-   * configuration which this process holds is the newest; empty before the first time.
+   * configuration of this process is the newest; empty before the first time.
    */
   OptionalLong confirmedAt();
 
-  /** The sequence of the newest committed configuration that this process holds, 0 for none. */
+  /** The sequence of the newest committed configuration that this process has, 0 for none. */
   long configurationSequence();
 }
--- a/control/src/main/java/nettletrail/control/registry/BackendOrdering.java
+++ b/control/src/main/java/nettletrail/control/registry/BackendOrdering.java
@@ -6,7 +6,7 @@
 /**
  * The order in which reports about one backend replace each other, the same in every process: GONE
  * is final, then the higher call sequence wins, then the later state of the life cycle.
- * Commutative, so reports may arrive in any order.
+ * Commutative, associative and idempotent, so reports may arrive in any order and more than once.
  */
 public final class BackendOrdering {
   private BackendOrdering() {}
@@ -26,17 +26,17 @@
   }
 
   /**
-   * Whether two reports say the same but for their call sequence and the time that the backend
-   * stays slow.
+   * Whether two reports are equal but for their call sequence and the time that is left of the
+   * backend's slow start.
    */
   public static boolean sameContent(Backend one, Backend other) {
     return one.getState() == other.getState()
         && one.getSlots() == other.getSlots()
-        && samePlace(one, other)
+        && sameEndpoint(one, other)
         && sameSoftware(one, other);
   }
 
-  private static boolean samePlace(Backend one, Backend other) {
+  private static boolean sameEndpoint(Backend one, Backend other) {
     return one.getService().equals(other.getService())
         && one.getAddress().equals(other.getAddress())
         && one.getZone().equals(other.getZone());
@@ -48,8 +48,16 @@
         && one.getModels().equals(other.getModels());
   }
 
-  /** Whether the backend has deleted itself. */
+  /** Whether the backend has deregistered itself; its record is a tombstone. */
   public static boolean isGone(Backend backend) {
     return backend.getState() == BackendState.GONE;
   }
+
+  /**
+   * Whether the backend takes no new requests any more: it is draining (CLOSING) or deregistered
+   * (GONE).
+   */
+  public static boolean isWithdrawn(Backend backend) {
+    return backend.getState() != BackendState.READY;
+  }
 }
--- a/control/src/main/java/nettletrail/control/registry/BackendStatus.java
+++ b/control/src/main/java/nettletrail/control/registry/BackendStatus.java
@@ -3,10 +3,10 @@
 import nettletrail.protocol.Backend;
 
 /**
- * What one core process knows of a backend, for operators; decides nothing.
+ * A backend as one core process knows it, as shown to operators.
  *
  * @param backend its newest report
- * @param lastSeenAgoMs how long ago any core process heard of it, as far as known here
- * @param expired whether nobody has heard of it for too long
+ * @param lastSeenAgoMs milliseconds since any core process last saw it, as far as known here
+ * @param expired whether it expired, having been out of contact for too long
  */
 public record BackendStatus(Backend backend, long lastSeenAgoMs, boolean expired) {}
--- a/control/src/main/java/nettletrail/control/registry/ConfigurationSender.java
+++ b/control/src/main/java/nettletrail/control/registry/ConfigurationSender.java
@@ -7,32 +7,32 @@
 import nettletrail.protocol.ConfigurationFetch;
 
 /**
- * The newest committed configurations in pieces for doors. A few older ones are kept, so that a
- * door on a thin link can finish one while newer ones follow quickly.
+ * The newest committed configurations, cut into chunks for doors. Some older ones are retained, so
+ * that a door on a slow link can complete one while newer ones follow quickly.
  */
 final class ConfigurationSender {
-  /** A piece holds up a heartbeat or a grant behind it for less than 40 ms at 7 Mbit/s. */
+  /** A chunk delays a heartbeat or a grant behind it by less than 40 ms at 7 Mbit/s. */
   static final int CHUNK_BYTES = 32 << 10;
 
-  private static final int MAX_KEPT = 8;
+  private static final int MAX_RETAINED = 8;
 
-  private final Map<Long, Kept> keptBySequence = new LinkedHashMap<>();
-  private Kept newest;
+  private final Map<Long, Configuration> bySequence = new LinkedHashMap<>();
+  private Configuration newest;
 
-  /** Since which sequence the document is the same. */
-  private long documentSince;
+  /** The first sequence from which on the document has been the same. */
+  private long documentUnchangedSince;
 
-  private record Kept(long sequence, long edition, ByteBuffer document) {}
+  private record Configuration(long sequence, long edition, ByteBuffer document) {}
 
   /** A newer configuration is committed; of the same edition if only the group has changed. */
   void committed(long sequence, long edition, ByteBuffer document) {
     if (newest == null || newest.edition() != edition) {
-      documentSince = sequence;
+      documentUnchangedSince = sequence;
     }
-    newest = new Kept(sequence, edition, document);
-    keptBySequence.put(sequence, newest);
-    if (keptBySequence.size() > MAX_KEPT) {
-      keptBySequence.remove(keptBySequence.keySet().iterator().next());
+    newest = new Configuration(sequence, edition, document);
+    bySequence.put(sequence, newest);
+    if (bySequence.size() > MAX_RETAINED) {
+      bySequence.remove(bySequence.keySet().iterator().next());
     }
   }
 
@@ -42,30 +42,35 @@
   }
 
   /**
-   * What brings on a door that holds this sequence: the beginning of the newest document, or only
-   * its sequence where the document is the same.
+   * The first chunk of the newest document for a door with this sequence, or an empty chunk with
+   * the newest sequence only if the door already has the document. Requires {@link #sequence} > 0.
    */
-  ConfigurationChunk first(long heldSequence) {
-    boolean sameDocument = heldSequence >= documentSince;
+  ConfigurationChunk firstChunk(long doorSequence) {
+    boolean sameDocument = doorSequence >= documentUnchangedSince;
     if (sameDocument) {
       return new ConfigurationChunk(
           newest.sequence(), newest.edition(), 0, 0, ByteBuffer.allocate(0));
     }
-    return piece(newest, 0);
+    return chunk(newest, 0);
   }
 
-  /** The piece that a door asked for; the beginning of the newest document where it can't be. */
-  ConfigurationChunk answer(ConfigurationFetch fetch, long heldSequence) {
-    Kept asked = keptBySequence.get(fetch.getSequence());
-    boolean known =
-        asked != null && fetch.getOffset() >= 0 && fetch.getOffset() < asked.document().remaining();
-    return known ? piece(asked, fetch.getOffset()) : first(heldSequence);
+  /**
+   * The chunk that a door requested; if the configuration is no longer retained or the offset is
+   * outside of it, as {@link #firstChunk}.
+   */
+  ConfigurationChunk requestedChunk(ConfigurationFetch fetch, long doorSequence) {
+    Configuration requested = bySequence.get(fetch.getSequence());
+    int offset = fetch.getOffset();
+    boolean available =
+        requested != null && offset >= 0 && offset < requested.document().remaining();
+    return available ? chunk(requested, offset) : firstChunk(doorSequence);
   }
 
-  private static ConfigurationChunk piece(Kept kept, int offset) {
-    int size = kept.document().remaining();
+  private static ConfigurationChunk chunk(Configuration configuration, int offset) {
+    int size = configuration.document().remaining();
     int length = Math.min(CHUNK_BYTES, size - offset);
-    ByteBuffer content = kept.document().slice(offset, length);
-    return new ConfigurationChunk(kept.sequence(), kept.edition(), size, offset, content);
+    ByteBuffer content = configuration.document().slice(offset, length);
+    return new ConfigurationChunk(
+        configuration.sequence(), configuration.edition(), size, offset, content);
   }
 }
--- a/control/src/main/java/nettletrail/control/registry/CorePeers.java
+++ b/control/src/main/java/nettletrail/control/registry/CorePeers.java
@@ -6,15 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.RegistryDigest;
 import nettletrail.protocol.RegistryUpdate;
 import nettletrail.protocol.RegistryUpdateReply;
 
-/** The other core processes: which can be reached, and what each of them has to be told. */
+/**
+ * The other core processes: which of them are connected, and the updates that each of them hasn't
+ * acknowledged yet. Not thread-safe; instants are steady nanoseconds.
+ */
 public final class CorePeers {
-  /** Numbers of updates of one life, before those of another life may begin. */
+  /** Each incarnation has the update numbers of so many bits for itself. */
   private static final int UPDATE_NUMBER_BITS = 24;
 
   private final String self;
@@ -23,7 +25,7 @@
 
   private static final class Peer {
     final HintedHandoff hints;
-    boolean reachable;
+    boolean connected;
 
     Peer(HintedHandoff hints) {
       this.hints = hints;
@@ -35,23 +37,18 @@
    *
    * @param self this process's address
    * @param incarnation of this process; keeps the numbers of its updates apart from those of other
-   *     lives, whose acknowledgements may come late
+   *     incarnations, whose acknowledgements may arrive late
    */
   public CorePeers(String self, long incarnation) {
     this.self = self;
     this.lastUpdate = incarnation << UPDATE_NUMBER_BITS;
   }
 
-  private long nextUpdate() {
-    lastUpdate++;
-    return lastUpdate;
-  }
-
   /**
-   * Follows the membership: hints are kept for members, others are forgotten once they can't be
-   * reached.
+   * Follows the membership: hints are stored for members; a peer that is no member is forgotten
+   * once it is disconnected.
    */
-  public void members(Collection<String> addresses) {
+  public void updateMembers(Collection<String> addresses) {
     for (String address : addresses) {
       if (!address.equals(self)) {
         peer(address);
@@ -59,38 +56,40 @@
     }
     peers
         .entrySet()
-        .removeIf(entry -> !entry.getValue().reachable && !addresses.contains(entry.getKey()));
+        .removeIf(entry -> !entry.getValue().connected && !addresses.contains(entry.getKey()));
   }
 
   /**
-   * A link to a peer is up; it is told everything, since it may have lost what it acknowledged.
-   * {@code contents}: all that it has to know.
+   * A link to a peer is up. The peer is sent everything, since it may have restarted and lost what
+   * it acknowledged.
+   *
+   * @param contents all records that it has to know
    */
-  public void up(String address, List<Backend> contents, long now) {
+  public void linkUp(String address, List<Backend> contents, long now) {
     Peer peer = peer(address);
-    peer.reachable = true;
-    contents.forEach(peer.hints::keep);
-    peer.hints.peerIsBack(now);
+    peer.connected = true;
+    contents.forEach(peer.hints::add);
+    peer.hints.retryNow(now);
   }
 
-  /** The link to a peer is gone. */
-  public void down(String address) {
-    peer(address).reachable = false;
+  /** The link to a peer is down. */
+  public void linkDown(String address) {
+    peer(address).connected = false;
   }
 
-  /** Keeps a report for every peer until each has acknowledged it. */
-  public void tell(Backend backend) {
-    peers.values().forEach(peer -> peer.hints.keep(backend));
+  /** Stores a report as a hint for every peer until each has acknowledged it. */
+  public void replicate(Backend backend) {
+    peers.values().forEach(peer -> peer.hints.add(backend));
   }
 
-  /** Updates that are due, first sendings and repeated ones. */
-  public List<RegistryAction> send(long now) {
+  /** The updates that are due to connected peers: one of new reports, or else one retry, each. */
+  public List<RegistryAction> updatesDue(long now) {
     List<RegistryAction> actions = new ArrayList<>();
     peers.forEach(
         (address, peer) -> {
-          if (peer.reachable) {
-            Optional<RegistryUpdate> first = peer.hints.unsent(now);
-            Optional<RegistryUpdate> update = first.isPresent() ? first : peer.hints.due(now);
+          if (peer.connected) {
+            Optional<RegistryUpdate> first = peer.hints.firstAttempt(now);
+            Optional<RegistryUpdate> update = first.isPresent() ? first : peer.hints.retry(now);
             update.ifPresent(
                 message -> actions.add(new RegistryAction.SendToCore(address, message)));
           }
@@ -98,36 +97,36 @@
     return actions;
   }
 
-  /** One digest for each peer that can be reached. */
-  public List<RegistryAction> digest(RegistryDigest digest) {
+  /** Sends a digest to each connected peer. */
+  public List<RegistryAction> broadcast(RegistryDigest digest) {
     List<RegistryAction> actions = new ArrayList<>();
     peers.forEach(
         (address, peer) -> {
-          if (peer.reachable) {
+          if (peer.connected) {
             actions.add(new RegistryAction.SendToCore(address, digest));
           }
         });
     return actions;
   }
 
-  /** Takes a peer's acknowledgement; returns the reports that it covers. */
+  /** A peer acknowledged an update; returns the reports that it covers. */
   public List<Backend> acknowledged(String address, RegistryUpdateReply reply) {
     Peer peer = peers.get(address);
     return peer == null ? List.of() : peer.hints.acknowledged(reply);
   }
 
-  /** The addresses of all peers that are members or can be reached. */
-  public Set<String> addresses() {
-    return Set.copyOf(peers.keySet());
-  }
-
   /** Whether this is the only core process. */
-  public boolean none() {
+  public boolean isEmpty() {
     return peers.isEmpty();
   }
 
   private Peer peer(String address) {
     return peers.computeIfAbsent(
-        address, unseen -> new Peer(new HintedHandoff(self, this::nextUpdate)));
+        address, unknown -> new Peer(new HintedHandoff(self, this::nextUpdate)));
+  }
+
+  private long nextUpdate() {
+    lastUpdate++;
+    return lastUpdate;
   }
 }
--- a/control/src/main/java/nettletrail/control/registry/DoorSession.java
+++ b/control/src/main/java/nettletrail/control/registry/DoorSession.java
@@ -3,91 +3,66 @@
 import nettletrail.protocol.DoorHeartbeat;
 
 /**
- * What this core process knows of one door: its lease, and how far it has read the feed. Times are
- * steady nanoseconds.
+ * One door at this core process: its lease, its configuration and its position in the feed. Not
+ * thread-safe; instants are steady nanoseconds.
  */
 final class DoorSession {
   private static final long MILLIS = 1_000_000L;
 
-  /** How long a door counts as live after its last heartbeat. */
-  static final long LEASE = 3_000 * MILLIS;
-
-  /** After so long without an acknowledgement, events that were pushed are pushed again. */
-  private static final long PUSH_AGAIN = 600 * MILLIS;
+  /** A door is live for so long after its last heartbeat. */
+  static final long LEASE_NANOS = 3_000 * MILLIS;
 
   private final String door;
+  private final FeedPosition feedPosition;
   private String zone = "";
   private boolean draining;
   private boolean linkUp;
-  private boolean greeted;
   private long leaseUntil;
-  private boolean configurationSource;
+  private boolean isConfigurationSource;
   private long configurationSequence;
-  private long pushedSequence;
-  private long feed;
-  private long acknowledgedOffset;
-  private long sentOffset;
-  private long feedSentAt;
+  private long sentSequence;
 
   DoorSession(String door, long now) {
     this.door = door;
     this.leaseUntil = now;
-    this.feedSentAt = now - LEASE;
+    this.feedPosition = new FeedPosition(now - LEASE_NANOS);
   }
 
   String door() {
     return door;
   }
 
-  /** What the door read before is unknown until its first heartbeat: it may be a new process. */
+  /** The door may be a new process: what it has is unknown until its first heartbeat. */
   void linkUp() {
     linkUp = true;
-    greeted = false;
-    configurationSource = false;
-    pushedSequence = 0;
-    acknowledgedOffset = 0;
+    isConfigurationSource = false;
+    sentSequence = 0;
+    feedPosition.reset();
   }
 
   void linkDown() {
     linkUp = false;
-    greeted = false;
+    feedPosition.forget();
   }
 
-  /** Renews the lease and takes over where the door stands. */
+  /** Renews the lease and takes over what the door reports. */
   void heartbeat(DoorHeartbeat heartbeat, long now) {
     linkUp = true;
     zone = heartbeat.getZone();
     draining = heartbeat.getDraining();
-    leaseUntil = now + LEASE;
+    leaseUntil = now + LEASE_NANOS;
     configurationSequence = heartbeat.getConfigurationSequence();
-    configurationSource = heartbeat.getConfigurationSource();
-    boolean anew = !greeted || heartbeat.getFeed() != feed;
-    boolean stuck =
-        heartbeat.getFeedOffset() < sentOffset
-            && heartbeat.getFeedOffset() == acknowledgedOffset
-            && now - feedSentAt > PUSH_AGAIN;
-    if (anew && !(greeted && now - feedSentAt <= PUSH_AGAIN) || stuck) {
-      feed = heartbeat.getFeed();
-      sentOffset = heartbeat.getFeedOffset();
-      acknowledgedOffset = heartbeat.getFeedOffset();
-    } else if (!anew) {
-      acknowledged(heartbeat.getFeed(), heartbeat.getFeedOffset());
-    }
-    greeted = true;
-  }
-
-  /** The door has read the feed up to here. */
-  void acknowledged(long ofFeed, long offset) {
-    if (ofFeed == feed) {
-      acknowledgedOffset = Math.max(acknowledgedOffset, offset);
-    }
+    isConfigurationSource = heartbeat.getConfigurationSource();
+    feedPosition.reported(heartbeat.getFeed(), heartbeat.getFeedOffset(), now);
   }
 
-  boolean live(long now) {
+  /** Whether the door holds a lease. */
+  boolean isLive(long now) {
     return now - leaseUntil < 0;
   }
 
-  boolean silentFor(long nanos, long now) {
+  /** Whether there is no link and the lease expired more than so many nanoseconds ago. */
+  boolean isIdleFor(long nanos, long now) {
     return !linkUp && now - leaseUntil > nanos;
   }
 
@@ -96,64 +71,41 @@
     return new DoorStatus(
         door,
         zone,
-        live(now),
+        isLive(now),
         Math.max(0, leaseUntil - now) / MILLIS,
         linkUp,
         draining,
         configurationSequence,
-        acknowledgedOffset);
+        feedPosition.acknowledgedOffset());
   }
 
-  /** Whether messages can be sent and it is known where the door stands. */
-  boolean ready() {
-    return linkUp && greeted;
+  /** Whether messages can be sent and it is known what the door has. */
+  boolean isReady() {
+    return linkUp && feedPosition.isKnown();
   }
 
   /**
-   * Whether the door should be sent the configuration with this sequence without being asked: this
-   * process is its source, and none is on its way to it. Of many in quick succession those between
-   * are skipped, since each is whole. Nothing is sent again: a door that misses something asks.
+   * Whether the configuration with this sequence has to be sent to the door unasked: this process
+   * is its source, and no other one is in flight. Of many in quick succession the intermediate ones
+   * are skipped, since each is complete. Nothing is retried: a door that misses a chunk requests
+   * it.
    */
   boolean needsConfiguration(long sequence) {
-    boolean onItsWay = configurationSequence < pushedSequence;
-    return ready() && configurationSource && configurationSequence < sequence && !onItsWay;
+    boolean inFlight = configurationSequence < sentSequence;
+    return isReady() && isConfigurationSource && configurationSequence < sequence && !inFlight;
   }
 
-  void configurationPushed(long sequence) {
-    pushedSequence = sequence;
+  /** A chunk of this configuration was sent. */
+  void configurationSent(long sequence) {
+    sentSequence = sequence;
   }
 
-  /** The newest configuration that the door held at its last heartbeat. */
+  /** The sequence of the configuration that the door had at its last heartbeat. */
   long configurationSequence() {
     return configurationSequence;
   }
 
-  long feed() {
-    return feed;
-  }
-
-  long sentOffset() {
-    return sentOffset;
-  }
-
-  long acknowledgedOffset() {
-    return acknowledgedOffset;
-  }
-
-  /** Whether nothing of the feed was sent since that instant, on this link. */
-  boolean feedSentBefore(long instant) {
-    return feedSentAt - instant <= 0;
-  }
-
-  /**
-   * Offsets of two feeds don't compare: what the door read of another one is no acknowledgement.
-   */
-  void feedSent(long ofFeed, long offset, long now) {
-    if (ofFeed != feed) {
-      acknowledgedOffset = 0;
-    }
-    feed = ofFeed;
-    sentOffset = offset;
-    feedSentAt = now;
+  FeedPosition feedPosition() {
+    return feedPosition;
   }
 }
--- a/control/src/main/java/nettletrail/control/registry/DoorStatus.java
+++ b/control/src/main/java/nettletrail/control/registry/DoorStatus.java
@@ -1,16 +1,16 @@
 package nettletrail.control.registry;
 
 /**
- * What one core process knows of a door, for operators; decides nothing.
+ * A door as one core process knows it, as shown to operators.
  *
  * @param door its name
- * @param zone where it stands; empty before its first heartbeat
- * @param live whether its lease runs
- * @param leaseLeftMs how long its lease still runs; 0 if it has run out
+ * @param zone the zone that it runs in; empty before its first heartbeat
+ * @param live whether it holds a lease
+ * @param leaseLeftMs milliseconds until its lease expires; 0 if it has expired
  * @param linkUp whether there is a link to it
- * @param draining whether it is about to end
+ * @param draining whether it is shutting down gracefully
  * @param configurationSequence the sequence of the configuration that it has
- * @param feedOffset up to which offset it has read this process's feed
+ * @param feedOffset the offset up to which it acknowledged this process's feed
  */
 public record DoorStatus(
     String door,
--- a/control/src/main/java/nettletrail/control/registry/Feed.java
+++ b/control/src/main/java/nettletrail/control/registry/Feed.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 import java.util.Set;
 import nettletrail.protocol.Backend;
-import nettletrail.protocol.BackendState;
 import nettletrail.protocol.FeedEvents;
 import nettletrail.protocol.FeedSnapshot;
 
 /**
- * The journal, in memory, of changes of the registry. Offsets count entries from 1; a reader at
- * offset n has read all entries up to n. The feed's id is new for each life of the process. The
- * journal is bounded; a reader that is behind its start gets a snapshot.
+ * The change feed of the registry: an in-memory log with offsets, as a partition in Kafka. Offsets
+ * count entries from 1; a reader at offset n has read all entries up to n. Each incarnation of the
+ * process has a feed of its own, so offsets of two feeds don't compare. The log is bounded; a
+ * reader behind its start gets a snapshot. Not thread-safe.
  */
 public final class Feed {
   private static final int MAX_ENTRIES = 4_096;
 
   private final String sender;
   private final long id;
-  private final Deque<Entry> journal = new ArrayDeque<>();
-  private long offset;
-  private long lastEndOffset;
+  private final Deque<Entry> log = new ArrayDeque<>();
+  private long endOffset;
+  private long lastWithdrawalOffset;
 
   private sealed interface Entry {
     String backendId();
@@ -40,33 +40,36 @@
 
   private record Expired(String backendId) implements Entry {}
 
-  /** {@code id}: above 0, and never used by an earlier life of the process. */
+  /**
+   * An empty feed.
+   *
+   * @param sender this process's address
+   * @param id above 0, and never used by another incarnation of the process
+   */
   public Feed(String sender, long id) {
     this.sender = sender;
     this.id = id;
   }
 
-  /** Appends a report and returns its offset. */
-  public long append(Backend backend) {
+  /** Appends a backend's report. */
+  public void append(Backend backend) {
     append(new Reported(backend));
-    if (backend.getState() != BackendState.READY) {
-      lastEndOffset = offset;
+    if (BackendOrdering.isWithdrawn(backend)) {
+      lastWithdrawalOffset = endOffset;
     }
-    return offset;
   }
 
-  private long append(Entry entry) {
-    journal.addLast(entry);
-    if (journal.size() > MAX_ENTRIES) {
-      journal.removeFirst();
-    }
-    offset++;
-    return offset;
+  /** Appends that a backend expired. */
+  public void appendExpired(String backendId) {
+    append(new Expired(backendId));
   }
 
-  /** Appends that nobody hears of a backend any more and returns the offset. */
-  public long appendExpired(String backendId) {
-    return append(new Expired(backendId));
+  private void append(Entry entry) {
+    log.addLast(entry);
+    if (log.size() > MAX_ENTRIES) {
+      log.removeFirst();
+    }
+    endOffset++;
   }
 
   /** The feed's id. */
@@ -75,31 +78,31 @@
   }
 
   /** The offset of the newest entry, 0 for none. */
-  public long offset() {
-    return offset;
+  public long endOffset() {
+    return endOffset;
   }
 
-  /** The offset of the newest entry that says that a backend closes or is gone, 0 for none. */
-  public long lastEndOffset() {
-    return lastEndOffset;
+  /** The offset of the newest report of a draining or deregistered backend, 0 for none. */
+  public long lastWithdrawalOffset() {
+    return lastWithdrawalOffset;
   }
 
-  /** Whether a reader that stands at this offset of that feed can be brought up by events. */
-  public boolean holdsAfter(long feed, long readOffset) {
-    return feed == id && readOffset <= offset && readOffset >= offset - journal.size();
+  /** Whether a reader at this offset of that feed can continue with events from the log. */
+  public boolean canContinueFrom(long feed, long readOffset) {
+    return feed == id && readOffset <= endOffset && readOffset >= endOffset - log.size();
   }
 
   /**
-   * All entries after {@code fromOffset}, of which {@link #holdsAfter} has to be true; the last one
-   * for each backend.
+   * The entries after {@code fromOffset}, compacted to the last one of each backend. Requires
+   * {@link #canContinueFrom}.
    */
   public FeedEvents eventsAfter(long fromOffset) {
     Map<String, Backend> reported = new LinkedHashMap<>();
     Set<String> expired = new LinkedHashSet<>();
-    long position = offset - journal.size();
-    for (Entry entry : journal) {
-      position++;
-      if (position <= fromOffset) {
+    long offset = endOffset - log.size();
+    for (Entry entry : log) {
+      offset++;
+      if (offset <= fromOffset) {
         continue;
       }
       reported.remove(entry.backendId());
@@ -114,13 +117,13 @@
         sender,
         id,
         fromOffset,
-        offset,
+        endOffset,
         new ArrayList<>(reported.values()),
         new ArrayList<>(expired));
   }
 
-  /** The whole registry at the newest offset. */
+  /** A snapshot of these records at the newest offset. */
   public FeedSnapshot snapshot(List<Backend> contents) {
-    return new FeedSnapshot(sender, id, offset, contents);
+    return new FeedSnapshot(sender, id, endOffset, contents);
   }
 }
--- a/control/src/main/java/nettletrail/control/registry/HintedHandoff.java
+++ b/control/src/main/java/nettletrail/control/registry/HintedHandoff.java
@@ -11,26 +11,29 @@
 import nettletrail.protocol.RegistryUpdateReply;
 
 /**
- * What one other core process hasn't acknowledged yet: the newest report for each backend, bounded,
- * sent again with a growing pause and as soon as the peer is back.
+ * The reports that one other core process hasn't acknowledged yet, as Dynamo's hinted handoff: the
+ * newest report of each backend, bounded in count, retried with exponential backoff and at once
+ * when the peer is connected again. Not thread-safe; instants are steady nanoseconds.
  */
 public final class HintedHandoff {
   private static final long MILLIS = 1_000_000L;
-  private static final long FIRST_PAUSE = 200 * MILLIS;
-  private static final long LONGEST_PAUSE = 3_000 * MILLIS;
+  private static final long INITIAL_BACKOFF_NANOS = 200 * MILLIS;
+  private static final long MAX_BACKOFF_NANOS = 3_000 * MILLIS;
   private static final int MAX_HINTS = 4_096;
-  private static final int MAX_IN_UPDATE = 256;
+  private static final int MAX_HINTS_IN_UPDATE = 256;
   private static final long UNSENT = 0;
 
   private final String sender;
   private final LongSupplier updateNumbers;
   private final Map<String, Hint> hints = new LinkedHashMap<>();
-  private long pause = FIRST_PAUSE;
-  private long resendAt;
+  private long backoffNanos = INITIAL_BACKOFF_NANOS;
+  private long retryAt;
 
   private static final class Hint {
     final Backend backend;
-    long sentIn = UNSENT;
+
+    /** The number of the last update with this hint. */
+    long lastUpdate = UNSENT;
 
     Hint(Backend backend) {
       this.backend = backend;
@@ -38,18 +41,21 @@
   }
 
   /**
-   * Holds nothing yet.
+   * Stores nothing yet.
    *
-   * @param sender the address that this process goes by
-   * @param updateNumbers gives each update its number; none twice, in this life or another
+   * @param sender this process's address
+   * @param updateNumbers gives each update its number, above 0; never one twice, in this
+   *     incarnation or another
    */
   public HintedHandoff(String sender, LongSupplier updateNumbers) {
     this.sender = sender;
     this.updateNumbers = updateNumbers;
   }
 
-  /** Keeps a report until it is acknowledged; the oldest one leaves when there are too many. */
-  public void keep(Backend backend) {
+  /**
+   * Stores a report until it is acknowledged; the oldest one is dropped when there are too many.
+   */
+  public void add(Backend backend) {
     hints.remove(backend.getId());
     hints.put(backend.getId(), new Hint(backend));
     if (hints.size() > MAX_HINTS) {
@@ -57,63 +63,60 @@
     }
   }
 
-  /** The reports that were never sent, as one message. */
-  public Optional<RegistryUpdate> unsent(long now) {
-    return update(now, false);
+  /** An update of the oldest reports that were never sent; empty if there are none. */
+  public Optional<RegistryUpdate> firstAttempt(long now) {
+    List<Hint> batch =
+        hints.values().stream()
+            .filter(hint -> hint.lastUpdate == UNSENT)
+            .limit(MAX_HINTS_IN_UPDATE)
+            .toList();
+    return batch.isEmpty() ? Optional.empty() : Optional.of(update(batch, now));
   }
 
-  /** What has to be sent again by now, as one message. */
-  public Optional<RegistryUpdate> due(long now) {
-    if (hints.isEmpty() || now - resendAt < 0) {
+  /** An update of the oldest reports, sent before or not; empty during the backoff. */
+  public Optional<RegistryUpdate> retry(long now) {
+    if (hints.isEmpty() || now - retryAt < 0) {
       return Optional.empty();
     }
-    pause = Math.min(LONGEST_PAUSE, 2 * pause);
-    return update(now, true);
+    backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
+    return Optional.of(update(hints.values().stream().limit(MAX_HINTS_IN_UPDATE).toList(), now));
   }
 
-  /** The peer is back: everything is due at once. */
-  public void peerIsBack(long now) {
-    pause = FIRST_PAUSE;
-    resendAt = now;
+  /** The peer is connected again: the backoff ends and starts anew. */
+  public void retryNow(long now) {
+    backoffNanos = INITIAL_BACKOFF_NANOS;
+    retryAt = now;
   }
 
-  /** Drops what the peer acknowledged and returns it. */
+  /** Drops and returns the reports whose last update the peer acknowledged. */
   public List<Backend> acknowledged(RegistryUpdateReply reply) {
     List<Backend> acknowledged = new ArrayList<>();
     hints
         .values()
         .removeIf(
             hint -> {
-              boolean mine = hint.sentIn != UNSENT && hint.sentIn == reply.getUpdate();
-              if (mine) {
+              boolean covered = hint.lastUpdate != UNSENT && hint.lastUpdate == reply.getUpdate();
+              if (covered) {
                 acknowledged.add(hint.backend);
               }
-              return mine;
+              return covered;
             });
     if (!acknowledged.isEmpty()) {
-      pause = FIRST_PAUSE;
+      backoffNanos = INITIAL_BACKOFF_NANOS;
     }
     return acknowledged;
   }
 
-  /** How many reports wait for an acknowledgement. */
+  /** How many reports aren't acknowledged. */
   public int size() {
     return hints.size();
   }
 
-  private Optional<RegistryUpdate> update(long now, boolean again) {
-    List<Hint> batch =
-        hints.values().stream()
-            .filter(hint -> again || hint.sentIn == UNSENT)
-            .limit(MAX_IN_UPDATE)
-            .toList();
-    if (batch.isEmpty()) {
-      return Optional.empty();
-    }
+  private RegistryUpdate update(List<Hint> batch, long now) {
     long number = updateNumbers.getAsLong();
-    batch.forEach(hint -> hint.sentIn = number);
-    resendAt = now + pause;
+    batch.forEach(hint -> hint.lastUpdate = number);
+    retryAt = now + backoffNanos;
     List<Backend> backends = batch.stream().map(hint -> hint.backend).toList();
-    return Optional.of(new RegistryUpdate(sender, number, backends));
+    return new RegistryUpdate(sender, number, backends);
   }
 }
--- a/control/src/main/java/nettletrail/control/registry/PendingCalls.java
+++ b/control/src/main/java/nettletrail/control/registry/PendingCalls.java
@@ -6,73 +6,75 @@
 import nettletrail.protocol.Backend;
 
 /**
- * Calls of backends that are answered once enough others know what they said, or refused after a
- * while.
+ * Calls of draining or deregistering backends that wait for their acknowledgement: each is answered
+ * with 200 once its report is replicated well enough, or with 503 at its deadline. Not thread-safe;
+ * instants are steady nanoseconds.
  */
 public final class PendingCalls {
   private static final long MILLIS = 1_000_000L;
 
-  /** The backend gives a call a second; the rest is for the way. */
-  private static final long PATIENCE = 800 * MILLIS;
+  /** A backend times out after a second; the rest is for the network. */
+  private static final long TIMEOUT_NANOS = 800 * MILLIS;
 
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
   private final List<Call> calls = new ArrayList<>();
 
-  /** One call that waits. {@code offset}: where its report stands in the feed. */
+  /** One pending call. */
   public static final class Call {
     private final long number;
     private final Backend backend;
-    private final long offset;
+    private final long feedOffset;
     private final long deadline;
-    private boolean otherCoreHasIt;
+    private boolean replicated;
 
-    private Call(long number, Backend backend, long offset, long deadline) {
+    private Call(long number, Backend backend, long feedOffset, long deadline) {
       this.number = number;
       this.backend = backend;
-      this.offset = offset;
+      this.feedOffset = feedOffset;
       this.deadline = deadline;
     }
 
-    /** The offset in the feed at which doors have the report. */
-    public long offset() {
-      return offset;
+    /** A door that has read the feed up to this offset has the report. */
+    public long feedOffset() {
+      return feedOffset;
     }
 
     /** Whether another core process has acknowledged the report. */
-    public boolean otherCoreHasIt() {
-      return otherCoreHasIt;
+    public boolean isReplicated() {
+      return replicated;
     }
   }
 
-  /** Decides whether enough others know. */
-  public interface Coverage {
-    /** Whether the call can be acknowledged. */
-    boolean covers(Call call);
+  /** Decides when a call may be acknowledged. */
+  public interface AcknowledgementPolicy {
+    /** Whether the call's report is replicated well enough. */
+    boolean mayAcknowledge(Call call, long now);
   }
 
-  /** Keeps a call until it is covered or late. */
-  public void add(long call, Backend backend, long offset, long now) {
-    calls.add(new Call(call, backend, offset, now + PATIENCE));
+  /** Adds a call. {@code feedOffset}: the offset up to which doors have to read the feed. */
+  public void add(long call, Backend backend, long feedOffset, long now) {
+    calls.add(new Call(call, backend, feedOffset, now + TIMEOUT_NANOS));
   }
 
-  /** Another core process has this report, or a newer one that says the same. */
-  public void otherCoreHas(Backend backend) {
+  /** Another core process has this report; it covers calls with it or with one that it replaces. */
+  public void replicated(Backend backend) {
     for (Call call : calls) {
       boolean same = call.backend.getId().equals(backend.getId());
       if (same && (call.backend == backend || !BackendOrdering.replaces(call.backend, backend))) {
-        call.otherCoreHasIt = true;
+        call.replicated = true;
       }
     }
   }
 
-  /** Takes out and answers all calls that are covered or late. */
-  public List<RegistryAction> settle(Coverage coverage, long now) {
+  /** Removes and answers all calls that may be acknowledged or have reached their deadline. */
+  public List<RegistryAction> answerDue(AcknowledgementPolicy policy, long now) {
     List<RegistryAction> answers = new ArrayList<>();
-    for (Iterator<Call> iterator = calls.iterator(); iterator.hasNext(); ) {
+    Iterator<Call> iterator = calls.iterator();
+    while (iterator.hasNext()) {
       Call call = iterator.next();
-      if (coverage.covers(call)) {
+      if (policy.mayAcknowledge(call, now)) {
         answers.add(new RegistryAction.AnswerBackend(call.number, OK));
         iterator.remove();
       } else if (now - call.deadline >= 0) {
--- a/control/src/main/java/nettletrail/control/registry/RegistryAction.java
+++ b/control/src/main/java/nettletrail/control/registry/RegistryAction.java
@@ -2,14 +2,14 @@
 
 import org.apache.avro.specific.SpecificRecord;
 
-/** What the caller of the core's registry has to do, in the order given. */
+/** What the caller of the core's registry has to do, in the order of the list. */
 public sealed interface RegistryAction {
-  /** Send a message to another core process; lost silently when there is no link to it. */
+  /** Send a message to another core process; dropped silently when there is no link to it. */
   record SendToCore(String address, SpecificRecord message) implements RegistryAction {}
 
-  /** Send a message to a door; lost silently when there is no link to it. */
+  /** Send a message to a door; dropped silently when there is no link to it. */
   record SendToDoor(String door, SpecificRecord message) implements RegistryAction {}
 
-  /** Answer a call of a backend with this HTTP status. */
+  /** Answer a backend's call with this HTTP status. */
   record AnswerBackend(long call, int status) implements RegistryAction {}
 }
--- a/control/src/test/java/nettletrail/control/registry/CorePeersTest.java
+++ b/control/src/test/java/nettletrail/control/registry/CorePeersTest.java
@@ -10,14 +10,14 @@
 import nettletrail.protocol.RegistryUpdateReply;
 import org.junit.jupiter.api.Test;
 
-/** To which update an acknowledgement of another core process belongs. */
+/** Which update an acknowledgement of another core process covers. */
 class CorePeersTest {
   private static final String PEER = "10.0.0.2:7000";
   private static final long FIRST_INCARNATION = 41;
   private static final long NEXT_INCARNATION = 42;
 
   @Test
-  void givenARestartWhenAnAcknowledgementOfTheFormerLifeComesThenItCoversNothing() {
+  void acknowledgementToAFormerIncarnationCoversNothing() {
     CorePeers former = new CorePeers("self", FIRST_INCARNATION);
     RegistryUpdate late = update(former, "b-former", 0);
     CorePeers next = new CorePeers("self", NEXT_INCARNATION);
@@ -27,19 +27,19 @@
   }
 
   @Test
-  void givenAPeerThatLeftAndIsBackWhenAnAcknowledgementOfBeforeComesThenItCoversNothing() {
+  void acknowledgementFromBeforeAPeerWasRemovedCoversNothing() {
     CorePeers peers = new CorePeers("self", FIRST_INCARNATION);
     RegistryUpdate late = update(peers, "b-before", 0);
-    peers.down(PEER);
-    peers.members(List.of());
-    assertTrue(peers.none());
+    peers.linkDown(PEER);
+    peers.updateMembers(List.of());
+    assertTrue(peers.isEmpty());
     update(peers, "b-after", 1);
     assertTrue(peers.acknowledged(PEER, reply(late)).isEmpty());
   }
 
   private static RegistryUpdate update(CorePeers peers, String backend, long now) {
-    peers.up(PEER, List.of(backend(backend)), now);
-    RegistryAction.SendToCore send = (RegistryAction.SendToCore) peers.send(now).get(0);
+    peers.linkUp(PEER, List.of(backend(backend)), now);
+    RegistryAction.SendToCore send = (RegistryAction.SendToCore) peers.updatesDue(now).get(0);
     return (RegistryUpdate) send.message();
   }
 
--- a/control/src/test/java/nettletrail/control/registry/FeedPushTest.java
+++ b/control/src/test/java/nettletrail/control/registry/FeedPushTest.java
@@ -10,7 +10,7 @@
 import nettletrail.protocol.FeedEvents;
 import org.junit.jupiter.api.Test;
 
-/** When entries of the feed leave for a door. */
+/** When entries of the feed are sent to a door, and in which batches. */
 class FeedPushTest {
   private static final long MILLIS = 1_000_000L;
   private static final long HEARTBEAT_MS = 1_200;
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void givenManyNewBackendsWhenTheyComeAtOnceThenTheFirstLeavesAtOnceAndTheOthersTogether() {
+  void firstOfManyNewBackendsIsSentAtOnceAndTheOthersInOneBatch() {
     for (int number = 0; number < 20; number++) {
       report("b" + number, BackendState.READY);
       now += MILLIS;
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void givenABackendThatEndsWhenOthersJustCameThenItIsToldAtOnceWithAllBeforeIt() {
+  void withdrawnBackendIsSentAtOnceWithAllEntriesBeforeIt() {
     report("b1", BackendState.READY);
     report("b2", BackendState.READY);
     report("b1", BackendState.CLOSING);
@@ -54,7 +54,7 @@
   private void report(String id, BackendState state) {
     Backend backend =
         new Backend(id, "lm", "10.0.0.1:80", "zone", "v1", 8, state, 0L, "", List.of("m"), now);
-    registry.heardDirectly(backend, now);
+    registry.recordCall(backend, now);
     feed.append(backend);
     push();
   }
--- a/control/src/test/java/nettletrail/control/registry/FeedTest.java
+++ b/control/src/test/java/nettletrail/control/registry/FeedTest.java
@@ -10,14 +10,14 @@
 import nettletrail.protocol.FeedEvents;
 import org.junit.jupiter.api.Test;
 
-/** Offsets, folding of events, and the bound of the journal. */
+/** Offsets, compaction of events, and the bound of the log. */
 class FeedTest {
   private static final long FEED = 7;
 
   private final Feed feed = new Feed("self", FEED);
 
   @Test
-  void givenEventsWhenReadFromAnOffsetThenOnlyTheLastOfEachBackendComes() {
+  void eventsAfterAnOffsetAreTheLastOfEachBackend() {
     feed.append(backend("a", 1));
     feed.append(backend("b", 1));
     feed.append(backend("a", 2));
@@ -33,15 +33,15 @@
   }
 
   @Test
-  void givenAReaderOfAnotherFeedOrTooFarBehindWhenItAsksThenEventsDontJoin() {
-    assertTrue(feed.holdsAfter(FEED, 0));
-    assertFalse(feed.holdsAfter(0, 0));
-    assertFalse(feed.holdsAfter(FEED, 1));
+  void readerOfAnotherFeedOrBehindTheLogCannotContinue() {
+    assertTrue(feed.canContinueFrom(FEED, 0));
+    assertFalse(feed.canContinueFrom(0, 0));
+    assertFalse(feed.canContinueFrom(FEED, 1));
     for (int index = 0; index < 5_000; index++) {
       feed.append(backend("a", index));
     }
-    assertFalse(feed.holdsAfter(FEED, 0));
-    assertTrue(feed.holdsAfter(FEED, 4_999));
+    assertFalse(feed.canContinueFrom(FEED, 0));
+    assertTrue(feed.canContinueFrom(FEED, 4_999));
     assertEquals(5_000, feed.snapshot(List.of()).getOffset());
   }
 
--- a/control/src/test/java/nettletrail/control/registry/HintedHandoffTest.java
+++ b/control/src/test/java/nettletrail/control/registry/HintedHandoffTest.java
@@ -11,7 +11,7 @@
 import nettletrail.protocol.RegistryUpdateReply;
 import org.junit.jupiter.api.Test;
 
-/** What is kept for a peer, when it is sent again and when it is dropped. */
+/** Which hints are stored for a peer, when they are retried and when they are dropped. */
 class HintedHandoffTest {
   private static final long MILLIS = 1_000_000L;
 
@@ -19,50 +19,50 @@
   private final HintedHandoff handoff = new HintedHandoff("self", lastUpdate::incrementAndGet);
 
   @Test
-  void givenAReportWhenItIsNotAcknowledgedThenItIsSentAgainAfterGrowingPauses() {
-    handoff.keep(backend("b", 1));
-    assertEquals(1, handoff.unsent(0).orElseThrow().getUpdate());
-    assertTrue(handoff.unsent(1).isEmpty());
-    assertTrue(handoff.due(199 * MILLIS).isEmpty());
-    assertEquals(2, handoff.due(200 * MILLIS).orElseThrow().getUpdate());
-    assertTrue(handoff.due(599 * MILLIS).isEmpty());
-    assertEquals(3, handoff.due(600 * MILLIS).orElseThrow().getUpdate());
-    assertTrue(handoff.due(1_399 * MILLIS).isEmpty());
-    handoff.peerIsBack(1_000 * MILLIS);
-    assertEquals(4, handoff.due(1_000 * MILLIS).orElseThrow().getUpdate());
+  void unacknowledgedReportIsRetriedWithExponentialBackoff() {
+    handoff.add(backend("b", 1));
+    assertEquals(1, handoff.firstAttempt(0).orElseThrow().getUpdate());
+    assertTrue(handoff.firstAttempt(1).isEmpty());
+    assertTrue(handoff.retry(199 * MILLIS).isEmpty());
+    assertEquals(2, handoff.retry(200 * MILLIS).orElseThrow().getUpdate());
+    assertTrue(handoff.retry(599 * MILLIS).isEmpty());
+    assertEquals(3, handoff.retry(600 * MILLIS).orElseThrow().getUpdate());
+    assertTrue(handoff.retry(1_399 * MILLIS).isEmpty());
+    handoff.retryNow(1_000 * MILLIS);
+    assertEquals(4, handoff.retry(1_000 * MILLIS).orElseThrow().getUpdate());
   }
 
   @Test
-  void givenAnAcknowledgementWhenItIsOfAnOlderReportThenTheNewerOneIsKept() {
-    handoff.keep(backend("b", 1));
-    RegistryUpdate first = handoff.unsent(0).orElseThrow();
-    handoff.keep(backend("b", 2));
+  void acknowledgementOfAnOlderReportDoesNotDropTheNewerOne() {
+    handoff.add(backend("b", 1));
+    RegistryUpdate first = handoff.firstAttempt(0).orElseThrow();
+    handoff.add(backend("b", 2));
     assertTrue(acknowledge(first).isEmpty());
     assertEquals(1, handoff.size());
-    RegistryUpdate second = handoff.unsent(1).orElseThrow();
+    RegistryUpdate second = handoff.firstAttempt(1).orElseThrow();
     assertEquals(2, acknowledge(second).get(0).getCallSequence());
     assertEquals(0, handoff.size());
-    assertTrue(handoff.due(10_000 * MILLIS).isEmpty());
+    assertTrue(handoff.retry(10_000 * MILLIS).isEmpty());
   }
 
   @Test
-  void givenAPeerThatStaysAwayWhenManyReportsComeThenTheOldestLeave() {
+  void oldestHintsAreDroppedBeyondTheLimit() {
     for (int index = 0; index < 5_000; index++) {
-      handoff.keep(backend("b" + index, 1));
+      handoff.add(backend("b" + index, 1));
     }
     assertEquals(4_096, handoff.size());
-    RegistryUpdate update = handoff.unsent(0).orElseThrow();
+    RegistryUpdate update = handoff.firstAttempt(0).orElseThrow();
     assertEquals("b904", update.getBackends().get(0).getId());
     assertEquals(256, update.getBackends().size());
   }
 
   @Test
-  void givenAReplyToAFormerLifeWhenItComesThenNothingIsAcknowledged() {
-    handoff.keep(backend("b", 1));
-    RegistryUpdate former = handoff.unsent(0).orElseThrow();
+  void replyToAFormerIncarnationAcknowledgesNothing() {
+    handoff.add(backend("b", 1));
+    RegistryUpdate former = handoff.firstAttempt(0).orElseThrow();
     HintedHandoff restarted = new HintedHandoff("self", new AtomicLong(1_000_000)::incrementAndGet);
-    restarted.keep(backend("b", 1));
-    RegistryUpdate update = restarted.unsent(1).orElseThrow();
+    restarted.add(backend("b", 1));
+    RegistryUpdate update = restarted.firstAttempt(1).orElseThrow();
     assertTrue(restarted.acknowledged(reply(former)).isEmpty());
     assertEquals(1, restarted.acknowledged(reply(update)).size());
   }
