--- a/control/src/test/java/nettletrail/control/ControlFleet.java
+++ b/control/src/test/java/nettletrail/control/ControlFleet.java
@@ -34,17 +34,17 @@
   private final Random random;
   private final Map<String, Core> cores = new TreeMap<>();
   private final Map<String, Door> doors = new TreeMap<>();
-  private final Set<String> cuts = new TreeSet<>();
+  private final Set<String> partitions = new TreeSet<>();
   private final Set<String> links = new TreeSet<>();
   final Map<Long, Integer> answers = new LinkedHashMap<>();
 
-  /** How many messages doors sent, by their kind. */
-  final Map<String, Integer> messagesOfDoors = new TreeMap<>();
+  /** How many messages doors sent, by kind. */
+  final Map<String, Integer> messagesFromDoors = new TreeMap<>();
 
   private final IncarnationNumbers incarnations = new IncarnationNumbers();
   private long calls;
-  long shortestDelay = MILLIS;
-  long longestDelay = 2 * MILLIS;
+  long minDelay = MILLIS;
+  long maxDelay = 2 * MILLIS;
 
   /** One core process. */
   final class Core extends SimulatedOwnership {
@@ -124,7 +124,7 @@
       schedule(TICK, () -> tick(ofIncarnation));
     }
 
-    /** Takes quota as the data plane does. */
+    /** Takes quota tokens as the data plane does; requests more if there are too few. */
     boolean take(String tenant, long tokens) {
       boolean taken = control.grants().take(tenant, tokens, now);
       if (!taken) {
@@ -134,7 +134,7 @@
       return taken;
     }
 
-    /** Asks again before the next tick where that is due. */
+    /** Polls before the next tick where the grant client asks for that. */
     void schedulePoll() {
       OptionalLong delay = control.nextPoll();
       if (delay.isEmpty() || pollScheduled) {
@@ -155,12 +155,12 @@
   }
 
   final Map<Integer, String> owners = new TreeMap<>();
-  final Map<Integer, Long> rounds = new TreeMap<>();
+  final Map<Integer, Long> ownerTerms = new TreeMap<>();
   boolean ownersPaused;
   private Map<String, QuotaLimit> currentLimits = Map.of();
 
   private SimulatedOwnership.Owners shardOwners() {
-    return new SimulatedOwnership.Owners(owners, rounds, ownersPaused);
+    return new SimulatedOwnership.Owners(owners, ownerTerms, ownersPaused);
   }
 
   ControlFleet(int coreCount, int doorCount, long seed) {
@@ -204,10 +204,10 @@
     return door;
   }
 
-  /** Makes a core process the owner of a shard, under a new token. */
+  /** Makes a core process the owner of a shard, under a new fencing token. */
   void own(int shard, String address) {
     owners.put(shard, address);
-    rounds.merge(shard, 1L, Long::sum);
+    ownerTerms.merge(shard, 1L, Long::sum);
   }
 
   /** All core processes learn of a committed configuration. */
@@ -226,9 +226,9 @@
     }
   }
 
-  /** Cuts one process off from all others, or from one. */
-  void cut(String one, String other) {
-    cuts.add(LinkName.of(one, other));
+  /** Partitions two processes from each other: their link goes down and stays so. */
+  void partition(String one, String other) {
+    partitions.add(LinkName.of(one, other));
     for (String link : List.copyOf(links)) {
       if (link.equals(LinkName.of(one, other))) {
         down(link);
@@ -236,13 +236,19 @@
     }
   }
 
-  void cutOff(String name) {
-    cores.keySet().stream().filter(other -> !other.equals(name)).forEach(other -> cut(name, other));
-    doors.keySet().stream().filter(other -> !other.equals(name)).forEach(other -> cut(name, other));
+  /** Partitions one process from all others. */
+  void isolate(String name) {
+    cores.keySet().stream()
+        .filter(other -> !other.equals(name))
+        .forEach(other -> partition(name, other));
+    doors.keySet().stream()
+        .filter(other -> !other.equals(name))
+        .forEach(other -> partition(name, other));
   }
 
+  /** Ends all partitions. */
   void heal() {
-    cuts.clear();
+    partitions.clear();
   }
 
   void kill(String name) {
@@ -286,7 +292,7 @@
         id, "lm", "10.0.0.1:80", "zone", "v1", 8, state, 0L, "", List.of("m"), callSequence);
   }
 
-  /** Dials again what is down, as the links' code does. */
+  /** Reconnects the links that are down, as the transport does. */
   private void connect() {
     for (String one : List.copyOf(cores.keySet())) {
       for (String other : cores.keySet()) {
@@ -305,7 +311,7 @@
 
   private void up(String core, String other) {
     String link = LinkName.of(core, other);
-    if (links.contains(link) || cuts.contains(link) || !running(core) || !running(other)) {
+    if (links.contains(link) || partitions.contains(link) || !running(core) || !running(other)) {
       return;
     }
     links.add(link);
@@ -357,7 +363,7 @@
   private void perform(Door door, List<DoorAction> actions) {
     for (DoorAction action : actions) {
       if (action instanceof DoorAction.SendToCore send) {
-        messagesOfDoors.merge(send.message().getClass().getSimpleName(), 1, Integer::sum);
+        messagesFromDoors.merge(send.message().getClass().getSimpleName(), 1, Integer::sum);
         send(door.name, send.address(), send.message());
       } else if (action instanceof DoorAction.Dial dial) {
         door.dialled.add(dial.address());
@@ -372,16 +378,16 @@
   private final ArrivalOrder arrivals = new ArrivalOrder();
 
   /**
-   * In order on each link, each message after a random delay; what is under way when a link goes is
-   * lost.
+   * Delivers in order on each link, each message after a random delay; messages in flight are lost
+   * when the link goes down.
    */
   private void send(String from, String to, SpecificRecord message) {
     String link = LinkName.of(from, to);
     if (!links.contains(link)) {
       return;
     }
-    long span = Math.max(1, longestDelay - shortestDelay);
-    long delay = shortestDelay + (long) (random.nextDouble() * span);
+    long span = Math.max(1, maxDelay - minDelay);
+    long delay = minDelay + (long) (random.nextDouble() * span);
     long at = arrivals.next(from, to, now + delay);
     long targetIncarnation = incarnation(to);
     schedule(
--- a/control/src/test/java/nettletrail/control/IncarnationNumbers.java
+++ b/control/src/test/java/nettletrail/control/IncarnationNumbers.java
@@ -1,13 +1,13 @@
 package nettletrail.control;
 
-/** Numbers of processes' lives, far apart as they are when they are drawn at random. */
+/** Numbers of incarnations, as far apart as those that processes draw at random. */
 final class IncarnationNumbers {
-  private static final long APART = 1_000_000;
+  private static final long DISTANCE = 1_000_000;
 
   private long last;
 
   long next() {
-    last += APART;
+    last += DISTANCE;
     return last;
   }
 }
--- a/control/src/test/java/nettletrail/control/QuotaStoriesTest.java
+++ b/control/src/test/java/nettletrail/control/QuotaScenarioTest.java
@@ -13,8 +13,8 @@
 import nettletrail.control.grant.QuotaLimit;
 import org.junit.jupiter.api.Test;
 
-/** Stories and properties of quota over owners and doors. */
-class QuotaStoriesTest {
+/** Scenarios and properties of quota over owners and doors. */
+class QuotaScenarioTest {
   private static final String TENANT = "acme";
   private static final int SHARD = ShardMap.shardOf(TENANT);
   private static final QuotaLimit LIMIT = new QuotaLimit(153_660, 153_660);
@@ -25,7 +25,7 @@
   private static final double MIXED_MEAN = (9 * 400 + 17_260) / 10.0;
 
   @Test
-  void givenCalmTrafficAtThreeQuartersOfTheRateWhenItRunsThenNothingWaitsLong() {
+  void nothingWaitsLongAtThreeQuartersOfTheRate() {
     ControlFleet fleet = new ControlFleet(3, 6, 5);
     fleet.commit(1, Map.of(TENANT, LIMIT));
     fleet.run(5_000);
@@ -36,21 +36,21 @@
       traffic.arrivals(door, perSecond, MIXED, 60_000);
     }
     fleet.run(62_000);
-    assertEquals(0, traffic.givenUp);
-    assertTrue(traffic.waitMsAt(0.99) <= 50, "p99 " + traffic.waitMsAt(0.99));
-    assertTrue(traffic.waitMsAt(1) <= 150, "max " + traffic.waitMsAt(1));
+    assertEquals(0, traffic.timedOut);
+    assertTrue(traffic.waitMsAtQuantile(0.99) <= 50, "p99 " + traffic.waitMsAtQuantile(0.99));
+    assertTrue(traffic.waitMsAtQuantile(1) <= 150, "max " + traffic.waitMsAtQuantile(1));
     assertEquals(6, fleet.door(0).control.grants().doorsServing(TENANT));
     assertTrue(traffic.worstWindow(ControlFleet.TERMS, LIMIT) <= 1);
   }
 
   @Test
-  void givenFiveTimesTheRateWhenItRunsThenTheRateIsUsedAndLargeRequestsAreServedToo() {
+  void overloadUsesTheRateAndServesLargeRequestsToo() {
     ControlFleet fleet = new ControlFleet(3, 6, 7);
     fleet.commit(1, Map.of(TENANT, LIMIT));
     fleet.run(5_000);
     QuotaTraffic traffic = new QuotaTraffic(fleet, TENANT, 8);
-    traffic.refuseAfterMs = 300;
-    traffic.patienceMs = 8_000;
+    traffic.rejectAfterMs = 300;
+    traffic.clientTimeoutMs = 8_000;
     long[] sizes = {400, 17_260, 90_000};
     for (int door = 0; door < 6; door++) {
       traffic.arrivals(door, 5 * LIMIT.ratePerSecond() / 35_886 / 6, sizes, 40_000);
@@ -58,12 +58,12 @@
     fleet.run(40_000);
     double rateUsed = traffic.usedTokens() / (40 * LIMIT.ratePerSecond());
     assertTrue(rateUsed > 0.95, "rate used " + rateUsed);
-    assertTrue(traffic.servedPart(sizes[2]) > 0.5 * traffic.servedPart(sizes[0]));
+    assertTrue(traffic.servedFraction(sizes[2]) > 0.5 * traffic.servedFraction(sizes[0]));
     assertTrue(traffic.worstWindow(ControlFleet.TERMS, LIMIT) <= 1);
   }
 
   @Test
-  void givenARequestLargerThanAnyShareWhenSixDoorsWaitForOneThenEachIsServedInTurn() {
+  void requestsLargerThanAnyFairShareAreServedInTurn() {
     ControlFleet fleet = new ControlFleet(3, 6, 9);
     fleet.commit(1, Map.of(TENANT, LIMIT));
     fleet.run(5_000);
@@ -71,13 +71,13 @@
     for (int door = 0; door < 6; door++) {
       traffic.arrive(door, (long) (0.95 * ControlFleet.TERMS.capacity(LIMIT)));
     }
-    traffic.patienceMs = 60_000;
+    traffic.clientTimeoutMs = 60_000;
     fleet.run(12_000);
     assertEquals(6, traffic.waitsMs.size());
   }
 
   @Test
-  void givenATenantWithoutLimitWhenItAsksThenItIsNeverHeld() {
+  void tenantWithoutLimitNeverWaits() {
     ControlFleet fleet = new ControlFleet(1, 1, 11);
     fleet.commit(1, Map.of(TENANT, QuotaLimit.NONE));
     assertTrue(fleet.door(0).take(TENANT, 1_000_000_000));
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void givenAnOwnerThatIsKilledWhenAnotherTakesOverAfterItsLeaseThenNoRequestIsLost() {
+  void noRequestIsLostWhenAnotherProcessTakesOverFromACrashedOwner() {
     ControlFleet fleet = new ControlFleet(3, 6, 14);
     fleet.commit(1, Map.of(TENANT, LIMIT));
     fleet.run(5_000);
@@ -100,13 +100,13 @@
     fleet.ownersPaused = false;
     fleet.own(SHARD, "core-" + (SHARD + 1) % 3);
     fleet.run(12_000);
-    assertEquals(0, traffic.givenUp);
-    assertTrue(traffic.waitMsAt(0.5) <= 50, "p50 " + traffic.waitMsAt(0.5));
-    assertTrue(traffic.waitMsAt(1) <= 3_000, "max " + traffic.waitMsAt(1));
+    assertEquals(0, traffic.timedOut);
+    assertTrue(traffic.waitMsAtQuantile(0.5) <= 50, "p50 " + traffic.waitMsAtQuantile(0.5));
+    assertTrue(traffic.waitMsAtQuantile(1) <= 3_000, "max " + traffic.waitMsAtQuantile(1));
   }
 
   @Test
-  void givenManyRequestsAtOnceAtOneDoorWhenTheyWaitThenTheyAreServedWithinTheObjective() {
+  void burstOfRequestsAtOneDoorIsServedWithinTheObjective() {
     ControlFleet fleet = new ControlFleet(3, 6, 16);
     fleet.commit(1, Map.of(TENANT, LIMIT));
     fleet.run(5_000);
@@ -116,13 +116,13 @@
     }
     fleet.run(2_000);
     assertEquals(300, traffic.waitsMs.size());
-    assertTrue(traffic.waitMsAt(1) <= 200, "max " + traffic.waitMsAt(1));
+    assertTrue(traffic.waitMsAtQuantile(1) <= 200, "max " + traffic.waitMsAtQuantile(1));
   }
 
   @Test
-  void givenSomeVeryLargeRequestsInCalmTrafficWhenTheyComeThenHardlyAnyRequestWaitsLong() {
+  void hardlyAnyRequestWaitsLongBesideSomeVeryLargeOnes() {
     long requests = 0;
-    long waitedLong = 0;
+    long longWaits = 0;
     for (int seed = 1; seed <= 60; seed++) {
       ControlFleet fleet = new ControlFleet(3, 6, seed);
       fleet.commit(1, Map.of(TENANT, LIMIT));
@@ -133,15 +133,15 @@
         traffic.arrivals(door, 0.22 * LIMIT.ratePerSecond() / LARGE / 6, VERY_LARGE, 30_000);
       }
       fleet.run(31_000);
-      assertEquals(0, traffic.givenUp);
+      assertEquals(0, traffic.timedOut);
       requests += traffic.waitsMs.size();
-      waitedLong += traffic.waitsMs.stream().filter(waitMs -> waitMs > 500).count();
+      longWaits += traffic.waitsMs.stream().filter(waitMs -> waitMs > 500).count();
     }
-    assertTrue(waitedLong <= 0.01 * requests, waitedLong + " of " + requests + " waited long");
+    assertTrue(longWaits <= 0.01 * requests, longWaits + " of " + requests + " waited long");
   }
 
   @Test
-  void givenAChangeOfOwnerWhenTrafficRunsThenItGoesOnWithTheNewOne() {
+  void trafficContinuesWithTheNewOwnerAfterAChange() {
     ControlFleet fleet = new ControlFleet(3, 6, 12);
     fleet.commit(1, Map.of(TENANT, LIMIT));
     fleet.run(5_000);
@@ -152,12 +152,12 @@
     fleet.run(5_000);
     fleet.own(SHARD, "core-" + (SHARD + 1) % 3);
     fleet.run(17_000);
-    assertEquals(0, traffic.givenUp);
-    assertTrue(traffic.waitMsAt(1) <= 1_500, "max " + traffic.waitMsAt(1));
+    assertEquals(0, traffic.timedOut);
+    assertTrue(traffic.waitMsAtQuantile(1) <= 1_500, "max " + traffic.waitMsAtQuantile(1));
   }
 
   @Property(tries = 60)
-  void anyWindowStaysWithinTheBoundWhateverIsCutDelayedRestartedOrHandedOver(
+  void anyWindowStaysWithinTheBoundThroughPartitionsDelaysRestartsAndChangesOfOwner(
       @ForAll long seed,
       @ForAll @IntRange(min = 1, max = 9) int doors,
       @ForAll @DoubleRange(min = 0.03, max = 0.2) double over,
@@ -168,19 +168,19 @@
     QuotaLimit limit = new QuotaLimit(rate, rate * burstSeconds);
     Random random = new Random(seed);
     ControlFleet fleet = new ControlFleet(3, doors, seed, terms);
-    fleet.longestDelay = (1 + random.nextInt(400)) * ControlFleet.MILLIS;
+    fleet.maxDelay = (1 + random.nextInt(400)) * ControlFleet.MILLIS;
     fleet.commit(1, Map.of(TENANT, limit));
     fleet.run(random.nextInt(8_000));
     QuotaTraffic traffic = new QuotaTraffic(fleet, TENANT, seed);
-    traffic.returnedPart = random.nextDouble() * 0.3;
+    traffic.refundedFraction = random.nextDouble() * 0.3;
     long unit = Math.max(1, rate / 20);
     long[] sizes = {Math.max(1, unit / 10), unit, 5 * unit};
     int max = 1 + random.nextInt(2_000);
     for (int step = 0; step < 40; step++) {
       if (random.nextInt(3) == 0) {
-        pressFor(random.nextInt(10_000), traffic, doors, sizes);
+        overloadFor(random.nextInt(10_000), traffic, doors, sizes);
       }
-      disturb(fleet, random, doors);
+      injectFault(fleet, random, doors);
       fleet.run(random.nextInt(max));
     }
     fleet.run(2_000);
@@ -189,7 +189,7 @@
   }
 
   @Property(tries = 150)
-  void anyWindowStaysWithinTheBoundWhenDoorsHoardTheirTokensAndUseThemAtTheWorstTime(
+  void anyWindowStaysWithinTheBoundWhenDoorsHoardTokensAndUseThemAtOnce(
       @ForAll long seed,
       @ForAll @IntRange(min = 1, max = 4) int doors,
       @ForAll @DoubleRange(min = 0.1, max = 0.2) double over,
@@ -200,10 +200,10 @@
     QuotaLimit limit = new QuotaLimit(rate, rate * burstSeconds);
     Random random = new Random(seed);
     ControlFleet fleet = new ControlFleet(3, doors, seed, terms);
-    fleet.longestDelay = (1 + random.nextInt(290)) * ControlFleet.MILLIS;
+    fleet.maxDelay = (1 + random.nextInt(290)) * ControlFleet.MILLIS;
     fleet.commit(1, Map.of(TENANT, limit));
     QuotaTraffic traffic = new QuotaTraffic(fleet, TENANT, seed);
-    traffic.returnedPart = random.nextInt(3) == 0 ? 0.3 : 0;
+    traffic.refundedFraction = random.nextInt(3) == 0 ? 0.3 : 0;
     for (int step = 0; step < 60; step++) {
       hoardOrRelease(fleet, traffic, random, doors, 3 * rate);
       fleet.run(random.nextInt(step % 10 == 0 ? 4_000 : 500));
@@ -217,7 +217,7 @@
     int door = random.nextInt(doors);
     switch (random.nextInt(10)) {
       case 0 -> fleet.own(SHARD, "core-" + random.nextInt(3));
-      case 1 -> fleet.cutOff("door-" + door);
+      case 1 -> fleet.isolate("door-" + door);
       case 2 -> fleet.heal();
       case 3, 4, 5 -> traffic.hoard(door, wanted);
       case 6 -> {
@@ -230,7 +230,7 @@
   }
 
   @Test
-  void givenDoorsThatHoldAllTokensWhenTheOwnerChangesThenOldAndNewTokensTogetherKeepTheBound() {
+  void tokensOfTwoSuccessiveOwnersTogetherStayWithinTheBound() {
     GrantTerms terms = new GrantTerms(8, 0.1, 5_000, GrantTerms.USUAL_VALID_MS);
     QuotaLimit limit = new QuotaLimit(10_000, 10_000);
     ControlFleet fleet = new ControlFleet(3, 2, 3, terms);
@@ -239,30 +239,30 @@
     QuotaTraffic traffic = new QuotaTraffic(fleet, TENANT, 4);
     traffic.hoard(0, 1_000_000);
     fleet.run(1_000);
-    fleet.cutOff("door-0");
+    fleet.isolate("door-0");
     fleet.own(SHARD, "core-" + (SHARD + 1) % 3);
     fleet.run(700);
     traffic.release(0);
-    long held = traffic.usedTokens();
-    assertTrue(held > 12_000, "held were " + held);
+    long hoarded = traffic.usedTokens();
+    assertTrue(hoarded > 12_000, "hoarded were " + hoarded);
     for (int step = 0; step < 400; step++) {
       traffic.hoard(1, 1_000_000);
       fleet.run(20);
       traffic.release(1);
     }
     double worst = traffic.worstWindow(terms, limit);
-    assertTrue(worst > 0.9, "the story should press: " + worst);
+    assertTrue(worst > 0.9, "the scenario should come near the bound: " + worst);
     assertTrue(worst <= 1, "worst window is " + worst + " of the bound");
   }
 
-  /** About ten times the rate for each door. */
-  private static void pressFor(long millis, QuotaTraffic traffic, int doors, long[] sizes) {
+  /** Requests of about ten times the rate at each door. */
+  private static void overloadFor(long millis, QuotaTraffic traffic, int doors, long[] sizes) {
     for (int door = 0; door < doors; door++) {
       traffic.arrivals(door, 100, sizes, millis);
     }
   }
 
-  private static void disturb(ControlFleet fleet, Random random, int doors) {
+  private static void injectFault(ControlFleet fleet, Random random, int doors) {
     String door = "door-" + random.nextInt(doors);
     String core = "core-" + random.nextInt(3);
     switch (random.nextInt(8)) {
@@ -272,8 +272,8 @@
         fleet.run(random.nextInt(300));
         fleet.own(SHARD, "core-" + random.nextInt(3));
       }
-      case 2 -> fleet.cutOff(door);
-      case 3 -> fleet.cut(core, door);
+      case 2 -> fleet.isolate(door);
+      case 3 -> fleet.partition(core, door);
       case 4 -> fleet.heal();
       case 5 -> {
         fleet.kill(door);
@@ -281,7 +281,7 @@
         fleet.restart(door);
       }
       case 6 -> fleet.ownersPaused = random.nextBoolean();
-      default -> fleet.longestDelay = (1 + random.nextInt(400)) * ControlFleet.MILLIS;
+      default -> fleet.maxDelay = (1 + random.nextInt(400)) * ControlFleet.MILLIS;
     }
   }
 }
--- a/control/src/test/java/nettletrail/control/QuotaTraffic.java
+++ b/control/src/test/java/nettletrail/control/QuotaTraffic.java
@@ -12,8 +12,8 @@
 import nettletrail.control.grant.QuotaLimit;
 
 /**
- * Requests of one tenant at the doors of a fleet; each waits at its door, first come first, until
- * it gets its tokens.
+ * Requests of one tenant at the doors of a fleet; each waits in its door's FIFO queue until it gets
+ * its tokens or times out.
  */
 final class QuotaTraffic {
   private static final double SECOND = 1e9;
@@ -25,13 +25,13 @@
   private final Map<Integer, Long> hoards = new HashMap<>();
   private final List<Use> uses = new ArrayList<>();
   final List<Long> waitsMs = new ArrayList<>();
-  long patienceMs = 4_000;
-  long givenUp;
+  long clientTimeoutMs = 4_000;
+  long timedOut;
   private final Map<Long, Integer> servedOfSize = new HashMap<>();
-  private final Map<Long, Integer> givenUpOfSize = new HashMap<>();
+  private final Map<Long, Integer> timedOutOfSize = new HashMap<>();
 
-  /** Of the requests that got their tokens, the part whose tokens are given back some ms later. */
-  double returnedPart;
+  /** Fraction of the served requests whose tokens are refunded some milliseconds later. */
+  double refundedFraction;
 
   private record Request(long at, long tokens) {}
 
@@ -59,7 +59,7 @@
     fleet.door(door).afterMessage = () -> drain(door);
   }
 
-  /** Poisson arrivals at one door for a while: so many a second, each of one of the sizes. */
+  /** Poisson arrivals at one door for a while, at this rate, each of a random one of the sizes. */
   void arrivals(int door, double perSecond, long[] sizes, long millis) {
     long end = fleet.now + millis * ControlFleet.MILLIS;
     scheduleNext(door, perSecond, sizes, end);
@@ -77,17 +77,17 @@
         });
   }
 
-  /** Whether doors tell how much waits; else they only try the first request again. */
-  boolean tellsQueue;
+  /** Whether doors report the tokens of all queued requests; else only the first one is tried. */
+  boolean reportsQueue;
 
-  /** A door whose first request has waited for so long refuses new ones, whatever their size. */
-  long refuseAfterMs = Long.MAX_VALUE;
+  /** A door whose first request has waited for longer than this rejects new ones of any size. */
+  long rejectAfterMs = Long.MAX_VALUE;
 
   void arrive(int door, long tokens) {
     Request first = queues.get(door).peek();
-    if (first != null && (fleet.now - first.at()) / ControlFleet.MILLIS > refuseAfterMs) {
-      givenUp++;
-      givenUpOfSize.merge(tokens, 1, Integer::sum);
+    if (first != null && (fleet.now - first.at()) / ControlFleet.MILLIS > rejectAfterMs) {
+      timedOut++;
+      timedOutOfSize.merge(tokens, 1, Integer::sum);
       return;
     }
     queues.get(door).add(new Request(fleet.now, tokens));
@@ -99,16 +99,16 @@
     while (!queue.isEmpty()) {
       Request first = queue.peek();
       long waitedMs = (fleet.now - first.at()) / ControlFleet.MILLIS;
-      if (waitedMs > patienceMs) {
+      if (waitedMs > clientTimeoutMs) {
         queue.poll();
-        givenUp++;
-        givenUpOfSize.merge(first.tokens(), 1, Integer::sum);
+        timedOut++;
+        timedOutOfSize.merge(first.tokens(), 1, Integer::sum);
         continue;
       }
       if (!fleet.door(door).running) {
         return;
       }
-      if (tellsQueue) {
+      if (reportsQueue) {
         fleet.door(door).control.grants().queued(tenant, queued(queue), fleet.now);
       }
       if (!fleet.door(door).take(tenant, first.tokens())) {
@@ -123,7 +123,7 @@
     fleet.door(door).control.grants().queued(tenant, hoarded, fleet.now);
   }
 
-  /** The door asks for this much, also as for a request that waits, and keeps it. */
+  /** The door requests this much, as for a queued request, and doesn't use it. */
   void hoard(int door, long tokens) {
     hoards.put(door, tokens);
     if (fleet.door(door).control.grants().usable(tenant, fleet.now) < tokens) {
@@ -132,12 +132,12 @@
     fleet.door(door).control.grants().queued(tenant, tokens, fleet.now);
   }
 
-  /** The door uses all that it holds at once. */
+  /** The door uses all its tokens at once. */
   void release(int door) {
     if (fleet.door(door).running) {
-      long held = fleet.door(door).control.grants().usable(tenant, fleet.now);
-      if (held > 0 && fleet.door(door).take(tenant, held)) {
-        used(door, held);
+      long usable = fleet.door(door).control.grants().usable(tenant, fleet.now);
+      if (usable > 0 && fleet.door(door).take(tenant, usable)) {
+        used(door, usable);
       }
     }
   }
@@ -146,7 +146,7 @@
     Use use = new Use(fleet.now, tokens);
     uses.add(use);
     long incarnation = fleet.door(door).incarnation;
-    if (random.nextDouble() < returnedPart) {
+    if (random.nextDouble() < refundedFraction) {
       use.tokens = 0;
       fleet.schedule(
           random.nextInt(400) * ControlFleet.MILLIS,
@@ -162,10 +162,10 @@
     return queue.stream().mapToLong(Request::tokens).sum();
   }
 
-  /** The part of the requests of one size that got their tokens. */
-  double servedPart(long size) {
+  /** The fraction of the requests of one size that got their tokens. */
+  double servedFraction(long size) {
     int served = servedOfSize.getOrDefault(size, 0);
-    int all = served + givenUpOfSize.getOrDefault(size, 0);
+    int all = served + timedOutOfSize.getOrDefault(size, 0);
     return all == 0 ? 1 : (double) served / all;
   }
 
@@ -173,16 +173,16 @@
     return uses.stream().mapToLong(use -> use.tokens).sum();
   }
 
-  /** The longest wait of those that got their tokens, at this part of all of them. */
-  long waitMsAt(double part) {
+  /** This quantile of the waits of served requests, in milliseconds. */
+  long waitMsAtQuantile(double quantile) {
     List<Long> sorted = new ArrayList<>(waitsMs);
     Collections.sort(sorted);
     return sorted.isEmpty()
         ? 0
-        : sorted.get((int) Math.min(sorted.size() - 1, part * sorted.size()));
+        : sorted.get((int) Math.min(sorted.size() - 1, quantile * sorted.size()));
   }
 
-  /** The largest sum of any window, as a part of the bound. */
+  /** The largest use in any window, as a fraction of the bound. */
   double worstWindow(GrantTerms terms, QuotaLimit limit) {
     double bound =
         (limit.ratePerSecond() * terms.windowSeconds() + limit.burst())
--- a/control/src/test/java/nettletrail/control/RegistryPropertyTest.java
+++ b/control/src/test/java/nettletrail/control/RegistryPropertyTest.java
@@ -14,24 +14,22 @@
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendState;
 
-/** Backends come, close and go while core processes and doors are cut off, killed and started. */
+/** Backends register, drain and deregister while processes crash, restart and are partitioned. */
 class RegistryPropertyTest {
   private static final long HEARTBEAT = ControlFleet.HEARTBEAT_MS * ControlFleet.MILLIS;
   private static final int CORES = 3;
 
-  /**
-   * A backend as it behaves: it calls one core process after the other until it is acknowledged.
-   */
-  private static final class Caller {
+  /** A backend: it calls one core process after the other until it is acknowledged. */
+  private static final class SimulatedBackend {
     final String id;
     BackendState state = BackendState.READY;
     long callSequence;
     boolean crashed;
-    boolean stays;
+    boolean permanent;
     boolean acknowledged;
     int core;
 
-    Caller(String id, int core) {
+    SimulatedBackend(String id, int core) {
       this.id = id;
       this.core = core;
     }
@@ -39,91 +37,91 @@
 
   private ControlFleet fleet;
   private Random random;
-  private long lastKill;
-  private final Map<String, Caller> callers = new TreeMap<>();
+  private long lastCrashAt;
+  private final Map<String, SimulatedBackend> backends = new TreeMap<>();
 
-  /** Which faults a run has. An end that was acknowledged has to last through all but the last. */
+  /** Which faults a run has. An acknowledged withdrawal has to survive all but {@code ALL}. */
   private enum Faults {
-    CUTS,
-    ONE_CORE_PROCESS_AT_A_TIME,
-    THE_WHOLE_CORE_OR_A_DOOR,
+    PARTITIONS,
+    ONE_CORE_CRASH_AT_A_TIME,
+    CRASH_OF_ALL_CORES_OR_A_DOOR,
     ALL
   }
 
   @Property(tries = 120)
-  void doorsComeToSeeWhatIsThereAndNeverSeeAnAcknowledgedEndUndone(
+  void doorsConvergeAndNeverSeeAnAcknowledgedWithdrawalUndone(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int doors, @ForAll Faults faults) {
     random = new Random(seed);
     fleet = new ControlFleet(CORES, doors, seed);
-    callers.clear();
-    lastKill = 0;
+    backends.clear();
+    lastCrashAt = 0;
     fleet.run(500);
     if (faults == Faults.ALL) {
-      addTheOneThatStays();
+      addPermanentBackend();
     }
     for (int step = 0; step < 40; step++) {
-      disturb(doors, faults);
+      injectFault(doors, faults);
       changeBackends(step);
       fleet.run(random.nextInt(1_500));
     }
-    calm(doors, faults);
+    recover(doors, faults);
     for (int door = 0; door < doors; door++) {
       assertEquals(expected(), seen(door), "door " + door);
     }
   }
 
   /**
-   * With all faults every process that knew an end may be lost. What is listed wrongly then has to
-   * expire, for which somebody must be heard.
+   * With all faults every process that knew a withdrawal may crash. A backend that is listed
+   * wrongly then has to expire, for which another one must be in contact.
    */
-  private void addTheOneThatStays() {
-    Caller caller = new Caller("stays", 0);
-    caller.stays = true;
-    callers.put(caller.id, caller);
-    heartbeat(caller);
+  private void addPermanentBackend() {
+    SimulatedBackend backend = new SimulatedBackend("permanent", 0);
+    backend.permanent = true;
+    backends.put(backend.id, backend);
+    heartbeat(backend);
   }
 
-  private void disturb(int doors, Faults faults) {
+  private void injectFault(int doors, Faults faults) {
     switch (faults) {
-      case CUTS -> cutOrHeal(doors);
-      case ONE_CORE_PROCESS_AT_A_TIME -> killOneOfAHealthyCore();
-      case THE_WHOLE_CORE_OR_A_DOOR -> killTheWholeCoreOrADoor(doors);
+      case PARTITIONS -> partitionOrHeal(doors);
+      case ONE_CORE_CRASH_AT_A_TIME -> crashOneOfAHealthyCore();
+      case CRASH_OF_ALL_CORES_OR_A_DOOR -> crashAllCoresOrADoor(doors);
       case ALL -> {
         switch (random.nextInt(3)) {
           case 0 -> restart("core-" + random.nextInt(CORES), random.nextInt(3_000));
           case 1 -> restart("door-" + random.nextInt(doors), random.nextInt(3_000));
-          default -> cutOrHeal(doors);
+          default -> partitionOrHeal(doors);
         }
       }
     }
   }
 
-  private void cutOrHeal(int doors) {
+  private void partitionOrHeal(int doors) {
     String core = "core-" + random.nextInt(CORES);
     String door = "door-" + random.nextInt(doors);
     switch (random.nextInt(6)) {
-      case 0 -> fleet.cutOff(core);
-      case 1 -> fleet.cut(core, door);
-      case 2 -> fleet.cutOff(door);
+      case 0 -> fleet.isolate(core);
+      case 1 -> fleet.partition(core, door);
+      case 2 -> fleet.isolate(door);
       case 3, 4 -> fleet.heal();
-      default -> fleet.longestDelay = (1 + random.nextInt(200)) * ControlFleet.MILLIS;
+      default -> fleet.maxDelay = (1 + random.nextInt(200)) * ControlFleet.MILLIS;
     }
   }
 
-  /** A process that was started has some time to hear what the others know. */
-  private void killOneOfAHealthyCore() {
-    if (fleet.now - lastKill > 6_000 * ControlFleet.MILLIS) {
-      lastKill = fleet.now;
+  /** A restarted process gets some time to learn what the others know. */
+  private void crashOneOfAHealthyCore() {
+    if (fleet.now - lastCrashAt > 6_000 * ControlFleet.MILLIS) {
+      lastCrashAt = fleet.now;
       restart("core-" + random.nextInt(CORES), random.nextInt(3_000));
     }
   }
 
-  /** Some door always knows what the others have lost; one alone is not restarted. */
-  private void killTheWholeCoreOrADoor(int doors) {
-    if (fleet.now - lastKill <= 6_000 * ControlFleet.MILLIS) {
+  /** At least one door keeps its records: a single door is not restarted. */
+  private void crashAllCoresOrADoor(int doors) {
+    if (fleet.now - lastCrashAt <= 6_000 * ControlFleet.MILLIS) {
       return;
     }
-    lastKill = fleet.now;
+    lastCrashAt = fleet.now;
     if (doors > 1 && random.nextBoolean()) {
       restart("door-" + random.nextInt(doors), random.nextInt(2_000));
       return;
@@ -141,50 +139,50 @@
   }
 
   private void changeBackends(int step) {
-    List<Caller> live =
-        callers.values().stream().filter(each -> !each.crashed && !each.stays).toList();
+    List<SimulatedBackend> live =
+        backends.values().stream().filter(each -> !each.crashed && !each.permanent).toList();
     int choice = random.nextInt(6);
     if (choice <= 1) {
-      Caller caller = new Caller("b" + step, random.nextInt(CORES));
-      callers.put(caller.id, caller);
-      heartbeat(caller);
+      SimulatedBackend backend = new SimulatedBackend("b" + step, random.nextInt(CORES));
+      backends.put(backend.id, backend);
+      heartbeat(backend);
     } else if (choice == 2 && !live.isEmpty()) {
       live.get(random.nextInt(live.size())).crashed = true;
     } else if (choice == 3 && !live.isEmpty()) {
-      Caller caller = live.get(random.nextInt(live.size()));
-      if (caller.state != BackendState.GONE) {
-        caller.state = random.nextBoolean() ? BackendState.CLOSING : BackendState.GONE;
-        caller.acknowledged = false;
+      SimulatedBackend backend = live.get(random.nextInt(live.size()));
+      if (backend.state != BackendState.GONE) {
+        backend.state = random.nextBoolean() ? BackendState.CLOSING : BackendState.GONE;
+        backend.acknowledged = false;
       }
     }
   }
 
   /**
-   * Calls now and at each beat; moves on to the next core process when one doesn't answer within a
+   * Calls now and at each heartbeat; goes to the next core process if one doesn't answer within a
    * second.
    */
-  private void heartbeat(Caller caller) {
-    if (caller.crashed || caller.state == BackendState.GONE && caller.acknowledged) {
+  private void heartbeat(SimulatedBackend backend) {
+    if (backend.crashed || backend.state == BackendState.GONE && backend.acknowledged) {
       return;
     }
-    caller.callSequence++;
-    BackendState said = caller.state;
-    int core = caller.core;
+    backend.callSequence++;
+    BackendState reported = backend.state;
+    int core = backend.core;
     if (fleet.core(core).running) {
-      String method = said == BackendState.GONE ? "DELETE" : "PUT";
-      Backend report = ControlFleet.backend(caller.id, said, caller.callSequence);
+      String method = reported == BackendState.GONE ? "DELETE" : "PUT";
+      Backend report = ControlFleet.backend(backend.id, reported, backend.callSequence);
       long call = fleet.call(core, method, report);
-      fleet.schedule(1_000 * ControlFleet.MILLIS, () -> answered(caller, call, said));
-      repeatLate(report, said);
+      fleet.schedule(1_000 * ControlFleet.MILLIS, () -> answered(backend, call, reported));
+      repeatLate(report, reported);
     } else {
-      caller.core = (core + 1) % CORES;
+      backend.core = (core + 1) % CORES;
     }
-    fleet.schedule(HEARTBEAT, () -> heartbeat(caller));
+    fleet.schedule(HEARTBEAT, () -> heartbeat(backend));
   }
 
-  /** A call may arrive seconds after it was sent, when others have overtaken it. */
-  private void repeatLate(Backend report, BackendState said) {
-    if (said == BackendState.READY && random.nextInt(4) == 0) {
+  /** A call may arrive seconds after it was sent, after later ones. */
+  private void repeatLate(Backend report, BackendState reported) {
+    if (reported == BackendState.READY && random.nextInt(4) == 0) {
       int core = random.nextInt(CORES);
       long late = (500 + random.nextInt(5_000)) * ControlFleet.MILLIS;
       fleet.schedule(late, () -> callIfRunning(core, report));
@@ -197,42 +195,42 @@
     }
   }
 
-  private void answered(Caller caller, long call, BackendState said) {
+  private void answered(SimulatedBackend backend, long call, BackendState reported) {
     if (!Integer.valueOf(200).equals(fleet.answers.get(call))) {
-      caller.core = (caller.core + 1) % CORES;
-    } else if (said == caller.state) {
-      caller.acknowledged = true;
+      backend.core = (backend.core + 1) % CORES;
+    } else if (reported == backend.state) {
+      backend.acknowledged = true;
     }
   }
 
-  private void calm(int doors, Faults faults) {
+  private void recover(int doors, Faults faults) {
     fleet.heal();
-    fleet.longestDelay = 2 * ControlFleet.MILLIS;
+    fleet.maxDelay = 2 * ControlFleet.MILLIS;
     fleet.run(4_000);
-    for (Caller caller : callers.values()) {
+    for (SimulatedBackend backend : backends.values()) {
       for (int door = 0; door < doors && faults != Faults.ALL; door++) {
-        checkEndHolds(caller, door);
+        checkWithdrawalSurvives(backend, door);
       }
     }
     fleet.run(40_000);
   }
 
-  private void checkEndHolds(Caller caller, int door) {
-    if (caller.acknowledged && caller.state != BackendState.READY) {
-      for (Backend backend : fleet.door(door).control.backends("lm")) {
-        if (backend.getId().equals(caller.id)) {
-          assertNotEquals(BackendState.READY, backend.getState(), caller.id);
+  private void checkWithdrawalSurvives(SimulatedBackend backend, int door) {
+    if (backend.acknowledged && backend.state != BackendState.READY) {
+      for (Backend listed : fleet.door(door).control.backends("lm")) {
+        if (listed.getId().equals(backend.id)) {
+          assertNotEquals(BackendState.READY, listed.getState(), backend.id);
         }
       }
     }
   }
 
-  /** When nobody calls any more nothing is expired: then what crashed may stay. */
+  /** While no backend is in contact none expires: crashed ones may stay then. */
   private TreeSet<String> expected() {
     TreeSet<String> expected = new TreeSet<>();
-    for (Caller caller : callers.values()) {
-      if (!caller.crashed && caller.state != BackendState.GONE) {
-        expected.add(caller.id + caller.state);
+    for (SimulatedBackend backend : backends.values()) {
+      if (!backend.crashed && backend.state != BackendState.GONE) {
+        expected.add(backend.id + backend.state);
       }
     }
     return expected;
@@ -241,9 +239,9 @@
   private TreeSet<String> seen(int door) {
     TreeSet<String> seen = new TreeSet<>();
     boolean anyCalls = !expected().isEmpty();
-    for (Backend backend : fleet.door(door).control.backends("lm")) {
-      if (anyCalls || !callers.get(backend.getId()).crashed) {
-        seen.add(backend.getId() + backend.getState());
+    for (Backend listed : fleet.door(door).control.backends("lm")) {
+      if (anyCalls || !backends.get(listed.getId()).crashed) {
+        seen.add(listed.getId() + listed.getState());
       }
     }
     return seen;
--- a/control/src/test/java/nettletrail/control/RegistryStoriesTest.java
+++ b/control/src/test/java/nettletrail/control/RegistryScenarioTest.java
@@ -13,12 +13,12 @@
 import nettletrail.protocol.RegistryUpdateReply;
 import org.junit.jupiter.api.Test;
 
-/** Stories of backends, core processes and doors over a network in memory. */
-class RegistryStoriesTest {
+/** Scenarios of backends, core processes and doors over a network in memory. */
+class RegistryScenarioTest {
   private final ControlFleet fleet = new ControlFleet(3, 3, 1);
 
   @Test
-  void givenDoorsWithOneSeedWhenTheyStartThenTheyReachTheWholeCoreAndCountEachOther() {
+  void doorsWithOneSeedConnectToAllCoreProcessesAndCountEachOther() {
     fleet.run(2_000);
     for (int door = 0; door < 3; door++) {
       assertEquals(3, fleet.door(door).dialled.size());
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void givenABackendWhenItCallsOneCoreProcessThenAllDoorsSeeIt() {
+  void allDoorsSeeABackendThatCalledOneCoreProcess() {
     fleet.run(1_000);
     long call = fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.READY, 1));
     assertEquals(200, fleet.answers.get(call));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void givenAClosingBackendWhenOthersHaveItThenItIsAcknowledgedAndDoorsSeeItClosing() {
+  void drainingIsAcknowledgedOnceReplicatedAndALateCallDoesNotUndoIt() {
     fleet.run(1_000);
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.READY, 1));
     fleet.run(100);
@@ -55,11 +55,11 @@
   }
 
   @Test
-  void givenACoreProcessWithoutOthersWhenABackendClosesThereThenItIsSentElsewhere() {
+  void isolatedCoreProcessRejectsDrainingAndAnotherOneAcknowledgesIt() {
     fleet.run(1_000);
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.READY, 1));
     fleet.run(100);
-    fleet.cutOff("core-0");
+    fleet.isolate("core-0");
     long call = fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 2));
     fleet.run(700);
     assertNull(fleet.answers.get(call));
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void givenOtherCoreProcessesDownWhenADoorsAllAcknowledgeThenClosingIsAcknowledged() {
+  void deregistrationIsAcknowledgedByAllDoorsWhileOtherCoreProcessesAreDown() {
     fleet.run(3_000);
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.READY, 1));
     fleet.kill("core-1");
@@ -84,14 +84,14 @@
   }
 
   @Test
-  void givenDoorsThatReadAFormerFeedFurtherWhenABackendClosesAtTheRestartedCoreThenTheyDontCount() {
+  void offsetsOfAFormerIncarnationsFeedAcknowledgeNoDraining() {
     heartbeat(4_000, List.of("a", "b"));
     changeOften("a", 20);
     fleet.kill("core-0");
     fleet.run(500);
     fleet.restart("core-0");
     fleet.run(1_000);
-    fleet.cutOff("core-0");
+    fleet.isolate("core-0");
     long call = fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
     fleet.run(700);
     assertNull(fleet.answers.get(call));
@@ -100,10 +100,11 @@
   }
 
   @Test
-  void givenARestartedCoreProcessThatKnowsOneOfItsDoorsWhenABackendClosesThenOneIsNotAll() {
+  void restartedCoreProcessWaitsForFormerLeasesBeforeItTakesItsDoorsForAll() {
     heartbeat(4_000, List.of("a", "b"));
     fleet.kill("core-0");
-    List.of("core-1", "core-2", "door-1", "door-2").forEach(peer -> fleet.cut("core-0", peer));
+    List.of("core-1", "core-2", "door-1", "door-2")
+        .forEach(peer -> fleet.partition("core-0", peer));
     fleet.restart("core-0");
     fleet.run(1_000);
     assertEquals(1, fleet.core(0).registry.liveDoors(fleet.now));
@@ -113,11 +114,11 @@
     fleet.run(1_500);
     long later = fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 51));
     fleet.run(20);
-    assertEquals(200, fleet.answers.get(later), "leases of its former life have run out");
+    assertEquals(200, fleet.answers.get(later), "leases of its former incarnation have expired");
   }
 
   @Test
-  void givenRepliesToAFormerLifeOfACoreProcessWhenTheyComeLateThenTheyAcknowledgeNoEnd() {
+  void lateRepliesToAFormerIncarnationAcknowledgeNoDraining() {
     heartbeat(4_000, List.of("a", "b"));
     fleet.kill("core-0");
     fleet.restart("core-0");
@@ -132,7 +133,7 @@
   }
 
   @Test
-  void givenAClosingBackendThatIsForgottenWhenANewCoreProcessHearsALateCallThenItStaysClosing() {
+  void lateCallAtARestartedCoreProcessDoesNotUndoAnExpiredDraining() {
     heartbeat(4_000, List.of("a", "b", "c"));
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
     heartbeat(8_000, List.of("a", "c"));
@@ -146,11 +147,11 @@
   }
 
   @Test
-  void givenACutPeerWhenItIsBackThenHintsBringItUpAndADeletedBackendStaysAway() {
+  void hintedHandoffRepairsAPeerAfterAPartitionAndKeepsTombstones() {
     fleet.run(1_000);
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.READY, 1));
     fleet.run(100);
-    fleet.cutOff("core-2");
+    fleet.isolate("core-2");
     fleet.call(0, "DELETE", ControlFleet.backend("b", BackendState.READY, 1));
     fleet.call(0, "PUT", ControlFleet.backend("c", BackendState.READY, 1));
     fleet.run(3_000);
@@ -164,7 +165,7 @@
   }
 
   @Test
-  void givenACoreProcessThatRestartsWhenItIsLinkedThenItLearnsAllThatTheOthersKnow() {
+  void restartedCoreProcessLearnsAllRecordsFromItsPeers() {
     fleet.run(1_000);
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.READY, 1));
     fleet.call(0, "PUT", ControlFleet.backend("c", BackendState.CLOSING, 1));
@@ -179,7 +180,7 @@
   }
 
   @Test
-  void givenASilentBackendAmongOthersWhenItIsExpiredThenDoorsDropItAndItMayComeBack() {
+  void doorsDropAnExpiredBackendAndSeeItAgainAfterItsNextCall() {
     heartbeat(8_000, List.of("a", "b", "c"));
     assertEquals(List.of("a", "b", "c"), ids(0));
     heartbeat(8_000, List.of("a", "b"));
@@ -190,7 +191,7 @@
   }
 
   @Test
-  void givenAllBackendsUnheardWhenTheCoreIsCutFromThemThenNobodyIsExpired() {
+  void noBackendExpiresWhileAllAreOutOfContact() {
     heartbeat(8_000, List.of("a", "b", "c"));
     fleet.run(30_000);
     assertEquals(List.of("a", "b", "c"), ids(0));
@@ -199,7 +200,7 @@
   }
 
   @Test
-  void givenRestartsOfTheWholeCoreWhenDoorsReconnectThenTheyKeepTheirBackends() {
+  void doorsKeepTheirBackendsThroughARestartOfAllCoreProcesses() {
     heartbeat(4_000, List.of("a", "b"));
     for (int core = 0; core < 3; core++) {
       fleet.kill("core-" + core);
@@ -216,7 +217,7 @@
   }
 
   @Test
-  void givenEndsThatTheWholeCoreLostWhenALateCallComesThenDoorsHaveToldThem() {
+  void doorsReportWithdrawalsThatAllCoreProcessesHaveLost() {
     heartbeat(4_000, List.of("a", "b", "c"));
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
     fleet.call(1, "DELETE", ControlFleet.backend("c", BackendState.READY, 50));
@@ -235,10 +236,10 @@
   }
 
   @Test
-  void givenAnEndThatOnlyTwoLostCoreProcessesKnewWhenTheThirdHearsALateCallThenItHolds() {
+  void doorsReportAWithdrawalThatOnlyCrashedCoreProcessesKnew() {
     heartbeat(4_000, List.of("a", "b"));
-    fleet.cut("core-0", "core-1");
-    fleet.cut("core-0", "core-2");
+    fleet.partition("core-0", "core-1");
+    fleet.partition("core-0", "core-2");
     long call = fleet.call(1, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
     fleet.run(20);
     assertEquals(200, fleet.answers.get(call));
@@ -252,29 +253,29 @@
   }
 
   @Test
-  void givenAnEndThatAllCoreProcessesKnowWhenDoorsFollowThemThenDoorsTellNothing() {
+  void doorsReportNoWithdrawalThatAllCoreProcessesKnow() {
     heartbeat(4_000, List.of("a", "b"));
     fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 50));
     fleet.run(20);
-    fleet.messagesOfDoors.clear();
+    fleet.messagesFromDoors.clear();
     heartbeat(6_000, List.of("a"));
-    assertEquals(0, fleet.messagesOfDoors.getOrDefault("RegistryUpdate", 0));
+    assertEquals(0, fleet.messagesFromDoors.getOrDefault("RegistryUpdate", 0));
   }
 
   @Test
-  void givenADoorCutFromOneCoreProcessWhenTheOthersHearThenItFollowsThem() {
+  void doorPartitionedFromOneCoreProcessFollowsTheOthers() {
     heartbeat(4_000, List.of("a"));
-    fleet.cut("core-0", "door-1");
+    fleet.partition("core-0", "door-1");
     fleet.call(0, "PUT", ControlFleet.backend("d", BackendState.READY, 1));
     fleet.run(100);
     assertEquals(List.of("a", "d"), ids(1));
-    fleet.cutOff("door-1");
+    fleet.isolate("door-1");
     fleet.run(60_000);
     assertEquals(List.of("a", "d"), ids(1));
   }
 
   @Test
-  void givenACommittedConfigurationWhenPushedThenDoorsHaveItOnceConfirmedAndKeysHoldSoLong() {
+  void committedConfigurationIsUsedOnceConfirmedAndKeysAreValidWhileConfirmed() {
     fleet.run(1_000);
     assertFalse(fleet.door(0).control.keysValid(fleet.now));
     fleet.commit(3, Map.of());
@@ -284,7 +285,7 @@
     assertEquals(List.of(3L), fleet.door(0).configurations);
     fleet.run(1_000);
     assertTrue(fleet.door(0).control.keysValid(fleet.now));
-    fleet.cutOff("door-0");
+    fleet.isolate("door-0");
     fleet.run(4_000);
     assertTrue(fleet.door(0).control.keysValid(fleet.now));
     fleet.run(1_000);
@@ -300,7 +301,7 @@
   }
 
   @Test
-  void givenAKilledDoorWhenItsLeaseEndsThenItIsNoLongerCounted() {
+  void crashedDoorIsNotCountedAfterItsLeaseExpired() {
     fleet.run(2_000);
     fleet.kill("door-2");
     fleet.run(2_000);
@@ -313,7 +314,7 @@
 
   private long callSequence = 1;
 
-  /** Lets backends call core processes in turn, as they do. */
+  /** Lets backends send heartbeats to the core processes in turn. */
   private void heartbeat(long millis, List<String> ids) {
     for (long elapsed = 0; elapsed < millis; elapsed += ControlFleet.HEARTBEAT_MS) {
       callSequence++;
@@ -337,7 +338,7 @@
         .toList();
   }
 
-  /** Each call says something new, so that the feeds grow. */
+  /** Each call has new content, so that the feeds grow. */
   private void changeOften(String id, int changes) {
     for (int change = 1; change <= changes; change++) {
       callSequence++;
--- a/control/src/test/java/nettletrail/control/SimulatedOwnership.java
+++ b/control/src/test/java/nettletrail/control/SimulatedOwnership.java
@@ -8,7 +8,7 @@
 import nettletrail.protocol.Member;
 import nettletrail.protocol.ProposalNumber;
 
-/** What a core process's registry is told of the shards in tests: who owns which is set by them. */
+/** The owners of the shards as tests set them, as one core process sees them. */
 class SimulatedOwnership implements ShardOwnership {
   final String address;
   OptionalLong confirmedAt = OptionalLong.empty();
@@ -20,10 +20,10 @@
    * The owners of all shards at one instant.
    *
    * @param byShard the owner's address
-   * @param rounds of each owner's ballot
+   * @param terms the term of each owner's proposal number, by shard
    * @param paused whether nobody owns anything
    */
-  record Owners(Map<Integer, String> byShard, Map<Integer, Long> rounds, boolean paused) {}
+  record Owners(Map<Integer, String> byShard, Map<Integer, Long> terms, boolean paused) {}
 
   SimulatedOwnership(String address, Supplier<Owners> owners, Supplier<Set<String>> coreNames) {
     this.address = address;
@@ -39,7 +39,7 @@
 
   @Override
   public ProposalNumber token(int shard) {
-    return new ProposalNumber(owners.get().rounds().get(shard), address);
+    return new ProposalNumber(owners.get().terms().get(shard), address);
   }
 
   @Override
--- a/control/src/test/java/nettletrail/control/SingleCoreStoriesTest.java
+++ b/control/src/test/java/nettletrail/control/SingleCoreScenarioTest.java
@@ -8,17 +8,17 @@
 import nettletrail.protocol.BackendState;
 import org.junit.jupiter.api.Test;
 
-/** Stories of a fleet with one core process: nobody but the doors knows what it forgets. */
-class SingleCoreStoriesTest {
-  private static final int MORE_THAN_THE_JOURNAL = 5_000;
+/** Scenarios of a fleet with one core process, whose records no other one replicates. */
+class SingleCoreScenarioTest {
+  private static final int MORE_THAN_THE_FEED_RETAINS = 5_000;
 
   private long callSequence = 1;
 
   @Test
-  void givenALiveDoorThatIsCutOffWhenABackendClosesThenItIsAcknowledgedOnceTheLeaseHasRunOut() {
+  void drainingIsAcknowledgedOnceTheLeaseOfAnIsolatedDoorHasExpired() {
     ControlFleet fleet = new ControlFleet(1, 2, 1);
     fleet.run(4_000);
-    fleet.cutOff("door-1");
+    fleet.isolate("door-1");
     long call = fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 1));
     fleet.run(900);
     assertEquals(503, fleet.answers.get(call));
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void givenNoDoorWhenABackendClosesThenItIsAcknowledgedOnceLeasesOfAFormerLifeHaveRunOut() {
+  void drainingIsAcknowledgedWithoutDoorsOnceFormerLeasesHaveExpired() {
     ControlFleet fleet = new ControlFleet(1, 0, 2);
     fleet.run(2_900);
     long early = fleet.call(0, "PUT", ControlFleet.backend("b", BackendState.CLOSING, 1));
@@ -39,13 +39,13 @@
   }
 
   @Test
-  void givenADoorThatMissedMoreThanTheJournalHoldsWhenItIsBackThenWhatExpiredMeanwhileIsGone() {
+  void doorBehindTheFeedsStartDropsWhatExpiredMeanwhile() {
     ControlFleet fleet = new ControlFleet(1, 1, 3);
     heartbeat(fleet, 4_000, List.of("a", "b"));
     assertEquals(List.of("a", "b"), ids(fleet));
-    fleet.cutOff("door-0");
+    fleet.isolate("door-0");
     heartbeat(fleet, 8_000, List.of("a"));
-    for (int change = 1; change <= MORE_THAN_THE_JOURNAL; change++) {
+    for (int change = 1; change <= MORE_THAN_THE_FEED_RETAINS; change++) {
       callSequence++;
       Backend report = ControlFleet.backend("a", BackendState.READY, callSequence);
       fleet.call(0, "PUT", Backend.newBuilder(report).setSlots(change).build());
@@ -55,7 +55,7 @@
     fleet.run(500);
     assertEquals(List.of("a"), ids(fleet));
     Backend newest = fleet.door(0).control.backends("lm").get(0);
-    assertEquals(MORE_THAN_THE_JOURNAL, newest.getSlots());
+    assertEquals(MORE_THAN_THE_FEED_RETAINS, newest.getSlots());
   }
 
   private void heartbeat(ControlFleet fleet, long millis, List<String> ids) {
--- a/control/src/test/java/nettletrail/control/TestMessages.java
+++ b/control/src/test/java/nettletrail/control/TestMessages.java
@@ -5,24 +5,24 @@
 import nettletrail.protocol.DoorHeartbeat;
 import nettletrail.protocol.DoorHeartbeatReply;
 
-/** Messages between doors and core processes, as tests need them. */
+/** Messages between doors and core processes, for tests. */
 public final class TestMessages {
   /** The zone of every core process that replies. */
   public static final String ZONE = "zone";
 
   private TestMessages() {}
 
-  /** A whole configuration in one piece; its edition is its sequence. */
+  /** A complete configuration in one chunk; its edition is its sequence. */
   public static ConfigurationChunk configuration(long sequence) {
     return piece(sequence, 1, 0, new byte[] {1});
   }
 
-  /** A piece of a configuration of so many bytes; its edition is its sequence. */
+  /** A chunk of a configuration of {@code size} bytes; its edition is its sequence. */
   public static ConfigurationChunk piece(long sequence, int size, int offset, byte[] content) {
     return new ConfigurationChunk(sequence, sequence, size, offset, ByteBuffer.wrap(content));
   }
 
-  /** Only the sequence is new: the document is that of this edition. */
+  /** A chunk with a new sequence only: the document of this edition is unchanged. */
   public static ConfigurationChunk renumbered(long sequence, long edition) {
     return new ConfigurationChunk(sequence, edition, 0, 0, ByteBuffer.allocate(0));
   }
@@ -37,7 +37,7 @@
     return reply(core, ZONE, sentAt, ageMs, sequence);
   }
 
-  /** As the other one, from a zone. */
+  /** A reply without a directory, from a core process in this zone. */
   public static DoorHeartbeatReply reply(
       String core, String zone, long sentAt, long ageMs, long sequence) {
     return new DoorHeartbeatReply(core, sentAt, true, ageMs, sequence, 1L, 0L, 1, zone, null);
@@ -45,7 +45,7 @@
 
   /** A heartbeat of a door that has read no feed. */
   public static DoorHeartbeat heartbeat(
-      String door, long sentAt, long heldSequence, boolean source) {
-    return new DoorHeartbeat(door, ZONE, 1L, sentAt, heldSequence, 0L, 0L, false, source, 0L);
+      String door, long sentAt, long doorSequence, boolean source) {
+    return new DoorHeartbeat(door, ZONE, 1L, sentAt, doorSequence, 0L, 0L, false, source, 0L);
   }
 }
