--- a/control/src/main/java/nettletrail/control/door/DoorControl.java
+++ b/control/src/main/java/nettletrail/control/door/DoorControl.java
@@ -221,8 +221,7 @@
 
   /** Whether API keys may be accepted and rejected at this instant. */
   public boolean keysValid(long now) {
-    OptionalLong until = keys.until();
-    return until.isPresent() && now - until.getAsLong() < 0;
+    return keys.isValid(now);
   }
 
   /**
--- a/control/src/main/java/nettletrail/control/door/FeedFollower.java
+++ b/control/src/main/java/nettletrail/control/door/FeedFollower.java
@@ -1,8 +1,6 @@
 package nettletrail.control.door;
 
 import java.util.Optional;
-import nettletrail.protocol.Backend;
-import nettletrail.protocol.BackendState;
 import nettletrail.protocol.FeedAck;
 import nettletrail.protocol.FeedEvents;
 import nettletrail.protocol.FeedSnapshot;
@@ -51,7 +49,7 @@
       events.getExpired().forEach(id -> backends.expired(core, id));
       link.feedRead(events.getFeed(), events.getOffset());
     }
-    boolean deregisters = events.getBackends().stream().anyMatch(FeedFollower::isDeregistration);
+    boolean deregisters = events.getBackends().stream().anyMatch(KnownBackend::isDeregistration);
     return deregisters ? Optional.of(acknowledgement(link)) : Optional.empty();
   }
 
@@ -62,10 +60,6 @@
     }
   }
 
-  private static boolean isDeregistration(Backend backend) {
-    return backend.getState() != BackendState.READY;
-  }
-
   private DoorAction acknowledgement(CoreLink link) {
     FeedAck acknowledgement = new FeedAck(door, link.feed(), link.feedOffset());
     return new DoorAction.SendToCore(link.address(), acknowledgement);
--- a/control/src/main/java/nettletrail/control/door/GrantClient.java
+++ b/control/src/main/java/nettletrail/control/door/GrantClient.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -155,14 +154,9 @@
       return Optional.empty();
     }
     List<TenantUse> reports = new ArrayList<>();
-    Set<String> reportedTenants = new HashSet<>();
-    for (TenantTokens tokens : active) {
-      TenantUse report = tokens.report(now);
-      reports.add(report);
-      reportedTenants.add(report.getTenant());
-    }
+    active.forEach(tokens -> reports.add(tokens.report(now)));
     lastRequest++;
-    requests.sent(lastRequest, owner.get(), reportedTenants, now);
+    requests.sent(lastRequest, owner.get(), reports, now);
     GrantRequest request = new GrantRequest(door, incarnation, lastRequest, shard, reports);
     return Optional.of(new DoorAction.SendToCore(owner.get(), request));
   }
@@ -193,15 +187,16 @@
     requests.accept(reply);
     for (TenantGrant grant : reply.getGrants()) {
       TenantTokens tokens = tenants.get(grant.getTenant());
-      if (tokens != null && grant.getKnown() && requests.reportedOn(grant.getTenant())) {
-        long usableBefore = tokens.usable(now);
-        if (isNewOwner) {
-          tokens.ownerChanged();
-        }
-        tokens.granted(grant, requests.grantsExpireAt());
-        if (tokens.usable(now) > usableBefore) {
-          replenished.add(grant.getTenant());
-        }
+      if (tokens == null || !grant.getKnown() || !requests.reportedOn(grant.getTenant())) {
+        continue;
+      }
+      long usableBefore = tokens.usable(now);
+      if (isNewOwner) {
+        tokens.ownerChanged();
+      }
+      tokens.granted(grant, requests.grantsExpireAt());
+      if (tokens.usable(now) > usableBefore) {
+        replenished.add(grant.getTenant());
       }
     }
   }
--- a/control/src/main/java/nettletrail/control/door/KeyLease.java
+++ b/control/src/main/java/nettletrail/control/door/KeyLease.java
@@ -67,6 +67,11 @@
     return granted ? OptionalLong.of(grantedUntil) : OptionalLong.empty();
   }
 
+  /** Whether the lease is valid at this instant. */
+  boolean isValid(long now) {
+    return granted && now - grantedUntil < 0;
+  }
+
   /**
    * Under steady changes each confirmation may be of a newer sequence than the one before, so
    * several are kept. When there are too many the last but one is dropped: the first is reached
--- a/control/src/main/java/nettletrail/control/door/KnownBackend.java
+++ b/control/src/main/java/nettletrail/control/door/KnownBackend.java
@@ -31,6 +31,11 @@
 
   /** Whether the backend is closing or gone. */
   boolean isDeregistered() {
+    return isDeregistration(registration);
+  }
+
+  /** Whether a registration says that the backend is closing or gone. */
+  static boolean isDeregistration(Backend registration) {
     return registration.getState() != BackendState.READY;
   }
 
--- a/control/src/main/java/nettletrail/control/door/ShardGrantRequests.java
+++ b/control/src/main/java/nettletrail/control/door/ShardGrantRequests.java
@@ -1,11 +1,14 @@
 package nettletrail.control.door;
 
+import java.util.HashSet;
+import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import nettletrail.control.grant.GrantTerms;
 import nettletrail.control.shard.ProposalNumbers;
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.ProposalNumber;
+import nettletrail.protocol.TenantUse;
 
 /**
  * The requests to the owner of one shard: at most one is in flight, and once it timed out its reply
@@ -26,7 +29,7 @@
   private long inFlight = NONE;
   private String recipient = "";
   private long validMs = GrantTerms.USUAL_VALID_MS;
-  private Set<String> tenants = Set.of();
+  private final Set<String> reportedTenants = new HashSet<>();
 
   /** Whether the next request is due; {@code interval}: at most this long after the last one. */
   boolean isDue(long interval, long now) {
@@ -41,10 +44,11 @@
   }
 
   /** A request is sent now; it replaces one in flight. */
-  void sent(long number, String owner, Set<String> reportedTenants, long now) {
+  void sent(long number, String owner, List<TenantUse> reports, long now) {
     inFlight = number;
     recipient = owner;
-    tenants = reportedTenants;
+    reportedTenants.clear();
+    reports.forEach(report -> reportedTenants.add(report.getTenant()));
     sentAt = now;
     everSent = true;
   }
@@ -65,7 +69,7 @@
 
   /** Whether the last request reported on this tenant. */
   boolean reportedOn(String tenant) {
-    return tenants.contains(tenant);
+    return reportedTenants.contains(tenant);
   }
 
   /** Whether a newer owner than the sender of this reply has answered before. */
--- a/control/src/test/java/nettletrail/control/door/ConfigurationFollowerTest.java
+++ b/control/src/test/java/nettletrail/control/door/ConfigurationFollowerTest.java
@@ -14,7 +14,7 @@
 import org.apache.avro.specific.SpecificRecord;
 import org.junit.jupiter.api.Test;
 
-/** From which core process a door takes configurations, and whom it asks when one doesn't come. */
+/** Which core process pushes configurations to a door, and when the door fetches from another. */
 class ConfigurationFollowerTest {
   private static final long MILLIS = 1_000_000L;
   private static final long REVOKE_MS = 60_000;
@@ -27,9 +27,9 @@
 
   private final Map<String, Long> sequences = new TreeMap<>();
   private final Map<String, Boolean> sourceFlags = new TreeMap<>();
-  private final Map<String, Long> heartbeatsUnanswered = new TreeMap<>();
+  private final Map<String, Long> pendingHeartbeats = new TreeMap<>();
   private final List<String> fetches = new ArrayList<>();
-  private final List<Long> inForce = new ArrayList<>();
+  private final List<Long> activated = new ArrayList<>();
   private long now = 5_000 * MILLIS;
   private final DoorControl door =
       new DoorControl(
@@ -40,93 +40,93 @@
     CORES.forEach(core -> sequences.put(core, 1L));
     perform(door.tick(now));
     CORES.forEach(core -> perform(door.linkUp(core, now)));
-    pass(1_200);
+    advance(1_200);
     receive(source(), TestMessages.configuration(1));
-    pass(400);
-    assertEquals(List.of(1L), inForce);
+    advance(400);
+    assertEquals(List.of(1L), activated);
     fetches.clear();
   }
 
   @Test
-  void givenCoreProcessesInSeveralZonesWhenAllReplyThenExactlyOneOfTheOwnZoneIsTheSource() {
+  void exactlyOneCoreProcessOfTheOwnZoneIsTheSource() {
     assertEquals(1, sourceFlags.values().stream().filter(flag -> flag).count());
     assertTrue(List.of(NEAR_ONE, NEAR_TWO).contains(source()));
   }
 
   @Test
-  void givenALostLinkWhenItWasTheSourceThenTheOtherOneOfTheZoneIsToldAtOnce() {
+  void sourceFailsOverWithinTheZoneAtOnceWhenItsLinkIsLost() {
     String lost = source();
     lose(lost);
     assertEquals(otherNear(lost), source());
   }
 
   @Test
-  void givenAZoneWithoutCoreProcessesWhenItsLinksAreLostThenAnotherZoneIsTheSource() {
+  void sourceFailsOverToAnotherZoneWhenTheOwnOneIsUnreachable() {
     lose(NEAR_ONE);
     lose(NEAR_TWO);
     assertEquals(FAR, source());
   }
 
   @Test
-  void givenASilentSourceWhenHeartbeatsGoUnansweredThenAnotherOneIsTheSource() {
+  void sourceFailsOverWhenHeartbeatsGoUnanswered() {
     String silent = source();
     sequences.remove(silent);
-    pass(2_500);
+    advance(2_500);
     assertEquals(otherNear(silent), source());
   }
 
   @Test
-  void givenASourceThatIsCutOffWhenOthersNameANewerOneThenItIsAskedForThereAndComesIntoForce() {
-    String cut = source();
-    commitElsewhere(cut, 2);
-    pass(1_100);
-    assertEquals(List.of(0L), sequencesAskedFor());
-    assertFalse(fetches.get(0).startsWith(cut));
-    receive(askedLast(), TestMessages.configuration(2));
-    assertEquals(List.of(1L, 2L), inForce);
-    pass(1_000);
-    assertFalse(source().equals(cut));
+  void newerConfigurationIsFetchedElsewhereWhenTheSourceIsPartitioned() {
+    String partitioned = source();
+    commitElsewhere(partitioned, 2);
+    advance(1_100);
+    assertEquals(List.of(0L), fetchedSequences());
+    assertFalse(fetches.get(0).startsWith(partitioned));
+    receive(lastFetchAddress(), TestMessages.configuration(2));
+    assertEquals(List.of(1L, 2L), activated);
+    advance(1_000);
+    assertFalse(source().equals(partitioned));
     assertEquals(1, fetches.size());
   }
 
   @Test
-  void givenASourceThatStopsHalfWayWhenNoPieceComesThenAnotherOneGoesOnWhereItStopped() {
+  void anotherCoreProcessContinuesWhereTheSourceStopped() {
     String stopped = source();
     commit(2);
     receive(stopped, TestMessages.piece(2, 3, 0, new byte[] {1, 2}));
     assertEquals(List.of(stopped + " 2+2"), fetches);
-    pass(500);
+    advance(500);
     assertEquals(1, fetches.size());
-    pass(300);
+    advance(300);
     assertEquals(2, fetches.size());
     assertTrue(fetches.get(1).endsWith(" 2+2"));
-    assertFalse(askedLast().equals(stopped));
-    receive(askedLast(), TestMessages.piece(2, 3, 2, new byte[] {3}));
-    assertEquals(List.of(1L, 2L), inForce);
+    assertFalse(lastFetchAddress().equals(stopped));
+    receive(lastFetchAddress(), TestMessages.piece(2, 3, 2, new byte[] {3}));
+    assertEquals(List.of(1L, 2L), activated);
   }
 
   @Test
-  void givenPiecesThatStillArriveWhenTheyAreSlowThenNobodyElseIsAsked() {
+  void nothingIsFetchedElsewhereWhileChunksArriveSlowly() {
     String slow = source();
     commit(2);
     for (int offset = 0; offset < 20; offset++) {
       receive(slow, TestMessages.piece(2, 20, offset, new byte[] {1}));
-      pass(500);
+      advance(500);
     }
-    assertEquals(List.of(1L, 2L), inForce);
+    assertEquals(List.of(1L, 2L), activated);
     assertTrue(fetches.stream().allMatch(fetch -> fetch.startsWith(slow)));
   }
 
   @Test
-  void givenNobodyWhoSendsWhenADoorAsksThenItsAttemptsSpreadAndSlowDown() {
+  void unansweredFetchesSpreadOverCoreProcessesAndBackOff() {
     commit(2);
-    pass(10_000);
+    advance(10_000);
     assertTrue(fetches.size() <= 7, fetches + " in ten seconds");
     assertTrue(fetches.stream().map(fetch -> fetch.split(" ")[0]).distinct().count() == 3);
   }
 
   @Test
-  void givenPiecesInAnyOrderTwiceOrOfAnOlderOneWhenTheyComeThenOnlyWhatJoinsIsTaken() {
+  void chunksOutOfOrderRepeatedOrOfOlderSequencesAreDropped() {
     commit(3);
     String source = source();
     receive(source, TestMessages.piece(3, 4, 2, new byte[] {9, 9}));
@@ -134,38 +134,38 @@
     receive(source, TestMessages.piece(3, 4, 0, new byte[] {1, 2}));
     receive(source, TestMessages.piece(2, 1, 0, new byte[] {7}));
     receive(source, TestMessages.piece(3, 4, 2, new byte[] {3, 4, 5}));
-    assertEquals(List.of(1L), inForce);
+    assertEquals(List.of(1L), activated);
     receive(source, TestMessages.piece(3, 4, 2, new byte[] {3, 4}));
-    assertEquals(List.of(1L, 3L), inForce);
+    assertEquals(List.of(1L, 3L), activated);
   }
 
   @Test
-  void givenANewSequenceOfTheSameDocumentWhenItIsToldThenItCountsWithoutADocument() {
+  void newSequenceOfTheSameDocumentNeedsNoDocument() {
     commit(2);
     receive(source(), TestMessages.renumbered(2, 1));
     assertEquals(2, door.configurationSequence());
-    assertEquals(List.of(1L), inForce);
+    assertEquals(List.of(1L), activated);
     commit(3);
     receive(source(), TestMessages.renumbered(3, 2));
     assertEquals(2, door.configurationSequence());
   }
 
   @Test
-  void givenANewerOneThatNeverComesWhenItMayBeInForceElsewhereThenTheOldOneRoutesNothing() {
+  void routingStopsOnceANewerConfigurationMayBeActiveElsewhere() {
     commit(2);
     assertTrue(door.routingIsCurrent(now));
-    pass(400);
-    long named = now;
-    pass(IN_FORCE_MS - 1_200);
+    advance(400);
+    long announcedAt = now;
+    advance(IN_FORCE_MS - 1_200);
     assertTrue(door.routingIsCurrent(now));
-    now = named + IN_FORCE_MS * MILLIS;
+    now = announcedAt + IN_FORCE_MS * MILLIS;
     assertFalse(door.routingIsCurrent(now));
     receive(source(), TestMessages.configuration(2));
     assertTrue(door.routingIsCurrent(now));
   }
 
   @Test
-  void givenNothingNewerWhenTheDoorIsCutOffThenItGoesOnRouting() {
+  void routingContinuesWithoutLinksWhenNothingNewerIsKnown() {
     CORES.forEach(core -> perform(door.linkDown(core, now)));
     now += 30_000 * MILLIS;
     perform(door.tick(now));
@@ -190,11 +190,11 @@
     return near.equals(NEAR_ONE) ? NEAR_TWO : NEAR_ONE;
   }
 
-  private String askedLast() {
+  private String lastFetchAddress() {
     return fetches.get(fetches.size() - 1).split(" ")[0];
   }
 
-  private List<Long> sequencesAskedFor() {
+  private List<Long> fetchedSequences() {
     return fetches.stream().map(fetch -> Long.parseLong(fetch.split("[ +]")[1])).toList();
   }
 
@@ -202,13 +202,13 @@
     sequences.replaceAll((core, before) -> sequence);
   }
 
-  private void commitElsewhere(String cut, long sequence) {
-    sequences.replaceAll((core, before) -> core.equals(cut) ? before : sequence);
+  private void commitElsewhere(String partitioned, long sequence) {
+    sequences.replaceAll((core, before) -> core.equals(partitioned) ? before : sequence);
   }
 
-  /** Lets time pass in ticks; every core process that isn't silent answers heartbeats. */
-  private void pass(long millis) {
-    for (long passed = 0; passed < millis; passed += 50) {
+  /** Advances the clock in ticks; core processes with a sequence reply to heartbeats. */
+  private void advance(long millis) {
+    for (long elapsed = 0; elapsed < millis; elapsed += 50) {
       now += 50 * MILLIS;
       perform(door.tick(now));
       answerHeartbeats();
@@ -216,8 +216,8 @@
   }
 
   private void answerHeartbeats() {
-    Map<String, Long> due = new TreeMap<>(heartbeatsUnanswered);
-    heartbeatsUnanswered.clear();
+    Map<String, Long> due = new TreeMap<>(pendingHeartbeats);
+    pendingHeartbeats.clear();
     due.forEach(
         (core, sentAt) -> {
           String zone = core.equals(FAR) ? FAR_ZONE : TestMessages.ZONE;
@@ -232,7 +232,7 @@
   private void perform(List<DoorAction> actions) {
     for (DoorAction action : actions) {
       if (action instanceof DoorAction.ConfigurationChanged changed) {
-        inForce.add(changed.sequence());
+        activated.add(changed.sequence());
       } else if (action instanceof DoorAction.SendToCore send) {
         sent(send.address(), send.message());
       }
@@ -243,7 +243,7 @@
     if (message instanceof DoorHeartbeat heartbeat) {
       sourceFlags.put(core, heartbeat.getConfigurationSource());
       if (sequences.containsKey(core)) {
-        heartbeatsUnanswered.put(core, now);
+        pendingHeartbeats.put(core, now);
       }
     } else if (message instanceof ConfigurationFetch fetch) {
       fetches.add(core + " " + fetch.getSequence() + "+" + fetch.getOffset());
--- a/control/src/test/java/nettletrail/control/door/FirstConfigurationTest.java
+++ b/control/src/test/java/nettletrail/control/door/DoorControlFirstConfigurationTest.java
@@ -11,10 +11,10 @@
 import org.apache.avro.specific.SpecificRecord;
 import org.junit.jupiter.api.Test;
 
-/** What a door puts in force that has just started and reaches a core process that is cut off. */
-class FirstConfigurationTest {
+/** What a door activates that has just started and reaches a partitioned core process first. */
+class DoorControlFirstConfigurationTest {
   private static final long MILLIS = 1_000_000L;
-  private static final String CUT_CORE = "10.0.0.1:7680";
+  private static final String PARTITIONED_CORE = "10.0.0.1:7680";
   private static final String CORE = "10.0.0.2:7680";
   private static final long REVOKE_MS = 60_000;
   private static final long IN_FORCE_MS = 2_000;
@@ -23,92 +23,92 @@
   private static final long FRESH_MS = 200;
   private static final long STALE_MS = 15_000;
 
-  private final List<Long> inForce = new ArrayList<>();
+  private final List<Long> activated = new ArrayList<>();
   private long now = 5_000 * MILLIS;
   private final DoorControl door =
       new DoorControl(
           new DoorControlSettings(
-              "door", "zone", 1, REVOKE_MS, IN_FORCE_MS, List.of(CUT_CORE, CORE)),
+              "door", "zone", 1, REVOKE_MS, IN_FORCE_MS, List.of(PARTITIONED_CORE, CORE)),
           now);
 
-  FirstConfigurationTest() {
+  DoorControlFirstConfigurationTest() {
     perform(door.tick(now));
-    perform(door.linkUp(CUT_CORE, now));
+    perform(door.linkUp(PARTITIONED_CORE, now));
     perform(door.linkUp(CORE, now));
   }
 
   @Test
-  void givenACutCoreFirstWhenItPushesThenNothingIsInForce() {
-    receive(CUT_CORE, push(OLD));
-    receive(CUT_CORE, confirmation(OLD, STALE_MS));
-    assertEquals(List.of(), inForce);
+  void configurationOfAPartitionedCoreProcessIsNotActivated() {
+    receive(PARTITIONED_CORE, push(OLD));
+    receive(PARTITIONED_CORE, confirmation(OLD, STALE_MS));
+    assertEquals(List.of(), activated);
     assertEquals(0, door.configurationSequence());
   }
 
   @Test
-  void givenACutCoreFirstWhenAnotherPushesAndConfirmsThenOnlyThatIsInForce() {
-    receive(CUT_CORE, push(OLD));
-    receive(CUT_CORE, confirmation(OLD, STALE_MS));
+  void configurationThatAnotherCoreProcessConfirmsIsActivatedInstead() {
+    receive(PARTITIONED_CORE, push(OLD));
+    receive(PARTITIONED_CORE, confirmation(OLD, STALE_MS));
     receive(CORE, push(NEW));
     receive(CORE, confirmation(NEW, FRESH_MS));
-    receive(CUT_CORE, push(OLD));
-    assertEquals(List.of(NEW), inForce);
+    receive(PARTITIONED_CORE, push(OLD));
+    assertEquals(List.of(NEW), activated);
   }
 
   @Test
-  void givenACutCoreFirstWhenTheOthersHaveSomethingNewerThenTheirConfirmationIsNotForTheOld() {
-    receive(CUT_CORE, push(OLD));
+  void confirmationOfANewerSequenceDoesNotActivateTheOlderOne() {
+    receive(PARTITIONED_CORE, push(OLD));
     receive(CORE, confirmation(NEW, FRESH_MS));
-    assertEquals(List.of(), inForce);
+    assertEquals(List.of(), activated);
     receive(CORE, push(NEW));
-    assertEquals(List.of(NEW), inForce);
+    assertEquals(List.of(NEW), activated);
   }
 
   @Test
-  void givenNothingNewerWhenACoreConfirmsThenTheFirstIsInForceAtOnce() {
+  void firstConfigurationIsActivatedAtOnceWhenConfirmed() {
     receive(CORE, push(OLD));
     receive(CORE, confirmation(OLD, FRESH_MS));
-    assertEquals(List.of(OLD), inForce);
+    assertEquals(List.of(OLD), activated);
   }
 
   @Test
-  void givenAConfigurationInForceWhenItsConfirmationIsOldThenNewerOnesStillComeIntoForce() {
+  void laterConfigurationsNeedNoConfirmation() {
     receive(CORE, push(OLD));
     receive(CORE, confirmation(OLD, FRESH_MS));
     now += STALE_MS * MILLIS;
-    receive(CUT_CORE, push(NEW));
+    receive(PARTITIONED_CORE, push(NEW));
     receive(CORE, push(OLD));
-    assertEquals(List.of(OLD, NEW), inForce);
+    assertEquals(List.of(OLD, NEW), activated);
   }
 
   @Test
-  void givenANewerOneThatWaitsWhenNoCoreSpeaksAnyMoreThenItStillComesIntoForce() {
+  void pendingConfigurationIsActivatedThoughAllLinksAreDown() {
     receive(CORE, push(OLD));
     receive(CORE, confirmation(OLD, FRESH_MS));
     door.configurationInForce(MILLIS, now);
     receive(CORE, push(NEW));
-    assertEquals(List.of(OLD), inForce);
+    assertEquals(List.of(OLD), activated);
     perform(door.linkDown(CORE, now));
-    perform(door.linkDown(CUT_CORE, now));
+    perform(door.linkDown(PARTITIONED_CORE, now));
     now += STALE_MS * MILLIS;
     perform(door.tick(now));
-    assertEquals(List.of(OLD, NEW), inForce);
+    assertEquals(List.of(OLD, NEW), activated);
   }
 
   @Test
-  void givenAnUnconfirmedFirstWhenItWaitsThenTheSourceIsAskedMoreOftenAndTheOthersToo() {
-    receive(CUT_CORE, confirmation(OLD, STALE_MS));
+  void sourceGetsHeartbeatsMoreOftenWhileTheFirstConfigurationIsUnconfirmed() {
+    receive(PARTITIONED_CORE, confirmation(OLD, STALE_MS));
     perform(door.tick(now));
-    receive(CUT_CORE, push(OLD));
+    receive(PARTITIONED_CORE, push(OLD));
     now += 100 * MILLIS;
-    assertEquals(List.of(CUT_CORE), askedAt(now));
+    assertEquals(List.of(PARTITIONED_CORE), heartbeatRecipientsAt(now));
     now += 900 * MILLIS;
-    assertEquals(List.of(CUT_CORE, CORE), askedAt(now));
+    assertEquals(List.of(PARTITIONED_CORE, CORE), heartbeatRecipientsAt(now));
   }
 
-  private List<String> askedAt(long instant) {
+  private List<String> heartbeatRecipientsAt(long instant) {
     return door.poll(instant).stream()
-        .filter(FirstConfigurationTest::isHeartbeat)
+        .filter(DoorControlFirstConfigurationTest::isHeartbeat)
         .map(action -> ((DoorAction.SendToCore) action).address())
         .toList();
   }
@@ -124,7 +124,7 @@
   private void perform(List<DoorAction> actions) {
     for (DoorAction action : actions) {
       if (action instanceof DoorAction.ConfigurationChanged changed) {
-        inForce.add(changed.sequence());
+        activated.add(changed.sequence());
       }
     }
   }
--- a/control/src/test/java/nettletrail/control/door/DoorControlTest.java
+++ b/control/src/test/java/nettletrail/control/door/DoorControlTest.java
@@ -17,7 +17,7 @@
 import org.apache.avro.specific.SpecificRecord;
 import org.junit.jupiter.api.Test;
 
-/** What a door takes from one core process's feed and confirmations. */
+/** The feed and the confirmations of one core process. */
 class DoorControlTest {
   private static final long MILLIS = 1_000_000L;
   private static final String CORE = "core";
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void givenEventsThatDontJoinWhatWasReadWhenTheyComeThenTheyAreLeftAndTheDoorSaysWhereItStands() {
+  void eventsThatLeaveAGapAreDroppedAndTheOffsetIsReported() {
     receive(new FeedSnapshot(CORE, FEED, 5L, List.of(backend("a"))));
     List<SpecificRecord> sent = receive(events(6, 7, "c"));
     assertTrue(sent.stream().noneMatch(FeedAck.class::isInstance));
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void givenEventsOfAnotherFeedWhenTheyComeThenTheyAreLeft() {
+  void eventsOfAnotherFeedAreDropped() {
     receive(new FeedSnapshot(CORE, FEED, 5L, List.of(backend("a"))));
     receive(new FeedEvents(CORE, FEED + 1, 5L, 6L, List.of(backend("b")), List.of("a")));
     assertEquals(List.of("a"), ids());
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void givenAConfirmationOfANewerConfigurationThanHeldWhenItComesThenKeysWaitForThatOne() {
+  void confirmationOfANewerSequenceCountsOnceThatIsReached() {
     receive(TestMessages.configuration(3L));
     receive(confirmation(5, 0, now));
     assertFalse(control.keysValid(now));
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void givenAConfirmationOfANewerConfigurationWhenKeysAreHeldThenItDoesNotExtendThem() {
+  void confirmationOfANewerSequenceDoesNotExtendTheLease() {
     receive(TestMessages.configuration(3L));
     receive(confirmation(3, 0, now));
     now += 4_000 * MILLIS;
@@ -77,19 +77,19 @@
   }
 
   @Test
-  void givenAConfirmationWhenItIsOldThenKeysHoldFromItsInstantOn() {
+  void oldConfirmationCountsFromItsInstant() {
     receive(TestMessages.configuration(3L));
-    long askedAt = now;
+    long sentAt = now;
     now += 300 * MILLIS;
-    receive(confirmation(3, 2_000, askedAt));
-    now = askedAt + (REVOKE_MS - 2_000 - 200) * MILLIS;
+    receive(confirmation(3, 2_000, sentAt));
+    now = sentAt + (REVOKE_MS - 2_000 - 200) * MILLIS;
     assertTrue(control.keysValid(now));
     now += 200 * MILLIS;
     assertFalse(control.keysValid(now));
   }
 
-  private DoorHeartbeatReply confirmation(long sequence, long ageMs, long askedAt) {
-    return TestMessages.reply(CORE, askedAt, ageMs, sequence);
+  private DoorHeartbeatReply confirmation(long sequence, long ageMs, long sentAt) {
+    return TestMessages.reply(CORE, sentAt, ageMs, sequence);
   }
 
   private static FeedEvents events(long from, long upTo, String... ids) {
--- a/control/src/test/java/nettletrail/control/door/DoorCountTest.java
+++ b/control/src/test/java/nettletrail/control/door/DoorCountTest.java
@@ -6,10 +6,10 @@
 import nettletrail.protocol.DoorHeartbeatReply;
 import org.junit.jupiter.api.Test;
 
-/** When the count of doors, by which budgets are shared, rises and falls. */
+/** When the number of doors, by which budgets are divided, increases and decreases. */
 class DoorCountTest {
   private static final long SECOND = 1_000_000_000L;
-  private static final long LONG_ENOUGH = 11;
+  private static final long DELAY_SECONDS = 11;
 
   private final DoorCount count = new DoorCount();
   private final CoreLink one = new CoreLink("one", 0);
@@ -18,41 +18,41 @@
   private long now;
 
   @Test
-  void givenARestartedCoreProcessThatKnowsFewDoorsWhenOthersKnowMoreThenTheMostCounts() {
-    told(one, 1);
-    told(two, 9);
-    tick();
+  void highestReportedCountWins() {
+    report(one, 1);
+    report(two, 9);
+    update();
     assertEquals(9, count.count());
-    told(two, 0);
-    tick();
+    report(two, 0);
+    update();
     assertEquals(9, count.count(), "it falls only after a while");
   }
 
   @Test
-  void givenFewerDoorsAtMostCoreProcessesWhenThatLastsThenItFalls() {
-    told(one, 9);
-    told(two, 9);
-    tick();
-    told(one, 4);
-    told(two, 5);
-    passWithTicks();
+  void countDecreasesWhenFewerAreReportedForLong() {
+    report(one, 9);
+    report(two, 9);
+    update();
+    report(one, 4);
+    report(two, 5);
+    advancePastDelay();
     assertEquals(5, count.count());
   }
 
   @Test
-  void givenOneLinkedCoreProcessOfThreeWhenItSeesFewDoorsForLongThenTheCountStays() {
-    told(one, 9);
-    told(two, 9);
-    told(three, 9);
-    tick();
+  void countStaysWhenOnlyAMinorityIsLinked() {
+    report(one, 9);
+    report(two, 9);
+    report(three, 9);
+    update();
     two.linkDown(now);
     three.linkDown(now);
-    told(one, 3);
-    passWithTicks();
+    report(one, 3);
+    advancePastDelay();
     assertEquals(9, count.count());
   }
 
-  private void told(CoreLink link, int doors) {
+  private void report(CoreLink link, int doors) {
     if (!link.isUp()) {
       link.linkUp(now);
     }
@@ -60,14 +60,14 @@
         new DoorHeartbeatReply("core", now, true, 0L, 1L, 1L, 0L, doors, "zone", null), now);
   }
 
-  private void passWithTicks() {
-    for (int second = 0; second <= LONG_ENOUGH; second++) {
+  private void advancePastDelay() {
+    for (int second = 0; second <= DELAY_SECONDS; second++) {
       now += SECOND;
-      tick();
+      update();
     }
   }
 
-  private void tick() {
+  private void update() {
     count.update(List.of(one, two, three), now);
   }
 }
--- a/control/src/test/java/nettletrail/control/door/GrantClientTest.java
+++ b/control/src/test/java/nettletrail/control/door/GrantClientTest.java
@@ -15,7 +15,7 @@
 import nettletrail.protocol.TenantGrant;
 import org.junit.jupiter.api.Test;
 
-/** How a door asks for tokens and when it may use them. */
+/** When a door requests tokens, and which ones it may use. */
 class GrantClientTest {
   private static final long MILLIS = 1_000_000L;
   private static final String TENANT = "acme";
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void givenNoTokensWhenARequestComesThenTheOwnerIsAskedAtOnceForItsWholeSize() {
+  void ownerIsAskedAtOnceForAWholeRequestWhenTokensAreMissing() {
     assertFalse(client.take(TENANT, 90_000, now));
     GrantRequest request = poll();
     assertEquals(90_000, request.getTenants().get(0).getWantedTokens());
@@ -54,20 +54,20 @@
   }
 
   @Test
-  void givenAGrantWhenItsTimeFromBeforeTheRequestIsOverThenItIsWorthNothing() {
-    GrantRequest request = askFor(100);
-    after(290);
+  void grantExpiresCountedFromBeforeItsRequest() {
+    GrantRequest request = requestFor(100);
+    advance(290);
     reply(request, 1, 100);
-    after(700);
+    advance(700);
     assertEquals(100, client.usable(TENANT, now));
-    after(10);
+    advance(10);
     assertEquals(0, client.usable(TENANT, now));
   }
 
   @Test
-  void givenARequestThatWasGivenUpWhenItsReplyComesThenItIsDropped() {
-    GrantRequest request = askFor(100);
-    after(350);
+  void replyToATimedOutRequestIsDropped() {
+    GrantRequest request = requestFor(100);
+    advance(350);
     GrantRequest second = poll();
     reply(request, 1, 100);
     assertEquals(0, client.usable(TENANT, now));
@@ -76,68 +76,68 @@
   }
 
   @Test
-  void givenUseWhileARequestIsUnderWayWhenTheReplyComesThenItIsTakenOff() {
-    reply(askFor(100), 1, 100);
-    GrantRequest renewal = askFor(1_000);
+  void useDuringARequestIsDeductedFromItsGrant() {
+    reply(requestFor(100), 1, 100);
+    GrantRequest renewal = requestFor(1_000);
     assertTrue(client.take(TENANT, 40, now));
     reply(renewal, 1, 100);
     assertEquals(60, client.usable(TENANT, now));
   }
 
   @Test
-  void givenAnOlderTokenThanOneSeenWhenAReplyCarriesItThenItIsDropped() {
-    reply(askFor(100), 7, 50);
-    reply(askFor(1_000), 6, 1_000);
+  void replyWithAnOlderFencingTokenIsDropped() {
+    reply(requestFor(100), 7, 50);
+    reply(requestFor(1_000), 6, 1_000);
     assertEquals(50, client.usable(TENANT, now));
     assertEquals(1, denials);
   }
 
   @Test
-  void givenANewOwnerWhenItGrantsNothingYetThenTheFormerOwnersTokensLastUntilTheyExpire() {
-    reply(askFor(100), 1, 80);
-    after(500);
-    reply(askFor(1_000), 2, 10);
+  void formerOwnersTokensLastUntilTheyExpire() {
+    reply(requestFor(100), 1, 80);
+    advance(500);
+    reply(requestFor(1_000), 2, 10);
     assertEquals(80, client.usable(TENANT, now));
     assertTrue(client.take(TENANT, 75, now));
     assertEquals(5, client.usable(TENANT, now));
-    after(501);
+    advance(501);
     assertEquals(0, client.usable(TENANT, now));
   }
 
   @Test
-  void givenTokensGivenBackWhenTheUseWasntReportedThenTheyCanBeTakenAgain() {
-    reply(askFor(100), 1, 100);
+  void refundedTokensAreUsableUnlessReportedAsUsed() {
+    reply(requestFor(100), 1, 100);
     assertTrue(client.take(TENANT, 100, now));
     client.refund(TENANT, 100);
     assertTrue(client.take(TENANT, 100, now));
-    GrantRequest renewal = askFor(50);
+    GrantRequest renewal = requestFor(50);
     client.refund(TENANT, 100);
-    assertEquals(0, client.usable(TENANT, now), "the owner has been told that they are used");
+    assertEquals(0, client.usable(TENANT, now), "they were reported to the owner as used");
     reply(renewal, 1, 0);
     assertEquals(0, client.usable(TENANT, now));
   }
 
   @Test
-  void givenAFormerOwnersTokensGivenBackWhenTheNewOwnerGrantsLessThenTheyDontLastLonger() {
-    reply(askFor(100), 1, 100);
-    after(350);
-    GrantRequest request = askFor(100);
+  void refundedTokensOfAFormerOwnerDoNotOutlastTheirGrant() {
+    reply(requestFor(100), 1, 100);
+    advance(350);
+    GrantRequest request = requestFor(100);
     assertTrue(client.take(TENANT, 40, now));
     reply(request, 2, 10);
     client.refund(TENANT, 40);
     assertEquals(60, client.usable(TENANT, now));
-    after(401);
+    advance(401);
     assertEquals(10, client.usable(TENANT, now));
   }
 
   @Test
-  void givenARestartedDoorWhenAReplyToItsFormerLifeComesThenItIsDropped() {
+  void replyToAFormerIncarnationIsDropped() {
     client = new GrantClient("door", 1_000_000, owners);
     client.limits(Map.of(TENANT, new QuotaLimit(100, 100)));
-    GrantRequest formerRequest = askFor(100);
+    GrantRequest formerRequest = requestFor(100);
     client = new GrantClient("door", 2_000_000, owners);
     client.limits(Map.of(TENANT, new QuotaLimit(100, 100)));
-    GrantRequest request = askFor(50);
+    GrantRequest request = requestFor(50);
     reply(formerRequest, 1, 100);
     assertEquals(0, client.usable(TENANT, now));
     reply(request, 1, 50);
@@ -145,33 +145,33 @@
   }
 
   @Test
-  void givenASecondOfUseWhenTheOwnerIsAskedThenTokensAreWantedAhead() {
-    reply(askFor(10_000), 1, 10_000);
+  void tokensAreRequestedAheadOfSteadyDemand() {
+    reply(requestFor(10_000), 1, 10_000);
     client.queued(TENANT, 0, now);
     for (int step = 0; step < 20; step++) {
       assertTrue(client.take(TENANT, 100, now));
-      after(50);
+      advance(50);
     }
-    GrantRequest request = askAgain();
+    GrantRequest request = nextRequest();
     long wanted = request.getTenants().get(0).getWantedTokens();
     assertTrue(wanted > 480 && wanted < 560, "wanted " + wanted);
   }
 
   @Test
-  void givenAnUnknownOrUnlimitedTenantWhenItTakesThenItAlwaysGets() {
+  void unknownAndUnlimitedTenantsAlwaysGetTokens() {
     client.limits(Map.of(TENANT, QuotaLimit.NONE));
     assertTrue(client.take(TENANT, Long.MAX_VALUE / 8, now));
     assertTrue(client.take("other", 5, now));
     assertTrue(client.poll(now).isEmpty());
   }
 
-  private GrantRequest askFor(long tokens) {
+  private GrantRequest requestFor(long tokens) {
     client.queued(TENANT, tokens, now);
-    return askAgain();
+    return nextRequest();
   }
 
-  private GrantRequest askAgain() {
-    after(250);
+  private GrantRequest nextRequest() {
+    advance(250);
     return poll();
   }
 
@@ -184,15 +184,15 @@
     return request;
   }
 
-  private void reply(GrantRequest request, long round, long tokens) {
+  private void reply(GrantRequest request, long term, long tokens) {
     TenantGrant grant = new TenantGrant(TENANT, tokens, 10.0, 2, true);
-    ProposalNumber token = new ProposalNumber(round, "core");
+    ProposalNumber token = new ProposalNumber(term, "core");
     long number = request.getRequest();
     client.received(
         new GrantReply("core", number, SHARD, true, token, 1_000L, List.of(grant)), now);
   }
 
-  private void after(long millis) {
+  private void advance(long millis) {
     now += millis * MILLIS;
   }
 }
