--- a/configuration/src/main/java/nettletrail/configuration/CompressedDocument.java
+++ b/configuration/src/main/java/nettletrail/configuration/CompressedDocument.java
@@ -8,20 +8,22 @@
 import nettletrail.configuration.ConfigurationException.Step;
 
 /**
- * The form in which a document is kept on disk and sent between processes: a zlib stream (RFC
- * 1950).
+ * The form of a document on disk and between processes: a zlib stream (RFC 1950).
  *
- * <p>A document is compressed once, by the owner that takes it. Routes and tenants repeat the names
- * of their fields, so the stream has about an eighth of the text's size. A zlib stream begins with
- * a byte that no JSON text begins with, so documents that an earlier release wrote as plain text
- * are still read.
+ * <p>A document is compressed once, by the owner that accepts it. Routes and tenants repeat the
+ * names of their fields, so the stream has about an eighth of the text's size. A zlib stream begins
+ * with a byte that no JSON text begins with, so documents that an earlier release wrote as plain
+ * text are still read.
  */
 public final class CompressedDocument {
-  /** The first byte of a zlib stream with a window of 32 KiB; JSON can't begin with it. */
+  /**
+   * The first byte of a zlib stream with deflate and a window of 32 KiB (RFC 1950, 2.2: CMF); JSON
+   * can't begin with it.
+   */
   private static final byte ZLIB_HEADER = 0x78;
 
-  /** The longest text that is restored, in bytes; bounds the memory that a stream may take. */
-  static final int LONGEST_TEXT = 64 << 20;
+  /** The longest text that is decompressed; bounds the memory that a malicious stream can take. */
+  static final int MAX_TEXT_BYTES = 64 << 20;
 
   private static final int BUFFER_BYTES = 16 << 10;
 
@@ -48,10 +50,12 @@
   }
 
   /**
-   * Restores the text. What is no zlib stream is taken for plain text and returned as it is.
+   * Decompresses a stored text. Bytes that are no zlib stream are plain text, and are returned as
+   * they are.
    *
-   * @param stored its position isn't moved
-   * @throws ConfigurationException if the stream is damaged, or its text longer than 64 MiB
+   * @param stored read from its position to its limit; neither is moved
+   * @throws ConfigurationException with step PARSE if the stream is damaged, or its text is longer
+   *     than 64 MiB
    */
   public static byte[] decompress(ByteBuffer stored) throws ConfigurationException {
     byte[] bytes = new byte[stored.remaining()];
@@ -68,22 +72,22 @@
       while (!inflater.finished()) {
         int length = inflater.inflate(buffer);
         if (length == 0 && !inflater.finished()) {
-          throw damaged("it ends early");
+          throw damaged("it ends early", null);
         }
         text.write(buffer, 0, length);
-        if (text.size() > LONGEST_TEXT) {
-          throw damaged("its text is longer than " + LONGEST_TEXT + " bytes");
+        if (text.size() > MAX_TEXT_BYTES) {
+          throw damaged("its text is longer than " + MAX_TEXT_BYTES + " bytes", null);
         }
       }
       return text.toByteArray();
     } catch (DataFormatException malformed) {
-      throw damaged(malformed.getMessage());
+      throw damaged(malformed.getMessage(), malformed);
     } finally {
       inflater.end();
     }
   }
 
-  private static ConfigurationException damaged(String reason) {
-    return new ConfigurationException(Step.PARSE, "compressed document", reason);
+  private static ConfigurationException damaged(String reason, Throwable cause) {
+    return new ConfigurationException(Step.PARSE, "compressed document", reason, cause);
   }
 }
--- a/configuration/src/main/java/nettletrail/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/nettletrail/configuration/ConfigurationDocument.java
@@ -8,8 +8,8 @@
 /**
  * One edition of the operator's configuration: its JSON text and what was read from it.
  *
- * <p>Immutable and safe for use by several threads. The byte arrays passed in and handed out are
- * not copied; nobody may change them.
+ * <p>Immutable and safe for use by several threads. Byte arrays are not copied, whether passed in
+ * or returned; they must not be changed.
  */
 public final class ConfigurationDocument {
   private static final String SOURCE_NAME = "document";
@@ -26,9 +26,10 @@
   }
 
   /**
-   * Reads a document. The rules between items are not checked here, see {@link #requireValidAfter}.
+   * Parses a document. The rules between items are not checked here, see {@link
+   * #requireValidAfter}.
    *
-   * @throws ConfigurationException if the text is not one whole JSON object, a required field is
+   * @throws ConfigurationException if the text is not one complete JSON object, a required field is
    *     missing, a field has the wrong type, or a tenant lists a key twice
    */
   public static ConfigurationDocument parse(byte[] json) throws ConfigurationException {
@@ -36,8 +37,8 @@
   }
 
   /**
-   * Reads a document that has most of its routes and tenants in common with an earlier one, at the
-   * cost of what differs. The outcome is the same as that of {@link #parse(byte[])}.
+   * Parses a document that has most of its routes and tenants in common with an earlier one, at the
+   * cost of the difference. The outcome is the same as that of {@link #parse(byte[])}.
    *
    * @param earlier null if there is none
    * @throws ConfigurationException as the other method
@@ -47,8 +48,8 @@
     if (earlier == null) {
       return parse(json);
     }
-    ParsedItemCache known = new ParsedItemCache(earlier.json, earlier.itemsByList);
-    return read(json, JsonParser.parse(json, SOURCE_NAME, known));
+    ParsedItemCache cache = new ParsedItemCache(earlier.json, earlier.itemsByList);
+    return read(json, JsonParser.parse(json, SOURCE_NAME, cache));
   }
 
   private static ConfigurationDocument read(byte[] json, JsonValue value)
@@ -61,7 +62,7 @@
     return new ConfigurationDocument(json, model, items);
   }
 
-  /** The places of a list's objects with what was read from each; both are in the same order. */
+  /** The byte ranges of a list's objects with what was read from each; both in the same order. */
   private static List<ParsedItemCache.Item> items(JsonValue document, String list, List<?> models) {
     List<ParsedItemCache.Item> items = new ArrayList<>(models.size());
     for (Object model : models) {
@@ -82,11 +83,10 @@
   }
 
   /**
-   * The document that a patch makes of this one. Items that the patch does not name keep their
-   * bytes.
+   * The document after a patch of this one. Items that the patch does not name keep their bytes.
    *
    * @param patch an object with {@code edition}, {@code deliver} and {@code withdraw}
-   * @throws ConfigurationException if the patch or its outcome is not readable; the outcome still
+   * @throws ConfigurationException if the patch or its outcome can't be parsed; the outcome still
    *     has to be checked with {@link #requireValidAfter}
    */
   public ConfigurationDocument patched(byte[] patch) throws ConfigurationException {
@@ -96,8 +96,8 @@
   /**
    * Checks that this document may follow an edition.
    *
-   * @param currentEdition the edition in force; 0 if there is none
-   * @throws ConfigurationException naming the first rule that is broken
+   * @param currentEdition the active edition; 0 if there is none
+   * @throws ConfigurationException with step VALIDATE, naming the first rule that is broken
    */
   public void requireValidAfter(long currentEdition) throws ConfigurationException {
     if (edition() <= currentEdition) {
--- a/configuration/src/main/java/nettletrail/configuration/ConfigurationException.java
+++ b/configuration/src/main/java/nettletrail/configuration/ConfigurationException.java
@@ -1,13 +1,13 @@
 package nettletrail.configuration;
 
-/** Says why a configuration or a patch was not accepted: the step that failed and the place. */
+/** Why a configuration or a patch was rejected: the step that failed, the place and the reason. */
 public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final Step step;
-  private final String place;
+  private final String location;
 
-  /** The steps a configuration goes through, in their order. */
+  /** The steps of accepting a configuration, in their order. */
   public enum Step {
     /** Reading the JSON text: malformed, truncated, or followed by more bytes. */
     PARSE,
@@ -20,16 +20,22 @@
   }
 
   /**
-   * Makes an exception.
+   * A failure without an underlying exception.
    *
    * @param step the step that failed
-   * @param place where in the document, for example {@code routes[3].timeout_ms} or {@code byte 17}
+   * @param location where in the document, for example {@code routes[3].timeout_ms} or {@code byte
+   *     17}
    * @param reason what is wrong there
    */
-  public ConfigurationException(Step step, String place, String reason) {
-    super(step + " at " + place + ": " + reason);
+  public ConfigurationException(Step step, String location, String reason) {
+    this(step, location, reason, null);
+  }
+
+  /** A failure with the exception that caused it; {@code cause} may be null. */
+  public ConfigurationException(Step step, String location, String reason, Throwable cause) {
+    super(step + " at " + location + ": " + reason, cause);
     this.step = step;
-    this.place = place;
+    this.location = location;
   }
 
   /** The step that failed. */
@@ -38,7 +44,7 @@
   }
 
   /** The place in the document at which it failed. */
-  public String place() {
-    return place;
+  public String location() {
+    return location;
   }
 }
--- a/configuration/src/main/java/nettletrail/configuration/DocumentPatch.java
+++ b/configuration/src/main/java/nettletrail/configuration/DocumentPatch.java
@@ -1,48 +1,49 @@
 package nettletrail.configuration;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import nettletrail.configuration.ConfigurationException.Step;
 
 /**
- * A change of named items.
+ * An operator's patch of a document: a new edition, items to remove and items to upsert.
  *
- * <p>Items that stay are copied byte by byte. Removals come first; an added item takes the place of
- * the one with its name, or goes to the end of its list.
+ * <p>Unlike JSON merge patch (RFC 7396), which replaces arrays as a unit, it addresses the items of
+ * lists by name. Removals are applied first; an upserted item takes the position of the one with
+ * its name, or goes to the end of its list. Items that stay are copied byte by byte, so that
+ * numbers and fields that this program doesn't know come back unchanged.
  */
 final class DocumentPatch {
   private static final String SOURCE_NAME = "patch";
   private static final String EDITION = "edition";
-  private static final String ADDITIONS = "deliver";
+  private static final String UPSERTS = "deliver";
   private static final String REMOVALS = "withdraw";
-  private static final String NAME = "name";
 
   private final JsonValue edition;
-  private final Map<String, JsonValue.Member> additions;
+
+  /** For each member of the document, the items to upsert, or its new value if it is no list. */
+  private final Map<String, JsonValue.Member> upserts;
+
+  /** For each list of the document, the names of the items to remove. */
   private final Map<String, JsonValue.Member> removals;
 
   private DocumentPatch(JsonValue body) throws ConfigurationException {
     this.edition = body.member(EDITION);
-    this.additions = membersOf(body, ADDITIONS);
+    this.upserts = membersOf(body, UPSERTS);
     this.removals = membersOf(body, REMOVALS);
   }
 
   /**
-   * Reads a patch.
+   * Parses a patch.
    *
-   * @throws ConfigurationException if it cannot be read as a whole
+   * @throws ConfigurationException with step PARSE, READ_FIELDS or PATCH if it isn't complete and
+   *     well-formed
    */
   static DocumentPatch parse(byte[] json) throws ConfigurationException {
     JsonValue body = JsonParser.parse(json, SOURCE_NAME);
     new FieldReader(body, SOURCE_NAME).requiredExactLong(EDITION);
     DocumentPatch patch = new DocumentPatch(body);
     for (JsonValue.Member removal : patch.removals.values()) {
-      requireNames(removal);
+      requireListOfNames(removal);
     }
     return patch;
   }
@@ -68,101 +69,70 @@
     return byName;
   }
 
-  private static void requireNames(JsonValue.Member removal) throws ConfigurationException {
-    boolean names = removal.value().kind() == JsonValue.Kind.ARRAY;
+  private static void requireListOfNames(JsonValue.Member removal) throws ConfigurationException {
+    boolean isListOfNames = removal.value().kind() == JsonValue.Kind.ARRAY;
     for (JsonValue name : removal.value().items()) {
-      names &= name.kind() == JsonValue.Kind.STRING;
+      isListOfNames &= name.kind() == JsonValue.Kind.STRING;
     }
-    if (!names) {
+    if (!isListOfNames) {
       throw failure(REMOVALS + "." + removal.name(), "expected a list of names");
     }
   }
 
-  /** The text of the document after this change. */
+  /**
+   * The text of the document after this patch; not validated.
+   *
+   * @throws ConfigurationException with step PATCH if items to upsert in a list are no list
+   */
   byte[] applyTo(JsonValue document) throws ConfigurationException {
     Map<String, JsonValue.Member> current = membersByName(document);
-    JsonOutput output = JsonOutput.object();
+    JsonWriter output = JsonWriter.object();
     for (JsonValue.Member member : current.values()) {
-      output.member(member.key().bytes(), changed(member));
+      output.member(member.key().bytes(), patchedValue(member));
     }
-    for (JsonValue.Member addition : additions.values()) {
-      if (!current.containsKey(addition.name())) {
-        output.member(addition.key().bytes(), addition.value().bytes());
+    for (JsonValue.Member upsert : upserts.values()) {
+      if (!current.containsKey(upsert.name())) {
+        output.member(upsert.key().bytes(), upsert.value().bytes());
       }
     }
     return output.toBytes();
   }
 
-  private byte[] changed(JsonValue.Member member) throws ConfigurationException {
+  private byte[] patchedValue(JsonValue.Member member) throws ConfigurationException {
     if (member.name().equals(EDITION)) {
       return edition.bytes();
     }
-    JsonValue.Member added = additions.get(member.name());
-    JsonValue.Member removed = removals.get(member.name());
-    boolean named = added != null || removed != null;
-    if (named && member.value().kind() == JsonValue.Kind.ARRAY) {
-      return changedList(member.value(), added, removed);
-    }
-    return added == null ? member.value().bytes() : added.value().bytes();
-  }
-
-  private static byte[] changedList(
-      JsonValue list, JsonValue.Member added, JsonValue.Member removed)
-      throws ConfigurationException {
-    List<JsonValue> items = new ArrayList<>(list.items());
-    if (removed != null) {
-      removeNamed(items, removed.value());
-    }
-    if (added != null) {
-      addOrReplace(items, added);
-    }
-    JsonOutput output = JsonOutput.array();
-    for (JsonValue item : items) {
-      output.item(item.bytes());
+    JsonValue.Member upsert = upserts.get(member.name());
+    JsonValue.Member removal = removals.get(member.name());
+    boolean isNamed = upsert != null || removal != null;
+    if (isNamed && member.value().kind() == JsonValue.Kind.ARRAY) {
+      return patchedList(member.value(), upsert, removal);
     }
-    return output.toBytes();
+    return upsert == null ? member.value().bytes() : upsert.value().bytes();
   }
 
-  private static void removeNamed(List<JsonValue> items, JsonValue names) {
-    Set<String> removed = new HashSet<>();
-    for (JsonValue name : names.items()) {
-      removed.add(name.text());
-    }
-    items.removeIf(item -> removed.contains(nameOf(item)));
-  }
-
-  private static void addOrReplace(List<JsonValue> items, JsonValue.Member added)
+  /** The list after a removal and an upsert; either may be null. */
+  private static byte[] patchedList(
+      JsonValue list, JsonValue.Member upsert, JsonValue.Member removal)
       throws ConfigurationException {
-    if (added.value().kind() != JsonValue.Kind.ARRAY) {
-      throw failure(ADDITIONS + "." + added.name(), "expected a list");
+    NamedItems items = new NamedItems(list);
+    if (removal != null) {
+      items.remove(removal.value());
     }
-    Map<String, Integer> positions = positionsByName(items);
-    for (JsonValue item : added.value().items()) {
-      Integer position = positions.get(nameOf(item));
-      if (position == null) {
-        items.add(item);
-      } else {
-        items.set(position, item);
-      }
+    if (upsert != null) {
+      requireList(upsert);
+      items.upsert(upsert.value().items());
     }
+    return items.toBytes();
   }
 
-  private static Map<String, Integer> positionsByName(List<JsonValue> items) {
-    Map<String, Integer> positions = new HashMap<>();
-    for (int index = 0; index < items.size(); index++) {
-      positions.put(nameOf(items.get(index)), index);
+  private static void requireList(JsonValue.Member upsert) throws ConfigurationException {
+    if (upsert.value().kind() != JsonValue.Kind.ARRAY) {
+      throw failure(UPSERTS + "." + upsert.name(), "expected a list");
     }
-    positions.remove(null);
-    return positions;
-  }
-
-  /** The name of an item, or null if it has none. */
-  private static String nameOf(JsonValue item) {
-    JsonValue name = item.member(NAME);
-    return name != null && name.kind() == JsonValue.Kind.STRING ? name.text() : null;
   }
 
-  private static ConfigurationException failure(String place, String reason) {
-    return new ConfigurationException(Step.PATCH, SOURCE_NAME + "." + place, reason);
+  private static ConfigurationException failure(String path, String reason) {
+    return new ConfigurationException(Step.PATCH, SOURCE_NAME + "." + path, reason);
   }
 }
--- a/configuration/src/main/java/nettletrail/configuration/Engine.java
+++ b/configuration/src/main/java/nettletrail/configuration/Engine.java
@@ -5,8 +5,8 @@
 /**
  * The inference engine that each backend of a service runs.
  *
- * @param slots the requests one backend runs at once
- * @param kvTokens the tokens its key-value memory holds; 0 if not stated
+ * @param slots how many requests one backend runs at once
+ * @param kvTokens the capacity of its KV cache, in tokens; 0 if not stated
  * @param tokensPerEvent the tokens in one event of a stream
  * @param models the names of the models served
  */
--- a/configuration/src/main/java/nettletrail/configuration/FieldReader.java
+++ b/configuration/src/main/java/nettletrail/configuration/FieldReader.java
@@ -5,30 +5,29 @@
 import java.util.List;
 import nettletrail.configuration.ConfigurationException.Step;
 
-/** Reads typed fields of one JSON object; a field that is null counts as absent. */
+/**
+ * Reads typed fields of one JSON object; a field that is null counts as absent. A field that is
+ * missing or has the wrong type throws with step READ_FIELDS and its path.
+ */
 final class FieldReader {
-  /** In characters; bounds the work of reading one number. */
-  private static final int LONGEST_EXACT_NUMBER = 40;
+  /** Bounds the work of reading one number. */
+  private static final int MAX_EXACT_NUMBER_CHARACTERS = 40;
 
   private final JsonValue object;
-  private final String place;
+  private final String path;
 
   /**
-   * Makes a reader.
+   * A reader of an object.
    *
    * @param value must be an object
-   * @param place where it stands, for messages
+   * @param path where it is in the document, for messages; empty for the document itself
    */
-  FieldReader(JsonValue value, String place) throws ConfigurationException {
+  FieldReader(JsonValue value, String path) throws ConfigurationException {
     if (value.kind() != JsonValue.Kind.OBJECT) {
-      throw wrongType(place, "an object");
+      throw wrongType(path, "an object");
     }
     this.object = value;
-    this.place = place;
-  }
-
-  String place() {
-    return place;
+    this.path = path;
   }
 
   /** The object that is read. */
@@ -36,16 +35,18 @@
     return object;
   }
 
+  /** Whether a field is present and not null. */
   boolean has(String field) {
     JsonValue value = object.member(field);
     return value != null && value.kind() != JsonValue.Kind.NULL;
   }
 
+  /** A string that is present and not empty. */
   String requiredText(String field) throws ConfigurationException {
     requirePresent(field);
     String text = optionalText(field, "");
     if (text.isEmpty()) {
-      throw new ConfigurationException(Step.READ_FIELDS, placeOf(field), "empty");
+      throw new ConfigurationException(Step.READ_FIELDS, pathOf(field), "empty");
     }
     return text;
   }
@@ -64,21 +65,21 @@
     return typed(field, JsonValue.Kind.BOOLEAN, "a boolean").text().equals("true");
   }
 
-  /** A whole number that is neither rounded nor bounded; 7.0 and 7e0 are 7. */
+  /** An integer that is neither rounded nor clamped; 7.0 and 7e0 are 7. */
   long requiredExactLong(String field) throws ConfigurationException {
     requirePresent(field);
     String text = typed(field, JsonValue.Kind.NUMBER, "a number").text();
     try {
-      if (text.length() <= LONGEST_EXACT_NUMBER) {
+      if (text.length() <= MAX_EXACT_NUMBER_CHARACTERS) {
         return new BigDecimal(text).longValueExact();
       }
     } catch (ArithmeticException | NumberFormatException inexact) {
-      // Reported below, as a number that is too long is.
+      // Reported below, as for a number with too many characters.
     }
-    throw wrongType(placeOf(field), "a whole number of 64 bits");
+    throw wrongType(pathOf(field), "a whole number of 64 bits");
   }
 
-  /** A whole number; a fraction is rounded up, a number out of range becomes the nearest long. */
+  /** An integer; a fraction is rounded up, a number out of range is clamped to the nearest long. */
   long optionalLong(String field, long fallback) throws ConfigurationException {
     if (!has(field)) {
       return fallback;
@@ -91,6 +92,7 @@
     }
   }
 
+  /** As {@link #optionalInt}, but present. */
   int requiredInt(String field) throws ConfigurationException {
     requirePresent(field);
     return optionalInt(field, 0);
@@ -120,7 +122,7 @@
     List<String> texts = new ArrayList<>();
     for (JsonValue item : items(field)) {
       if (item.kind() != JsonValue.Kind.STRING) {
-        throw wrongType(placeOf(field), "a list of strings");
+        throw wrongType(pathOf(field), "a list of strings");
       }
       texts.add(item.text());
     }
@@ -131,19 +133,20 @@
   List<FieldReader> objects(String field) throws ConfigurationException {
     List<FieldReader> readers = new ArrayList<>();
     for (JsonValue item : items(field)) {
-      readers.add(new FieldReader(item, placeOf(field) + "[" + readers.size() + "]"));
+      readers.add(new FieldReader(item, pathOf(field) + "[" + readers.size() + "]"));
     }
     return readers;
   }
 
   /** A reader for an object, or null if it is absent. */
   FieldReader optionalObject(String field) throws ConfigurationException {
-    return has(field) ? new FieldReader(object.member(field), placeOf(field)) : null;
+    return has(field) ? new FieldReader(object.member(field), pathOf(field)) : null;
   }
 
+  /** Throws if a field is absent. */
   void requirePresent(String field) throws ConfigurationException {
     if (!has(field)) {
-      throw new ConfigurationException(Step.READ_FIELDS, placeOf(field), "missing");
+      throw new ConfigurationException(Step.READ_FIELDS, pathOf(field), "missing");
     }
   }
 
@@ -151,21 +154,22 @@
     return has(field) ? typed(field, JsonValue.Kind.ARRAY, "a list").items() : List.of();
   }
 
-  private JsonValue typed(String field, JsonValue.Kind kind, String wanted)
+  private JsonValue typed(String field, JsonValue.Kind kind, String expected)
       throws ConfigurationException {
     JsonValue value = object.member(field);
     if (value.kind() != kind) {
-      throw wrongType(placeOf(field), wanted);
+      throw wrongType(pathOf(field), expected);
     }
     return value;
   }
 
-  String placeOf(String field) {
-    return place.isEmpty() ? field : place + "." + field;
+  /** Where a field is in the document, for messages; for example {@code routes[3].timeout_ms}. */
+  String pathOf(String field) {
+    return path.isEmpty() ? field : path + "." + field;
   }
 
-  private static ConfigurationException wrongType(String place, String wanted) {
-    String shown = place.isEmpty() ? "document" : place;
-    return new ConfigurationException(Step.READ_FIELDS, shown, "expected " + wanted);
+  private static ConfigurationException wrongType(String path, String expected) {
+    String shown = path.isEmpty() ? "document" : path;
+    return new ConfigurationException(Step.READ_FIELDS, shown, "expected " + expected);
   }
 }
--- a/configuration/src/main/java/nettletrail/configuration/HostNames.java
+++ b/configuration/src/main/java/nettletrail/configuration/HostNames.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Puts host names into the form in which they are compared. */
+/** Normalizes host names for comparison (RFC 9110, 4.2.3). */
 final class HostNames {
   private HostNames() {}
 
--- a/configuration/src/main/java/nettletrail/configuration/HostRoutes.java
+++ b/configuration/src/main/java/nettletrail/configuration/HostRoutes.java
@@ -7,8 +7,9 @@
 /** The routes of one host by prefix. */
 final class HostRoutes {
   private final Map<String, Route> byPrefix = new HashMap<>();
-  private int longestPrefix;
+  private int maxPrefixLength;
 
+  /** Groups routes by their host. */
   static Map<String, HostRoutes> byHost(List<Route> routes) {
     Map<String, HostRoutes> byHost = new HashMap<>();
     for (Route route : routes) {
@@ -19,12 +20,15 @@
 
   private void add(Route route) {
     byPrefix.put(route.prefix(), route);
-    longestPrefix = Math.max(longestPrefix, route.prefix().length());
+    maxPrefixLength = Math.max(maxPrefixLength, route.prefix().length());
   }
 
-  /** The route with the longest prefix that begins the path, or null; tries one slash at a time. */
+  /**
+   * The route with the longest prefix that begins the path, or null. Costs one look-up for each
+   * slash within the longest prefix, whatever the number of routes.
+   */
   Route match(String path) {
-    int slash = path.lastIndexOf('/', longestPrefix - 1);
+    int slash = path.lastIndexOf('/', maxPrefixLength - 1);
     while (slash >= 0) {
       Route route = byPrefix.get(path.substring(0, slash + 1));
       if (route != null) {
--- a/configuration/src/main/java/nettletrail/configuration/JsonValue.java
+++ b/configuration/src/main/java/nettletrail/configuration/JsonValue.java
@@ -5,10 +5,11 @@
 import java.util.List;
 
 /**
- * One value of a parsed JSON text, with the range of bytes it was written in.
+ * One value of a parsed JSON text, with the range of bytes it was written in. Immutable; the text
+ * is not copied.
  *
  * <p>Keeping the range lets a patch copy values as they were written, so that numbers and fields
- * this program does not know come back unchanged.
+ * that this program does not know come back unchanged.
  */
 final class JsonValue {
   private final Kind kind;
@@ -19,8 +20,8 @@
   private final List<Member> members;
   private final List<JsonValue> items;
 
-  /** What was read from the same bytes before; null if this value was parsed. */
-  private final Object model;
+  /** What was read from the same bytes earlier; null if this value was parsed. */
+  private final Object cachedModel;
 
   enum Kind {
     OBJECT,
@@ -50,7 +51,7 @@
       String text,
       List<Member> members,
       List<JsonValue> items,
-      Object model) {
+      Object cachedModel) {
     this.kind = kind;
     this.source = source;
     this.start = start;
@@ -58,12 +59,12 @@
     this.text = text;
     this.members = members;
     this.items = items;
-    this.model = model;
+    this.cachedModel = cachedModel;
   }
 
-  /** An object that wasn't parsed, since the model that its bytes make is known. */
-  static JsonValue known(byte[] source, int start, int end, Object model) {
-    return new JsonValue(Kind.OBJECT, source, start, end, null, List.of(), List.of(), model);
+  /** An object that wasn't parsed, since a {@link ParsedItemCache} has the model of its bytes. */
+  static JsonValue cached(byte[] source, int start, int end, Object cachedModel) {
+    return new JsonValue(Kind.OBJECT, source, start, end, null, List.of(), List.of(), cachedModel);
   }
 
   static JsonValue object(byte[] source, int start, int end, List<Member> members) {
@@ -114,22 +115,22 @@
     return null;
   }
 
-  /** The model of a {@link #known} value, null of others. */
-  Object model() {
-    return model;
+  /** The model of a {@link #cached} value; null for others. */
+  Object cachedModel() {
+    return cachedModel;
   }
 
-  /** Where its bytes begin in the text. */
+  /** The offset of its first byte in the text. */
   int start() {
     return start;
   }
 
-  /** Where its bytes end in the text. */
+  /** The offset after its last byte in the text. */
   int end() {
     return end;
   }
 
-  /** The bytes this value was written in. */
+  /** The bytes this value was written in; a copy. */
   byte[] bytes() {
     return Arrays.copyOfRange(source, start, end);
   }
--- a/configuration/src/main/java/nettletrail/configuration/JsonOutput.java
+++ b/configuration/src/main/java/nettletrail/configuration/JsonWriter.java
@@ -2,31 +2,34 @@
 
 import java.io.ByteArrayOutputStream;
 
-/** Writes one JSON array or object from parts that are JSON texts already. */
-final class JsonOutput {
+/** Writes one JSON array or object from parts that are JSON texts already, without whitespace. */
+final class JsonWriter {
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
   private final char closing;
-  private boolean empty = true;
+  private boolean isEmpty = true;
 
-  private JsonOutput(char opening, char closing) {
+  private JsonWriter(char opening, char closing) {
     this.closing = closing;
     bytes.write(opening);
   }
 
-  static JsonOutput array() {
-    return new JsonOutput('[', ']');
+  /** Starts an array. */
+  static JsonWriter array() {
+    return new JsonWriter('[', ']');
   }
 
-  static JsonOutput object() {
-    return new JsonOutput('{', '}');
+  /** Starts an object. */
+  static JsonWriter object() {
+    return new JsonWriter('{', '}');
   }
 
+  /** Adds an item of an array. */
   void item(byte[] value) {
     separate();
     bytes.writeBytes(value);
   }
 
-  /** Adds a member; the name comes with its quotes. */
+  /** Adds a member of an object; the name is given with its quotes. */
   void member(byte[] name, byte[] value) {
     separate();
     bytes.writeBytes(name);
@@ -41,9 +44,9 @@
   }
 
   private void separate() {
-    if (!empty) {
+    if (!isEmpty) {
       bytes.write(',');
     }
-    empty = false;
+    isEmpty = false;
   }
 }
--- a/configuration/src/main/java/nettletrail/configuration/ModelValidator.java
+++ b/configuration/src/main/java/nettletrail/configuration/ModelValidator.java
@@ -12,14 +12,14 @@
   private ModelValidator() {}
 
   /**
-   * Checks everything but the edition.
+   * Checks all rules but that of the edition, in a fixed order.
    *
-   * @throws ConfigurationException naming the first rule that is broken
+   * @throws ConfigurationException with step VALIDATE, naming the first rule that is broken
    */
   static void requireValid(ConfigurationModel model) throws ConfigurationException {
-    requireUniqueNames("routes", model.routes().stream().map(Route::name).toList());
-    requireUniqueNames("carriers", model.services().stream().map(Service::name).toList());
-    requireUniqueNames("senders", model.tenants().stream().map(Tenant::name).toList());
+    requireUniqueNames(ModelReader.ROUTES, model.routes().stream().map(Route::name).toList());
+    requireUniqueNames(ModelReader.SERVICES, model.services().stream().map(Service::name).toList());
+    requireUniqueNames(ModelReader.TENANTS, model.tenants().stream().map(Tenant::name).toList());
     requireValidRoutes(model);
     requireUniquePrefixes(model.routes());
     requireUniqueKeys(model.tenants());
@@ -41,52 +41,52 @@
       services.add(service.name());
     }
     for (Route route : model.routes()) {
-      String place = "route " + route.name();
-      requireTimeout(route, place);
-      requirePrefix(route, place);
-      requireKnownServices(route, services, place);
-      requireWeights(route, place);
+      String subject = "route " + route.name();
+      requireTimeout(route, subject);
+      requirePrefix(route, subject);
+      requireKnownServices(route, services, subject);
+      requireWeights(route, subject);
     }
   }
 
-  private static void requireTimeout(Route route, String place) throws ConfigurationException {
+  private static void requireTimeout(Route route, String subject) throws ConfigurationException {
     if (route.timeoutMs() <= 0) {
-      throw invalid(place, "timeout_ms is not above 0");
+      throw invalid(subject, "timeout_ms is not above 0");
     }
   }
 
-  private static void requirePrefix(Route route, String place) throws ConfigurationException {
+  private static void requirePrefix(Route route, String subject) throws ConfigurationException {
     if (!route.prefix().startsWith("/") || !route.prefix().endsWith("/")) {
-      throw invalid(place, "lane_prefix does not begin and end with a slash");
+      throw invalid(subject, "lane_prefix does not begin and end with a slash");
     }
   }
 
-  private static void requireKnownServices(Route route, Set<String> services, String place)
+  private static void requireKnownServices(Route route, Set<String> services, String subject)
       throws ConfigurationException {
     for (ServiceShare share : route.services()) {
       if (!services.contains(share.service())) {
-        throw invalid(place, "unknown service " + share.service());
+        throw invalid(subject, "unknown service " + share.service());
       }
     }
   }
 
-  private static void requireWeights(Route route, String place) throws ConfigurationException {
+  private static void requireWeights(Route route, String subject) throws ConfigurationException {
     long sum = 0;
     for (ServiceShare share : route.services()) {
       if (share.weight() < 0) {
-        throw invalid(place, "the weight of " + share.service() + " is negative");
+        throw invalid(subject, "the weight of " + share.service() + " is negative");
       }
       sum += share.weight();
     }
     if (sum == 0) {
-      throw invalid(place, "the weights add up to 0");
+      throw invalid(subject, "the weights add up to 0");
     }
   }
 
   private static void requireUniquePrefixes(List<Route> routes) throws ConfigurationException {
-    Map<String, Set<String>> prefixesOfHost = new HashMap<>();
+    Map<String, Set<String>> prefixesByHost = new HashMap<>();
     for (Route route : routes) {
-      Set<String> prefixes = prefixesOfHost.computeIfAbsent(route.host(), host -> new HashSet<>());
+      Set<String> prefixes = prefixesByHost.computeIfAbsent(route.host(), host -> new HashSet<>());
       if (!prefixes.add(route.prefix())) {
         throw invalid("route " + route.name(), "another route has its host and prefix");
       }
@@ -104,7 +104,7 @@
     }
   }
 
-  private static ConfigurationException invalid(String place, String reason) {
-    return new ConfigurationException(Step.VALIDATE, place, reason);
+  private static ConfigurationException invalid(String subject, String reason) {
+    return new ConfigurationException(Step.VALIDATE, subject, reason);
   }
 }
--- a/configuration/src/main/java/nettletrail/configuration/ParsedItemCache.java
+++ b/configuration/src/main/java/nettletrail/configuration/ParsedItemCache.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 
 /**
- * The items of an earlier document, each with the bytes that it was read from, so that those which
- * stand unchanged in a later document needn't be read again.
+ * The parsed items of an earlier document, each with the bytes that it was read from, so that items
+ * with the same bytes in a later document needn't be parsed again.
  *
- * <p>An object that stands between two places of a list is the same value wherever the same bytes
- * begin, since its closing brace ends it. Items are looked for in their order, a bounded number of
- * places ahead; one that has moved further is read like a new one. For one pass over one document.
+ * <p>Equal bytes at the beginning of an item mean an equal item: an object ends with its closing
+ * brace, whatever follows. Items are searched in their order, within a bounded window; one that has
+ * moved further is parsed like a new one. For one pass over one document, by one thread.
  */
 final class ParsedItemCache {
-  /** How many items may have been taken out in a row, or changed, before others are found again. */
-  private static final int LOOK_AHEAD = 64;
+  /** How many items in a row may have been removed or changed before later ones are missed. */
+  private static final int SEARCH_WINDOW = 64;
 
   private final byte[] source;
   private final Map<String, Cursor> cursors = new HashMap<>();
@@ -23,9 +23,9 @@
   /**
    * An item of a list.
    *
-   * @param start where its bytes begin in the document
-   * @param end where they end
-   * @param model what was read from them
+   * @param start the offset of its first byte in the document
+   * @param end the offset after its last byte
+   * @param model what was read from these bytes
    */
   record Item(int start, int end, Object model) {
     int length() {
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Makes the items of a document known.
+   * A cache of the items of a document.
    *
    * @param source the document that they were read from
    * @param itemsByList the items of each list in the order of the document
@@ -53,21 +53,26 @@
     itemsByList.forEach((list, items) -> cursors.put(list, new Cursor(items)));
   }
 
-  /** Knows no item. */
-  static ParsedItemCache none() {
+  /** A cache without items. */
+  static ParsedItemCache empty() {
     return new ParsedItemCache(new byte[0], Map.of());
   }
 
-  /** The item of this list whose bytes stand at a position of another text, or null. */
-  Item at(String list, byte[] text, int position) {
+  /**
+   * Finds the item of a list whose bytes begin at a position of another text. Positions have to be
+   * given in ascending order.
+   *
+   * @return null if there is none within the window
+   */
+  Item find(String list, byte[] text, int position) {
     Cursor cursor = cursors.get(list);
     if (cursor == null) {
       return null;
     }
-    int end = Math.min(cursor.items.size(), cursor.next + LOOK_AHEAD);
+    int end = Math.min(cursor.items.size(), cursor.next + SEARCH_WINDOW);
     for (int index = cursor.next; index < end; index++) {
       Item item = cursor.items.get(index);
-      if (stands(item, text, position)) {
+      if (matches(item, text, position)) {
         cursor.next = index + 1;
         return item;
       }
@@ -75,7 +80,7 @@
     return null;
   }
 
-  private boolean stands(Item item, byte[] text, int position) {
+  private boolean matches(Item item, byte[] text, int position) {
     int end = position + item.length();
     return end <= text.length
         && Arrays.equals(source, item.start(), item.end(), text, position, end);
--- a/configuration/src/main/java/nettletrail/configuration/Route.java
+++ b/configuration/src/main/java/nettletrail/configuration/Route.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * Where requests of one host and path prefix go.
+ * A route: the services that get the requests of one host and path prefix.
  *
  * @param name unique among routes
  * @param host the host in lower case, without port
  * @param prefix begins the path; begins and ends with a slash
- * @param kind how often a request may run
- * @param timeoutMs the longest a request may be held, in milliseconds; above zero
- * @param targetMs the time in which an answer earns its full worth, in milliseconds
- * @param priority the rank of requests, 0 first
+ * @param kind whether a request may run more than once
+ * @param timeoutMs the timeout of a request, in milliseconds; above zero
+ * @param targetMs the latency target of an answer, in milliseconds
+ * @param priority the priority of requests; 0 is the highest
  * @param services the services and their weights; the weights add up to more than zero
- * @param attempts the largest number of backends one try may be sent to; at least one
+ * @param attempts the most backends that one request may be forwarded to; at least one
  * @param open whether requests need no key although there are tenants
- * @param sticky whether requests name the parts of their prompt
- * @param resume whether a stream may be taken up at another backend
- * @param gapMs the longest pause between events, in milliseconds; 0 if not stated
+ * @param sticky whether requests name the chunks of their prompt, for prefix cache affinity
+ * @param resume whether a stream may be resumed at another backend
+ * @param gapMs the target for the longest time between two events of a stream, in milliseconds; 0
+ *     if not stated
  */
 public record Route(
     String name,
--- a/configuration/src/main/java/nettletrail/configuration/RouteKind.java
+++ b/configuration/src/main/java/nettletrail/configuration/RouteKind.java
@@ -1,11 +1,11 @@
 package nettletrail.configuration;
 
-/** How often a request on a route may run. */
+/** How often a request on a route may run at backends. */
 public enum RouteKind {
-  /** May run more than once. */
+  /** Idempotent: may run more than once (RFC 9110, 9.2.2). */
   REPEATABLE,
-  /** Runs at most once per try of the client. */
+  /** Not idempotent: runs at most once for each request of the client. */
   SINGLE_SEND,
-  /** Answered by a series of events; runs at most once unless the route allows to resume it. */
+  /** Answered by a stream of events; runs at most once unless the route allows resumption. */
   STREAM
 }
--- a/configuration/src/main/java/nettletrail/configuration/RoutingTable.java
+++ b/configuration/src/main/java/nettletrail/configuration/RoutingTable.java
@@ -4,17 +4,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One edition compiled for use per request. Immutable and safe for use by several threads. */
+/** One edition compiled for use per request. Immutable and safe for all threads. */
 public final class RoutingTable {
   private final ConfigurationModel model;
-  private final Map<String, HostRoutes> routesOfHost;
+  private final Map<String, HostRoutes> routesByHost;
   private final Map<String, Service> services;
   private final Map<String, Tenant> tenants;
   private final Map<String, Tenant> tenantsByKey;
 
   private RoutingTable(ConfigurationModel model) {
     this.model = model;
-    this.routesOfHost = HostRoutes.byHost(model.routes());
+    this.routesByHost = HostRoutes.byHost(model.routes());
     this.services = new HashMap<>();
     this.tenants = new HashMap<>();
     this.tenantsByKey = new HashMap<>();
@@ -30,7 +30,7 @@
   /**
    * Compiles a document.
    *
-   * @throws ConfigurationException if the document breaks a rule, see {@link
+   * @throws ConfigurationException with step VALIDATE if the document breaks a rule, see {@link
    *     ConfigurationDocument#requireValidAfter}; its edition is not compared with another
    */
   public static RoutingTable compile(ConfigurationDocument document) throws ConfigurationException {
@@ -44,41 +44,42 @@
   }
 
   /**
-   * The route of a request: the longest prefix of the host that begins the path.
+   * The route of a request: the one with the longest prefix, of those of the host, that begins the
+   * path.
    *
    * @param host the Host header; case and port don't matter
    * @param path the path without query, as sent
    * @return null if there is no route
    */
   public Route match(String host, String path) {
-    HostRoutes routes = routesOfHost.get(host);
+    HostRoutes routes = routesByHost.get(host);
     if (routes == null) {
-      routes = routesOfHost.get(HostNames.normalized(host));
+      routes = routesByHost.get(HostNames.normalized(host));
     }
     return routes == null ? null : routes.match(path);
   }
 
-  /** The tenant that holds a key, or null. */
+  /** The tenant with this key, or null. */
   public Tenant tenantOfKey(String key) {
     return tenantsByKey.get(key);
   }
 
-  /** The tenant of a name, or null. */
+  /** The tenant with this name, or null. */
   public Tenant tenant(String name) {
     return tenants.get(name);
   }
 
-  /** The service of a name, or null. */
+  /** The service with this name, or null. */
   public Service service(String name) {
     return services.get(name);
   }
 
-  /** The bounds on clients. */
+  /** The limits for clients. */
   public Limits limits() {
     return model.limits();
   }
 
-  /** Whether requests need a key unless their route is open: there are tenants. */
+  /** Whether requests need a key unless their route is open: true if there are tenants. */
   public boolean keysRequired() {
     return !model.tenants().isEmpty();
   }
--- a/configuration/src/main/java/nettletrail/configuration/Tenant.java
+++ b/configuration/src/main/java/nettletrail/configuration/Tenant.java
@@ -3,15 +3,15 @@
 import java.util.Set;
 
 /**
- * A sender of requests, known by its keys.
+ * A tenant: a sender of requests, identified by its keys.
  *
  * @param name unique among tenants
- * @param keys the keys that stand for it
+ * @param keys the API keys that identify it; unique among all tenants
  * @param priority takes precedence over that of the route; {@link #NO_PRIORITY} if absent
- * @param countsTokens whether rate and burst are measured in tokens rather than requests
- * @param plainTokens the tokens that a request without a token count is charged
- * @param ratePerSecond what it may use a second; 0 for no limit
- * @param burst what it may use beyond the rate
+ * @param countsTokens whether rate and burst are in tokens rather than requests
+ * @param plainTokens what a request without a token count costs, in tokens
+ * @param ratePerSecond its rate limit, in tokens or requests a second; 0 for no limit
+ * @param burst what it may use at once beyond the rate, in tokens or requests
  */
 public record Tenant(
     String name,
--- a/configuration/src/test/java/nettletrail/configuration/AcceptedDocumentTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/AcceptedDocumentTest.java
@@ -30,7 +30,7 @@
     assertNull(table.service("s").engine());
   }
 
-  /** Separator is a bar, since the replacements hold commas. */
+  /** The delimiter is a bar, since the replacements contain commas. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void handsOutTheTextAsItCame() throws ConfigurationException {
+  void returnsTheTextUnchanged() throws ConfigurationException {
     byte[] json = Documents.bytes(Documents.EXAMPLE);
 
     assertArrayEquals(json, ConfigurationDocument.parse(json).json());
--- a/configuration/src/test/java/nettletrail/configuration/CompressedDocumentTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/CompressedDocumentTest.java
@@ -11,9 +11,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** {@link CompressedDocument} restores every text, and rejects damaged and too long streams. */
 class CompressedDocumentTest {
   @Test
-  void givenTextsOfAnyLengthWhenCompressedThenTheyComeBackAndTheBufferIsNotMoved()
+  void givenTextsOfAnyLength_whenCompressed_thenTheyAreRestoredAndTheBufferIsNotMoved()
       throws Exception {
     SplittableRandom random = new SplittableRandom(1);
     for (int length : new int[] {0, 1, 100, 16 << 10, 300_000}) {
@@ -26,7 +27,7 @@
   }
 
   @Test
-  void givenADocumentOfManyRoutesWhenCompressedThenItIsASixthAtMost() {
+  void givenADocumentOfManyRoutes_whenCompressed_thenItIsASixthAtMost() {
     StringBuilder routes = new StringBuilder("[");
     SplittableRandom random = new SplittableRandom(2);
     for (int route = 0; route < 800; route++) {
@@ -44,28 +45,28 @@
   }
 
   @Test
-  void givenPlainTextOfAnEarlierReleaseWhenReadThenItIsReturnedAsItIs() throws Exception {
+  void givenPlainTextOfAnEarlierRelease_whenDecompressed_thenItIsReturnedAsItIs() throws Exception {
     byte[] plain = "{\"edition\":1}".getBytes(StandardCharsets.UTF_8);
     assertArrayEquals(plain, CompressedDocument.decompress(ByteBuffer.wrap(plain)));
   }
 
   @Test
-  void givenADamagedOrCutStreamWhenReadThenItIsRefused() {
+  void givenADamagedOrTruncatedStream_whenDecompressed_thenItIsRejected() {
     byte[] text = new byte[5_000];
     Arrays.fill(text, (byte) '{');
     byte[] stored = CompressedDocument.compress(text);
-    byte[] cut = Arrays.copyOf(stored, stored.length - 3);
+    byte[] truncated = Arrays.copyOf(stored, stored.length - 3);
     byte[] changed = stored.clone();
     changed[stored.length - 1] ^= 1;
-    for (byte[] bad : new byte[][] {cut, changed}) {
+    for (byte[] bad : new byte[][] {truncated, changed}) {
       assertThrows(
           ConfigurationException.class, () -> CompressedDocument.decompress(ByteBuffer.wrap(bad)));
     }
   }
 
   @Test
-  void givenAStreamThatBecomesTooLongWhenReadThenItIsRefused() {
-    byte[] stored = CompressedDocument.compress(new byte[CompressedDocument.LONGEST_TEXT + 1]);
+  void givenAStreamWithTooLongAText_whenDecompressed_thenItIsRejected() {
+    byte[] stored = CompressedDocument.compress(new byte[CompressedDocument.MAX_TEXT_BYTES + 1]);
     assertThrows(
         ConfigurationException.class, () -> CompressedDocument.decompress(ByteBuffer.wrap(stored)));
   }
--- a/configuration/src/test/java/nettletrail/configuration/DocumentFormatTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/DocumentFormatTest.java
@@ -13,7 +13,7 @@
 import java.util.zip.InflaterInputStream;
 import org.junit.jupiter.api.Test;
 
-/** The format of documents on disk and between processes, held by committed samples. */
+/** The format of documents on disk and between processes, pinned by committed samples. */
 class DocumentFormatTest {
   private static final Path SAMPLES = Path.of("src/test/resources/document-format");
   private static final byte[] TEXT =
@@ -33,13 +33,13 @@
   }
 
   @Test
-  void givenTheStoredFormOfAnEarlierBuildWhenReadThenItIsTheText() throws Exception {
+  void givenTheStoredFormOfAnEarlierBuild_whenDecompressed_thenItIsTheText() throws Exception {
     assertArrayEquals(TEXT, CompressedDocument.decompress(ByteBuffer.wrap(STORED)));
   }
 
-  /** Other builds of zlib may choose other blocks, so the whole stream isn't compared. */
+  /** Other builds of zlib may choose other blocks, so the complete stream isn't compared. */
   @Test
-  void givenATextWhenCompressedThenItIsAZlibStream() throws IOException {
+  void givenAText_whenCompressed_thenItIsAZlibStream() throws IOException {
     byte[] stored = CompressedDocument.compress(TEXT);
     assertEquals(STREAM_HEADER, HexFormat.of().formatHex(stored, 0, 2));
     InflaterInputStream stream = new InflaterInputStream(new ByteArrayInputStream(stored));
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void givenADocumentAndAPatchWhenPatchedThenTheTextIsTheCommittedOne() throws Exception {
+  void givenADocumentAndAPatch_whenPatched_thenTheTextIsTheCommittedOne() throws Exception {
     ConfigurationDocument document = ConfigurationDocument.parse(sample("document.json"));
     ConfigurationDocument patched = document.patched(sample("patch.json"));
     assertEquals(
--- a/configuration/src/test/java/nettletrail/configuration/DocumentPatchTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/DocumentPatchTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** {@link DocumentPatch}, through the documents that it makes. */
 class DocumentPatchTest {
   /** One item a list, so that whole texts can be compared. */
   private static final String SMALL =
@@ -28,7 +29,7 @@
   }
 
   @Test
-  void replacesInPlaceAndAddsAtTheEnd() throws ConfigurationException {
+  void replacesInPositionAndAppendsAtTheEnd() throws ConfigurationException {
     String patch =
         "{\"edition\":2,\"deliver\":{\"carriers\":[{\"name\":\"c\"}, { \"name\":\"a\",\"y\":1 }]}}";
 
@@ -76,7 +77,7 @@
   }
 
   @Test
-  void changesListsThatTheProgramDoesNotKnow() throws ConfigurationException {
+  void changesListsThatAreUnknownToTheModel() throws ConfigurationException {
     String patch =
         "{\"edition\":8,\"deliver\":{\"later_list\":[{\"name\":\"y\",\"value\":1.0}, 5]},"
             + "\"withdraw\":{\"later_list\":[\"x\"]}}";
@@ -87,7 +88,7 @@
   }
 
   @Test
-  void itemsWithoutANameAreKeptAndAdded() throws ConfigurationException {
+  void itemsWithoutANameAreKeptAndAppended() throws ConfigurationException {
     String document = "{\"edition\":1,\"routes\":[],\"carriers\":[],\"plain\":[1,{\"a\":2}]}";
     String patch = "{\"edition\":2,\"deliver\":{\"plain\":[1,{\"a\":2}]}}";
 
@@ -116,19 +117,19 @@
   }
 
   @Test
-  void theOutcomeIsValidatedLikeAWholeDocument() throws ConfigurationException {
+  void theOutcomeIsValidatedLikeACompleteDocument() throws ConfigurationException {
     String patch = "{\"edition\":8,\"withdraw\":{\"carriers\":[\"plain\"]}}";
     ConfigurationDocument document =
         Documents.parse(Documents.EXAMPLE).patched(Documents.bytes(patch));
 
-    ConfigurationException refused =
+    ConfigurationException rejection =
         assertThrows(ConfigurationException.class, () -> document.requireValidAfter(7));
 
-    assertEquals("route split", refused.place());
+    assertEquals("route split", rejection.location());
   }
 
   @Test
-  void theDocumentPatchedStaysAsItWas() throws ConfigurationException {
+  void thePatchedDocumentItselfIsUnchanged() throws ConfigurationException {
     ConfigurationDocument document = Documents.parse(Documents.EXAMPLE);
 
     document.patched(Documents.bytes("{\"edition\":8,\"withdraw\":{\"senders\":[\"tenant-a\"]}}"));
@@ -158,11 +159,11 @@
         "{\"edition\":2,\"deliver\":{\"senders\":{}}} | READ_FIELDS | senders",
         "{\"edition\":2,\"deliver\":{\"limits\":[]}} | READ_FIELDS | limits",
       })
-  void refusesAPatchThatCannotBeRead(String patch, Step step, String place) {
-    ConfigurationException refused =
+  void rejectsAPatchThatCannotBeParsed(String patch, Step step, String location) {
+    ConfigurationException rejection =
         assertThrows(ConfigurationException.class, () -> patched(SMALL, patch));
 
-    assertEquals(step, refused.step());
-    assertEquals(place, refused.place());
+    assertEquals(step, rejection.step());
+    assertEquals(location, rejection.location());
   }
 }
--- a/configuration/src/test/java/nettletrail/configuration/EarlierDocumentTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/EarlierDocumentTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** A document that is read beside an earlier one has the same outcome as one that is read alone. */
+/** {@link ParsedItemCache}: parsing with an earlier document has the same outcome as without. */
 class EarlierDocumentTest {
   private static final String REST =
       "\"carriers\":[{\"name\":\"model\"}],\"senders\":[{\"name\":\"t\",\"passes\":[\"k\"]}]}";
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void givenOneChangedRouteWhenReadBesideTheEarlierOneThenTheOthersAreNotReadAgain()
+  void givenOneChangedRoute_whenParsedWithTheEarlierDocument_thenTheOthersAreNotParsedAgain()
       throws Exception {
     List<String> routes = routes(200);
     ConfigurationDocument earlier = Documents.parse(document(1, routes));
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void givenTheItemOfAnotherListWhenItStandsAmongRoutesThenItIsReadAsARoute() throws Exception {
+  void givenAnItemOfAnotherList_whenItIsAmongRoutes_thenItIsParsedAsARoute() throws Exception {
     ConfigurationDocument earlier = Documents.parse(document(1, routes(1)));
     String wrong = document(2, List.of("{\"name\":\"t\",\"passes\":[\"k\"]}"));
     assertThrows(
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void givenAKnownItemWhenTheTextBehindItIsMalformedThenItIsRefused() throws Exception {
+  void givenACachedItem_whenTheTextAfterItIsMalformed_thenItIsRejected() throws Exception {
     ConfigurationDocument earlier = Documents.parse(document(1, routes(2)));
     for (String bad : new String[] {"}", " x", "1", "{}"}) {
       String wrong = document(2, List.of(route(0, 4_000) + bad, route(1, 4_000)));
@@ -75,7 +75,7 @@
   }
 
   @Property(tries = 300)
-  void anySuccessionOfChangesReadsAsEachDocumentAlone(
+  void anySequenceOfChangesParsesAsEachDocumentAlone(
       @ForAll long seed, @ForAll @IntRange(min = 0, max = 120) int count) throws Exception {
     SplittableRandom random = new SplittableRandom(seed);
     List<String> routes = routes(count);
@@ -83,9 +83,9 @@
     ConfigurationDocument earlier = null;
     for (int edition = 1; edition <= 12; edition++) {
       byte[] json = Documents.bytes(document(edition, routes));
-      ConfigurationDocument beside = ConfigurationDocument.parse(json, earlier);
-      assertEquals(ConfigurationDocument.parse(json).model(), beside.model());
-      earlier = beside;
+      ConfigurationDocument later = ConfigurationDocument.parse(json, earlier);
+      assertEquals(ConfigurationDocument.parse(json).model(), later.model());
+      earlier = later;
       for (int change = random.nextInt(5); change > 0; change--) {
         int at = random.nextInt(routes.size() + 1);
         switch (random.nextInt(4)) {
--- a/configuration/src/test/java/nettletrail/configuration/InvalidDocumentTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/InvalidDocumentTest.java
@@ -18,10 +18,11 @@
   /**
    * A replacement and how it is reported.
    *
-   * @param place the place the exception must name
+   * @param location the location the exception must name
    * @param reason a part of the message
    */
-  record InvalidForm(String original, String replacement, Step step, String place, String reason) {}
+  record InvalidForm(
+      String original, String replacement, Step step, String location, String reason) {}
 
   static final List<InvalidForm> BROKEN_RULES =
       List.of(
@@ -104,43 +105,43 @@
           wrongType("\"carriers\":[", "\"carriers\":5,\"x\":[", "carriers", "a list"));
 
   private static InvalidForm brokenRule(
-      String original, String replacement, String place, String reason) {
-    return new InvalidForm(original, replacement, Step.VALIDATE, place, reason);
+      String original, String replacement, String location, String reason) {
+    return new InvalidForm(original, replacement, Step.VALIDATE, location, reason);
   }
 
-  private static InvalidForm missing(String original, String place) {
-    return new InvalidForm(original, "", Step.READ_FIELDS, place, "missing");
+  private static InvalidForm missing(String original, String location) {
+    return new InvalidForm(original, "", Step.READ_FIELDS, location, "missing");
   }
 
   private static InvalidForm wrongType(
-      String original, String replacement, String place, String reason) {
-    return new InvalidForm(original, replacement, Step.READ_FIELDS, place, reason);
+      String original, String replacement, String location, String reason) {
+    return new InvalidForm(original, replacement, Step.READ_FIELDS, location, reason);
   }
 
   @ParameterizedTest
   @FieldSource("BROKEN_RULES")
-  void refusesABrokenRule(InvalidForm form) {
-    assertRefused(form);
+  void rejectsABrokenRule(InvalidForm form) {
+    assertRejected(form);
   }
 
   @ParameterizedTest
   @FieldSource("UNREADABLE_FIELDS")
-  void refusesAnUnreadableField(InvalidForm form) {
-    assertRefused(form);
+  void rejectsAnUnreadableField(InvalidForm form) {
+    assertRejected(form);
   }
 
-  private static void assertRefused(InvalidForm form) {
+  private static void assertRejected(InvalidForm form) {
     assertTrue(Documents.EXAMPLE.contains(form.original()), "the example must hold the original");
     String json = Documents.EXAMPLE.replace(form.original(), form.replacement());
 
-    ConfigurationException refused =
+    ConfigurationException rejection =
         assertThrows(
             ConfigurationException.class,
             () -> Documents.parse(json).requireValidAfter(EDITION_BEFORE));
 
-    assertEquals(form.step(), refused.step());
-    assertEquals(form.place(), refused.place());
-    assertTrue(refused.getMessage().contains(form.reason()), refused.getMessage());
+    assertEquals(form.step(), rejection.step());
+    assertEquals(form.location(), rejection.location());
+    assertTrue(rejection.getMessage().contains(form.reason()), rejection.getMessage());
   }
 
   @Test
@@ -149,7 +150,7 @@
   }
 
   @Test
-  void refusesTwoHostsThatDifferInCaseOnlyAsTheSameHost() {
+  void rejectsTwoHostsThatDifferOnlyInCaseAsTheSameHost() {
     String json =
         Documents.EXAMPLE
             .replace("/chat/split/", "/chat/")
@@ -161,7 +162,7 @@
   }
 
   @Test
-  void refusesEveryTruncation() {
+  void rejectsEveryTruncation() {
     byte[] complete = Documents.bytes(Documents.EXAMPLE.strip());
     for (int length = 0; length < complete.length; length++) {
       byte[] truncated = Arrays.copyOf(complete, length);
@@ -170,7 +171,7 @@
   }
 
   @Test
-  void refusesBytesAfterTheDocument() {
+  void rejectsBytesAfterTheDocument() {
     assertThrows(ConfigurationException.class, () -> Documents.parse(Documents.EXAMPLE + "}"));
   }
 }
--- a/configuration/src/test/java/nettletrail/configuration/JsonParserTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/JsonParserTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** {@link JsonParser} and its lexer accept RFC 8259 exactly. */
 class JsonParserTest {
   private static JsonValue parse(String json) throws ConfigurationException {
     return JsonParser.parse(Documents.bytes(json), "text");
@@ -90,10 +91,11 @@
         "// c\n1",
         "{\"a\":1}\u0000"
       })
-  void refusesEverythingElse(String json) {
-    ConfigurationException refused = assertThrows(ConfigurationException.class, () -> parse(json));
+  void rejectsEverythingElse(String json) {
+    ConfigurationException rejection =
+        assertThrows(ConfigurationException.class, () -> parse(json));
 
-    assertEquals(Step.PARSE, refused.step());
+    assertEquals(Step.PARSE, rejection.step());
   }
 
   @ParameterizedTest
@@ -102,24 +104,26 @@
     "'[1', 'text byte 2'",
     "'{} x', 'text byte 3'",
   })
-  void namesThePlace(String json, String place) {
-    assertEquals(place, assertThrows(ConfigurationException.class, () -> parse(json)).place());
+  void namesTheByteAtWhichItFailed(String json, String location) {
+    assertEquals(
+        location, assertThrows(ConfigurationException.class, () -> parse(json)).location());
   }
 
   @Test
-  void refusesBytesThatAreNotUtf8() {
+  void rejectsBytesThatAreNotUtf8() {
     byte[] overlong = {'"', (byte) 0xc0, (byte) 0x80, '"'};
 
     assertThrows(ConfigurationException.class, () -> JsonParser.parse(overlong, "text"));
   }
 
   @Test
-  void refusesDeepNestingRatherThanExhaustTheStack() {
+  void rejectsDeepNestingInsteadOfExhaustingTheStack() {
     String deep = "[".repeat(1_000_000);
 
-    ConfigurationException refused = assertThrows(ConfigurationException.class, () -> parse(deep));
+    ConfigurationException rejection =
+        assertThrows(ConfigurationException.class, () -> parse(deep));
 
-    assertTrue(refused.getMessage().contains("nested deeper"), refused.getMessage());
+    assertTrue(rejection.getMessage().contains("nested deeper"), rejection.getMessage());
   }
 
   @Test
--- a/configuration/src/test/java/nettletrail/configuration/LargeDocumentTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/LargeDocumentTest.java
@@ -6,10 +6,10 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Thousands of routes are handled; the bounds are generous and say nothing about speed. */
+/** Thousands of routes are handled; the time limits are generous and say nothing about speed. */
 class LargeDocumentTest {
   private static final int ROUTES = 2_000;
-  private static final Duration BOUND = Duration.ofSeconds(5);
+  private static final Duration TIME_LIMIT = Duration.ofSeconds(5);
 
   private static String document(int routes) {
     StringBuilder json = new StringBuilder("{\"edition\":1,\"routes\":[");
@@ -27,10 +27,10 @@
   }
 
   @Test
-  void readsChecksAndCompilesThousandsOfRoutes() {
+  void parsesValidatesAndCompilesThousandsOfRoutes() {
     byte[] json = Documents.bytes(document(ROUTES));
 
-    RoutingTable table = assertTimeout(BOUND, () -> compile(json));
+    RoutingTable table = assertTimeout(TIME_LIMIT, () -> compile(json));
 
     assertEquals(ROUTES, table.routes().size());
     assertEquals("r-1999", table.match("h3.example", "/p1999/2f").name());
@@ -51,7 +51,7 @@
             + "]},\"withdraw\":{\"routes\":[\"r-0\"]}}";
 
     ConfigurationDocument patched =
-        assertTimeout(BOUND, () -> document.patched(Documents.bytes(patch)));
+        assertTimeout(TIME_LIMIT, () -> document.patched(Documents.bytes(patch)));
 
     assertEquals(ROUTES, RoutingTable.compile(patched).routes().size());
   }
@@ -60,7 +60,7 @@
   void matchesAgainstHundredsOfRoutesOfOneHost() throws ConfigurationException {
     RoutingTable table = RoutingTable.compile(Documents.parse(document(ROUTES)));
 
-    assertTimeout(BOUND, () -> matchManyTimes(table));
+    assertTimeout(TIME_LIMIT, () -> matchManyTimes(table));
   }
 
   private static void matchManyTimes(RoutingTable table) {
--- a/configuration/src/test/java/nettletrail/configuration/PatchPropertyTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/PatchPropertyTest.java
@@ -17,7 +17,7 @@
 
 /** Properties of patches over documents with arbitrary spacing, unknown fields and numbers. */
 class PatchPropertyTest {
-  /** A service's name and the text of the whole item. */
+  /** A service's name and the text of the complete item. */
   record NamedItem(String name, String text) {}
 
   @Provide
@@ -138,8 +138,8 @@
     json[seed % json.length] = replacement;
     try {
       RoutingTable.compile(ConfigurationDocument.parse(json));
-    } catch (ConfigurationException refused) {
-      assertEquals(true, refused.getMessage().contains(refused.place()));
+    } catch (ConfigurationException rejection) {
+      assertEquals(true, rejection.getMessage().contains(rejection.location()));
     }
   }
 }
--- a/configuration/src/test/java/nettletrail/configuration/RoutingTableTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/RoutingTableTest.java
@@ -10,6 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** {@link RoutingTable}: the compiled model and the match of requests. */
 class RoutingTableTest {
   private static RoutingTable compile(String json) throws ConfigurationException {
     return RoutingTable.compile(Documents.parse(json));
@@ -38,7 +39,7 @@
   }
 
   @Test
-  void givesDefaultsForFieldsThatARouteOmits() throws ConfigurationException {
+  void usesDefaultsForFieldsThatARouteOmits() throws ConfigurationException {
     Route route = compile(Documents.EXAMPLE).match("one.example", "/chat/split/");
 
     Route expected =
@@ -109,7 +110,7 @@
   }
 
   @Test
-  void refusesADocumentThatBreaksARule() {
+  void rejectsADocumentThatBreaksARule() {
     String json = Documents.EXAMPLE.replace("\"carrier\":\"plain\"", "\"carrier\":\"unknown\"");
 
     assertThrows(ConfigurationException.class, () -> compile(json));
