--- /dev/null
+++ b/control/src/main/java/nettletrail/control/host/CoreStorage.java
@@ -0,0 +1,19 @@
+package nettletrail.control.host;
+
+import java.util.function.Consumer;
+import nettletrail.control.shard.CoreAction.StorePromise;
+import nettletrail.control.shard.CoreAction.StoreVersion;
+import nettletrail.control.shard.StoreOutcome;
+
+/**
+ * The durable state of a core process. Writes of one shard are done in the order of the calls.
+ * Neither method blocks; {@code done} is called exactly once on the host's thread, possibly before
+ * the method returns. It is not called after the process has ended.
+ */
+public interface CoreStorage {
+  /** Makes a promise durable. */
+  void store(StorePromise promise, Consumer<StoreOutcome> done);
+
+  /** Makes a version durable. */
+  void store(StoreVersion version, Consumer<StoreOutcome> done);
+}
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
@@ -1,27 +1,29 @@
 package nettletrail.emulator.host;
 
 import java.nio.charset.StandardCharsets;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.OptionalLong;
+import java.util.Optional;
 import java.util.SplittableRandom;
-import nettletrail.configuration.RoutingTable;
+import java.util.function.Consumer;
 import nettletrail.control.CoreRegistry;
 import nettletrail.control.CoreRegistrySettings;
 import nettletrail.control.ShardMap;
-import nettletrail.control.ShardOwnership;
 import nettletrail.control.grant.GrantTerms;
-import nettletrail.control.registry.RegistryAction;
-import nettletrail.control.shard.CoreAction;
+import nettletrail.control.grant.QuotaLimit;
+import nettletrail.control.host.CoreHost;
+import nettletrail.control.host.CoreLinks;
+import nettletrail.control.host.CoreStorage;
+import nettletrail.control.host.QuotaLimits;
+import nettletrail.control.host.ShardLeases;
+import nettletrail.control.shard.CoreAction.CommittedConfiguration;
+import nettletrail.control.shard.CoreAction.StorePromise;
+import nettletrail.control.shard.CoreAction.StoreVersion;
 import nettletrail.control.shard.CoreShards;
-import nettletrail.control.shard.ReplicaGroup;
 import nettletrail.control.shard.ShardSettings;
 import nettletrail.control.shard.StoreOutcome;
 import nettletrail.emulator.link.SimulatedLinks;
-import nettletrail.emulator.simulation.Connection;
 import nettletrail.emulator.simulation.Machine;
-import nettletrail.emulator.simulation.Payload;
 import nettletrail.emulator.simulation.SimulatedDirectory;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
@@ -29,7 +31,6 @@
 import nettletrail.protocol.GrantReply;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.Member;
-import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.link.LinkListener;
 import nettletrail.protocol.link.LinkSettings;
 import nettletrail.protocol.link.Peer;
@@ -38,10 +39,10 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * One life of a core process: {@link CoreShards} and {@link CoreRegistry} over simulated links,
- * disk and clock.
+ * One incarnation of a core process: a {@link CoreHost} over simulated links, disk and clock. All
+ * calls come within steps of the incarnation.
  */
-public final class CoreProcess implements LinkListener, ShardOwnership {
+public final class CoreProcess implements LinkListener {
   /** The port of the links between processes. */
   public static final String LINK_PORT = ":7680";
 
@@ -50,7 +51,7 @@
 
   private static final String ROLE = "core";
   private static final int PROTOCOL_VERSION = 2;
-  private static final long TICK = 50 * VirtualTime.MILLISECOND;
+  private static final long TICK = CoreHost.TICK_MS * VirtualTime.MILLISECOND;
 
   private final Simulation simulation;
   private final Machine.Incarnation incarnation;
@@ -58,19 +59,18 @@
   private final CoreObserver observer;
   private final List<String> seeds;
   private final CoreStore store;
-  private final StorageQueue storage;
-  private final Map<Long, Connection> callers = new HashMap<>();
-  private long lastCall;
+  private final StorageQueue storageQueue;
+  private final SimulatedCallers callers = new SimulatedCallers(this::call);
   private SimulatedLinks links;
   private CoreShards shards;
-  private CoreRegistry registry;
+  private CoreHost host;
 
   /**
-   * Opens the disk; the process works once that is done.
+   * Opens the disk; the process begins to work once the disk has been read.
    *
-   * @param seeds addresses of links to begin with
-   * @param firstRun true only at the first start of the whole fleet
-   * @param heartbeatMillis how often backends call
+   * @param seeds addresses that are dialled at the start
+   * @param firstRun true only at the first start of the complete fleet
+   * @param heartbeatMillis how often backends call, in milliseconds
    * @throws StorageException if the disk can't be read or the identity can't be written
    */
   public CoreProcess(
@@ -87,7 +87,7 @@
     this.random = simulation.newRandom();
     this.observer = observer;
     this.seeds = List.copyOf(seeds);
-    this.storage = new StorageQueue(simulation.time(), incarnation);
+    this.storageQueue = new StorageQueue(simulation.time(), incarnation);
     this.store =
         CoreStore.open(
             new SimulatedDirectory(incarnation.machine().disk()),
@@ -118,7 +118,8 @@
             store.stored(),
             random.nextLong(),
             now());
-    registry = new CoreRegistry(registrySettings, this, now());
+    CoreRegistry registry =
+        new CoreRegistry(registrySettings, new ShardLeases(shards, this::now), now());
     Hello hello =
         new Hello(
             incarnation.machine().name(),
@@ -129,19 +130,22 @@
     links =
         new SimulatedLinks(
             simulation, incarnation, LinkSettings.defaults(), hello, this, random.split());
+    host =
+        new CoreHost(
+            shards, registry, this::now, new ObservedLinks(), new Storage(), callers, this::limits);
     seeds.forEach(links::dial);
-    simulation.network().listen(incarnation, controlAddress(), this::acceptCaller);
+    simulation.network().listen(incarnation, controlAddress(), callers::accept);
     tick();
   }
 
   // What others see
 
-  /** The machine's life in which this process runs. */
+  /** The machine's incarnation in which this process runs. */
   public Machine.Incarnation incarnation() {
     return incarnation;
   }
 
-  /** Name of the machine and count of its lives. */
+  /** Name of the machine and number of its incarnation. */
   public String name() {
     return incarnation.machine().name() + "/" + incarnation.number();
   }
@@ -176,10 +180,10 @@
     return store.self();
   }
 
-  /** The process is told to end: it gives its leases back. It has to be ended afterwards. */
+  /** Gives all leases back, as at a graceful shutdown; the process has to be ended afterwards. */
   public void release() {
     if (hasBegun()) {
-      run(shards.release(now()));
+      host.release();
     }
   }
 
@@ -187,184 +191,102 @@
 
   @Override
   public void up(Peer peer) {
-    if (isDoor(peer)) {
-      perform(registry.doorUp(peer.key(), now()));
-      return;
-    }
-    links.dial(peer.key());
-    perform(registry.coreUp(peer.key(), now()));
+    host.up(peer);
   }
 
   @Override
   public void down(Peer peer) {
-    if (links.isUp(peer.key())) {
-      return;
-    }
-    if (isDoor(peer)) {
-      perform(registry.doorDown(peer.key(), now()));
-    } else {
-      perform(registry.coreDown(peer.key(), now()));
-    }
+    host.down(peer);
   }
 
   @Override
   public void received(Peer peer, SpecificRecord message) {
-    if (isDoor(peer)) {
-      perform(registry.receiveFromDoor(peer.key(), message, now()));
-    } else {
-      run(shards.receive(peer.key(), message, now()));
-      perform(registry.receiveFromCore(peer.key(), message, now()));
-    }
+    host.received(peer, message);
     observer.stepped(this);
   }
 
-  private static boolean isDoor(Peer peer) {
-    return peer.role().equals(SimulatedLinks.DOOR_ROLE);
-  }
-
   // Calls
 
-  private void acceptCaller(Connection connection) {
-    connection.setListener(
-        new Connection.Listener() {
-          @Override
-          public void received(Payload payload) {
-            call(connection, (ControlRequest) payload);
-          }
-
-          @Override
-          public void closed() {
-            callers.values().remove(connection);
-          }
-        });
-  }
-
-  private void call(Connection connection, ControlRequest request) {
-    lastCall++;
-    callers.put(lastCall, connection);
+  private void call(long call, ControlRequest request) {
     if (request instanceof ControlRequest.Configuration configuration) {
       byte[] body = configuration.body().getBytes(StandardCharsets.UTF_8);
-      run(shards.submit(lastCall, configuration.method(), configuration.ifMatch(), body, now()));
+      host.operatorCall(call, configuration.method(), configuration.ifMatch(), body);
     } else if (request instanceof ControlRequest.Registration registration) {
-      perform(registry.backendCall(lastCall, registration.method(), registration.backend(), now()));
+      host.backendCall(call, registration.method(), registration.backend());
     }
     observer.stepped(this);
   }
 
-  private void answer(long call, int status, String body) {
-    Connection caller = callers.remove(call);
-    if (caller != null) {
-      caller.send(new ControlResponse(status, body));
-    }
-  }
-
   // Work
 
   private void tick() {
-    run(shards.tick(now()));
-    perform(registry.tick(now()));
-    shards.members().forEach(member -> links.dial(member.getAddress()));
+    host.tick();
     observer.stepped(this);
     incarnation.after(TICK, this::tick);
   }
 
-  private void run(List<CoreAction> actions) {
-    for (CoreAction action : actions) {
-      if (action instanceof CoreAction.Send send) {
-        send(send);
-      } else if (action instanceof CoreAction.StorePromise promise) {
-        storage.submit(
-            () -> store.storePromise(promise.shard(), promise.proposal()),
-            outcome -> stored(promise.ticket(), outcome));
-      } else if (action instanceof CoreAction.StoreVersion version) {
-        storage.submit(
-            () -> store.storeVersion(version.shard(), version.version()),
-            outcome -> stored(version.ticket(), outcome));
-      } else if (action instanceof CoreAction.AnswerOperator answer) {
-        answer(answer.call(), answer.status(), new String(answer.body(), StandardCharsets.UTF_8));
-      } else if (action instanceof CoreAction.CommittedConfiguration committed) {
-        committed(committed);
-      }
-    }
-  }
-
-  private void send(CoreAction.Send send) {
-    if (send.message() instanceof Accept accept) {
-      observer.accepting(this, accept);
-    }
-    links.send(send.address(), send.message());
-  }
-
-  private void stored(long ticket, StoreOutcome outcome) {
-    run(shards.stored(ticket, outcome, now()));
-    observer.stepped(this);
-  }
-
-  private void committed(CoreAction.CommittedConfiguration committed) {
-    RoutingTable table = QuotaLimits.table(committed.document());
-    perform(
-        registry.configuration(
-            committed.sequence(),
-            committed.edition(),
-            committed.storedDocument(),
-            QuotaLimits.of(table),
-            now()));
-  }
-
-  private void perform(List<RegistryAction> actions) {
-    for (RegistryAction action : actions) {
-      if (action instanceof RegistryAction.SendToCore send) {
-        links.send(send.address(), send.message());
-      } else if (action instanceof RegistryAction.SendToDoor send) {
-        if (send.message() instanceof GrantReply reply) {
-          observer.granting(this, reply);
-        }
-        links.send(send.door(), send.message());
-      } else if (action instanceof RegistryAction.AnswerBackend answer) {
-        answer(answer.call(), answer.status(), "");
-      }
-    }
+  private Optional<Map<String, QuotaLimit>> limits(CommittedConfiguration committed) {
+    return Optional.of(QuotaLimits.of(RoutingTables.compile(committed.document()).tenants()));
   }
 
   private long now() {
     return incarnation.machine().clock().steady();
   }
 
-  // What the registry asks of the shards
+  /** The disk; the observer is notified after each outcome. */
+  private final class Storage implements CoreStorage {
+    @Override
+    public void store(StorePromise promise, Consumer<StoreOutcome> done) {
+      submit(() -> store.storePromise(promise.shard(), promise.proposal()), done);
+    }
 
-  @Override
-  public boolean owns(int shard, long now) {
-    return shards.owns(shard, now);
-  }
+    @Override
+    public void store(StoreVersion version, Consumer<StoreOutcome> done) {
+      submit(() -> store.storeVersion(version.shard(), version.version()), done);
+    }
 
-  @Override
-  public ProposalNumber token(int shard) {
-    return shards.token(shard);
+    private void submit(StorageQueue.Write write, Consumer<StoreOutcome> done) {
+      storageQueue.submit(
+          write,
+          outcome -> {
+            done.accept(outcome);
+            observer.stepped(CoreProcess.this);
+          });
+    }
   }
 
-  @Override
-  public String ownerAddress(int shard) {
-    return shards.ownerAddress(shard, now());
-  }
+  /** The links; the observer is notified before what it watches is sent. */
+  private final class ObservedLinks implements CoreLinks {
+    /** Sends also what is not valid any more: no time passes between a decision and its sending. */
+    @Override
+    public void sendToCore(String address, SpecificRecord message, long validUntil) {
+      if (message instanceof Accept accept) {
+        observer.accepting(CoreProcess.this, accept);
+      }
+      links.send(address, message);
+    }
 
-  @Override
-  public List<Member> members() {
-    return shards.members();
-  }
+    @Override
+    public void sendToDoor(String door, SpecificRecord message) {
+      if (message instanceof GrantReply reply) {
+        observer.granting(CoreProcess.this, reply);
+      }
+      links.send(door, message);
+    }
 
-  @Override
-  public int shardCount() {
-    return ShardMap.SHARD_COUNT;
-  }
+    @Override
+    public boolean isUp(String peer) {
+      return links.isUp(peer);
+    }
 
-  @Override
-  public OptionalLong confirmedAt() {
-    long confirmedAt = shards.confirmedAt();
-    return confirmedAt == ReplicaGroup.NEVER ? OptionalLong.empty() : OptionalLong.of(confirmedAt);
-  }
+    @Override
+    public void coreLinkUp(String address) {
+      links.dial(address);
+    }
 
-  @Override
-  public long configurationSequence() {
-    return shards.committedSequence();
+    @Override
+    public void followMembers(List<Member> members) {
+      members.forEach(member -> links.dial(member.getAddress()));
+    }
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
@@ -3,9 +3,13 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import nettletrail.configuration.RoutingTable;
-import nettletrail.control.door.DoorAction;
+import nettletrail.control.door.DoorAction.ConfigurationChanged;
 import nettletrail.control.door.DoorControl;
 import nettletrail.control.door.DoorControlSettings;
+import nettletrail.control.host.DoorDataPlane;
+import nettletrail.control.host.DoorHost;
+import nettletrail.control.host.DoorLinks;
+import nettletrail.control.host.QuotaLimits;
 import nettletrail.emulator.link.SimulatedLinks;
 import nettletrail.emulator.simulation.Machine;
 import nettletrail.emulator.simulation.Simulation;
@@ -17,14 +21,18 @@
 import nettletrail.protocol.link.Peer;
 import org.apache.avro.specific.SpecificRecord;
 
-/** One life of a door's process: {@link DoorControl} over simulated links and clock. */
+/**
+ * One incarnation of a door's process: a {@link DoorHost} over simulated links and clock, without a
+ * data plane. All calls come within steps of the incarnation.
+ */
 public final class DoorProcess implements LinkListener {
   private static final int PROTOCOL_VERSION = 2;
-  private static final long TICK = 50 * VirtualTime.MILLISECOND;
+  private static final long TICK = DoorHost.TICK_MS * VirtualTime.MILLISECOND;
 
   private final Machine.Incarnation incarnation;
   private final DoorControl control;
   private final SimulatedLinks links;
+  private final DoorHost host;
   private RoutingTable table;
 
   /**
@@ -64,22 +72,23 @@
     this.links =
         new SimulatedLinks(
             simulation, incarnation, LinkSettings.defaults(), hello, this, random.split());
+    this.host = new DoorHost(control, this::now, new HostLinks(), new DataPlane());
     tick();
   }
 
   // What the data plane sees
 
-  /** The machine's life in which this process runs. */
+  /** The machine's incarnation in which this process runs. */
   public Machine.Incarnation incarnation() {
     return incarnation;
   }
 
-  /** Name of the machine and count of its lives. */
+  /** Name of the machine and number of its incarnation. */
   public String name() {
     return incarnation.machine().name() + "/" + incarnation.number();
   }
 
-  /** The configuration in force; null before the first. */
+  /** The active configuration; null before the first. */
   public RoutingTable table() {
     return table;
   }
@@ -93,7 +102,7 @@
   public boolean takeQuota(String tenant, long tokens) {
     boolean taken = control.grants().take(tenant, tokens, now());
     if (!taken) {
-      perform(control.poll(now()));
+      host.poll();
     }
     return taken;
   }
@@ -105,53 +114,69 @@
 
   /** Takes changed seeds. */
   public void settingsChanged(List<String> seeds) {
-    perform(control.settingsChanged(seeds, now()));
+    host.settingsChanged(seeds);
   }
 
   // Links
 
   @Override
   public void up(Peer peer) {
-    perform(control.linkUp(peer.key(), now()));
+    host.up(peer);
   }
 
+  /** Passed on also while another link with the same core process is up. */
   @Override
   public void down(Peer peer) {
-    perform(control.linkDown(peer.key(), now()));
+    host.linkDown(peer.key());
   }
 
   @Override
   public void received(Peer peer, SpecificRecord message) {
-    perform(control.received(peer.key(), message, now()));
+    host.received(peer, message);
   }
 
   // Work
 
   private void tick() {
-    perform(control.tick(now()));
+    host.tick();
     incarnation.after(TICK, this::tick);
   }
 
-  private void perform(List<DoorAction> actions) {
-    for (DoorAction action : actions) {
-      if (action instanceof DoorAction.Dial dial) {
-        links.dial(dial.address());
-      } else if (action instanceof DoorAction.Undial undial) {
-        links.undial(undial.address());
-      } else if (action instanceof DoorAction.SendToCore send) {
-        links.send(send.address(), send.message());
-      } else if (action instanceof DoorAction.ConfigurationChanged changed) {
-        configurationChanged(changed);
-      }
-    }
+  private long now() {
+    return incarnation.machine().clock().steady();
   }
 
-  private void configurationChanged(DoorAction.ConfigurationChanged changed) {
-    table = QuotaLimits.table(changed.document());
-    control.grants().limits(QuotaLimits.of(table));
+  private final class HostLinks implements DoorLinks {
+    @Override
+    public void dial(String address) {
+      links.dial(address);
+    }
+
+    @Override
+    public void undial(String address) {
+      links.undial(address);
+    }
+
+    @Override
+    public void send(String address, SpecificRecord message) {
+      links.send(address, message);
+    }
+
+    @Override
+    public boolean isUp(String address) {
+      return links.isUp(address);
+    }
   }
 
-  private long now() {
-    return incarnation.machine().clock().steady();
+  private final class DataPlane implements DoorDataPlane {
+    @Override
+    public void activate(ConfigurationChanged changed) {
+      table = RoutingTables.compile(changed.document());
+      control.grants().limits(QuotaLimits.of(table.tenants()));
+    }
+
+    /** Does nothing: requests read the backends from the control plane. */
+    @Override
+    public void backendsChanged(String service) {}
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/CoreProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/CoreProcess.java
@@ -4,31 +4,18 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.ScheduledFuture;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.OptionalLong;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import nettletrail.configuration.ConfigurationDocument;
-import nettletrail.configuration.ConfigurationException;
-import nettletrail.configuration.Tenant;
 import nettletrail.control.CoreRegistry;
 import nettletrail.control.CoreRegistrySettings;
 import nettletrail.control.ShardMap;
-import nettletrail.control.ShardOwnership;
 import nettletrail.control.grant.GrantTerms;
-import nettletrail.control.grant.QuotaLimit;
-import nettletrail.control.registry.RegistryAction;
-import nettletrail.control.shard.CoreAction;
+import nettletrail.control.host.CoreHost;
+import nettletrail.control.host.ShardLeases;
 import nettletrail.control.shard.CoreShards;
-import nettletrail.control.shard.ReplicaGroup;
 import nettletrail.control.shard.ShardSettings;
-import nettletrail.control.shard.StoreOutcome;
 import nettletrail.fleet.http.ControlCalls;
 import nettletrail.fleet.http.ControlServer;
 import nettletrail.fleet.http.ControlSettings;
@@ -37,7 +24,6 @@
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.Member;
-import nettletrail.protocol.ProposalNumber;
 import nettletrail.protocol.event.LogEvent;
 import nettletrail.protocol.link.LinkListener;
 import nettletrail.protocol.link.LinkSettings;
@@ -52,71 +38,73 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The role {@code core}: joins the deciders of the control plane with links, disk and the HTTP
- * interface for the operator and the backends. Decides nothing itself. Everything runs on one event
- * loop, but for writes to the disk.
+ * The role {@code core}: runs the {@link CoreHost} of the control plane over links, disk and the
+ * HTTP interface for the operator and the backends. Everything runs on one event loop, but for the
+ * disk.
  */
-final class CoreProcess implements LinkListener, ControlCalls, ShardOwnership, AutoCloseable {
-  /** The configuration's shard and four for tenants and services. */
-  static final int SHARD_COUNT = ShardMap.SHARD_COUNT;
-
+final class CoreProcess implements LinkListener, ControlCalls, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CoreProcess.class);
   private static final String ROLE = "core";
   private static final int PROTOCOL_VERSION = 2;
-  private static final long TICK_MS = 50;
 
   /** Time for the messages that give the leases back to leave before the links are closed. */
   private static final long RELEASE_MS = 100;
 
   private static final long SHUTDOWN_MS = 1_000;
   private static final double MILLIS_A_SECOND = 1_000;
-  private static final byte[] NO_JSON = "{}".getBytes(StandardCharsets.UTF_8);
 
   private final FleetSettings settings;
   private final EventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final StorageThread storage;
-  private final CoreShards shards;
-  private final CoreRegistry registry;
   private final Links links;
+  private final CorePeerLinks peerLinks;
   private final ProcessMetrics metrics = new ProcessMetrics();
-  private final ValidMessageSender sender;
   private final ControlServer server;
+  private final CoreHost host;
   private final CoreStatus status;
-  private List<String> seeds;
-
-  /** The newest committed document; the next one is read beside it. */
-  private ConfigurationDocument newest;
-
   private ScheduledFuture<?> ticks;
 
   /** Opens the disk; blocks until it has been read. */
   CoreProcess(FleetSettings settings) throws StartException {
     this.settings = settings;
-    this.seeds = settings.seedInternalAddresses();
     SplittableRandom random = ProcessSeed.random(settings.node());
     CoreStore store = openStore(settings, random.nextLong());
     long now = System.nanoTime();
     long incarnation = random.nextLong() & Long.MAX_VALUE;
     Member self = store.self();
-    this.storage = new StorageThread(store);
-    this.shards =
+    this.storage = new StorageThread(store, loop);
+    CoreShards shards =
         new CoreShards(
             ShardSettings.defaults().withstanding(settings.toleratedLosses().machines()),
             self,
             settings.seedInternalAddresses(),
             settings.firstRun(),
-            SHARD_COUNT,
+            ShardMap.SHARD_COUNT,
             store.stored(),
             random.nextLong(),
             now);
-    this.registry = new CoreRegistry(registrySettings(settings, incarnation), this, now);
+    CoreRegistry registry =
+        new CoreRegistry(
+            registrySettings(settings, incarnation),
+            new ShardLeases(shards, System::nanoTime),
+            now);
     Hello hello =
         new Hello(settings.node(), self.getAddress(), ROLE, incarnation, PROTOCOL_VERSION);
     this.links = new Links(loop, LinkSettings.defaults(), hello, this, metrics);
-    this.sender = new ValidMessageSender(links::send, System::nanoTime);
+    this.peerLinks =
+        new CorePeerLinks(links, settings.internalAddress(), settings.seedInternalAddresses());
     this.server = new ControlServer(loop, ControlSettings.defaults(), this);
-    this.status = new CoreStatus(settings, shards, registry, storage, loop, server);
+    this.host =
+        new CoreHost(
+            shards,
+            registry,
+            System::nanoTime,
+            peerLinks,
+            storage,
+            new CoreHttpCallers(server),
+            new LoggedConfigurations());
+    this.status = new CoreStatus(settings, shards, registry, storage, server);
     LOG.info("{} core {} starts as {}", LogEvent.CORE_STARTS, settings.node(), self.getId());
     store.stored().forEach((shard, content) -> logDamage(shard, content.damaged()));
   }
@@ -136,13 +124,15 @@
     } catch (ProtocolException | InterruptedException | RuntimeException failure) {
       throw new StartException("listen", settings.internalAddress() + " " + control, failure);
     }
-    ticks = loop.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+    ticks =
+        loop.scheduleAtFixedRate(
+            host::tick, CoreHost.TICK_MS, CoreHost.TICK_MS, TimeUnit.MILLISECONDS);
     loop.execute(() -> server.setReady(true));
   }
 
   /** Takes the seeds of changed settings; on any thread. */
   void settingsChanged(FleetSettings changed) {
-    loop.execute(() -> seeds = changed.seedInternalAddresses());
+    loop.execute(() -> peerLinks.setSeeds(changed.seedInternalAddresses()));
   }
 
   EventLoop loop() {
@@ -163,7 +153,7 @@
     loop.execute(
         () -> {
           server.close();
-          run(shards.release(System.nanoTime()));
+          host.release();
         });
     loop.schedule(links::close, RELEASE_MS, TimeUnit.MILLISECONDS);
     storage.close();
@@ -176,54 +166,29 @@
 
   @Override
   public void up(Peer peer) {
-    long now = System.nanoTime();
-    if (isDoor(peer)) {
-      perform(registry.doorUp(peer.key(), now));
-      return;
-    }
-    perform(registry.coreUp(peer.key(), now));
+    host.up(peer);
   }
 
   @Override
   public void down(Peer peer) {
-    long now = System.nanoTime();
-    if (links.isUp(peer.key())) {
-      return;
-    }
-    perform(isDoor(peer) ? registry.doorDown(peer.key(), now) : registry.coreDown(peer.key(), now));
+    host.down(peer);
   }
 
   @Override
   public void received(Peer peer, SpecificRecord body) {
-    long now = System.nanoTime();
-    if (isDoor(peer)) {
-      perform(registry.receiveFromDoor(peer.key(), body, now));
-      return;
-    }
-    run(shards.receive(peer.key(), body, now));
-    perform(registry.receiveFromCore(peer.key(), body, now));
-  }
-
-  private static boolean isDoor(Peer peer) {
-    return peer.role().equals(Links.DOOR_ROLE);
-  }
-
-  private void dialOther(String address) {
-    if (!address.equals(settings.internalAddress())) {
-      links.dial(address);
-    }
+    host.received(peer, body);
   }
 
   // Calls
 
   @Override
   public void backend(long call, String method, Backend backend) {
-    perform(registry.backendCall(call, method, backend, System.nanoTime()));
+    host.backendCall(call, method, backend);
   }
 
   @Override
   public void configuration(long call, String method, String ifMatch, byte[] body) {
-    run(shards.submit(call, method, ifMatch, body, System.nanoTime()));
+    host.operatorCall(call, method, ifMatch, body);
   }
 
   @Override
@@ -231,126 +196,6 @@
     status.answer(call, resource);
   }
 
-  // Work
-
-  private void tick() {
-    long now = System.nanoTime();
-    run(shards.tick(now));
-    perform(registry.tick(now));
-    followMembers();
-  }
-
-  /** Keeps a link to each seed and member, and to nobody else. */
-  private void followMembers() {
-    Set<String> wanted = new HashSet<>(seeds);
-    for (Member member : shards.members()) {
-      wanted.add(member.getAddress());
-    }
-    for (String address : Set.copyOf(links.dialled())) {
-      if (!wanted.contains(address)) {
-        links.undial(address);
-      }
-    }
-    wanted.forEach(this::dialOther);
-  }
-
-  private void run(List<CoreAction> actions) {
-    for (CoreAction action : actions) {
-      if (action instanceof CoreAction.Send send) {
-        sender.send(send.address(), send.message(), send.validUntil());
-      } else if (action instanceof CoreAction.StorePromise promise) {
-        storage.store(promise, outcome -> stored(promise.ticket(), outcome));
-      } else if (action instanceof CoreAction.StoreVersion version) {
-        storage.store(version, outcome -> stored(version.ticket(), outcome));
-      } else if (action instanceof CoreAction.AnswerOperator answer) {
-        server.answer(answer.call(), answer.status(), answer.body(), answer.validUntil());
-      } else if (action instanceof CoreAction.CommittedConfiguration committed) {
-        committed(committed);
-      }
-    }
-  }
-
-  private void stored(long ticket, StoreOutcome outcome) {
-    loop.execute(() -> run(shards.stored(ticket, outcome, System.nanoTime())));
-  }
-
-  private void committed(CoreAction.CommittedConfiguration committed) {
-    try {
-      newest = ConfigurationDocument.parse(committed.document(), newest);
-      Map<String, QuotaLimit> limits = new HashMap<>();
-      for (Tenant tenant : newest.tenants()) {
-        limits.put(tenant.name(), new QuotaLimit(tenant.ratePerSecond(), tenant.burst()));
-      }
-      LOG.info(
-          "{} configuration {} is committed",
-          LogEvent.CONFIGURATION_COMMITTED,
-          committed.edition());
-      perform(
-          registry.configuration(
-              committed.sequence(),
-              committed.edition(),
-              committed.storedDocument(),
-              limits,
-              System.nanoTime()));
-    } catch (ConfigurationException fault) {
-      LOG.error(
-          "{} committed configuration {} can't be used: {}",
-          LogEvent.CONFIGURATION_UNUSABLE,
-          committed.edition(),
-          fault.getMessage());
-    }
-  }
-
-  private void perform(List<RegistryAction> actions) {
-    for (RegistryAction action : actions) {
-      if (action instanceof RegistryAction.SendToCore send) {
-        links.send(send.address(), send.message());
-      } else if (action instanceof RegistryAction.SendToDoor send) {
-        links.send(send.door(), send.message());
-      } else if (action instanceof RegistryAction.AnswerBackend answer) {
-        server.answer(answer.call(), answer.status(), NO_JSON);
-      }
-    }
-  }
-
-  // What the registry asks of the shards
-
-  @Override
-  public boolean owns(int shard, long now) {
-    return shards.owns(shard, now);
-  }
-
-  @Override
-  public ProposalNumber token(int shard) {
-    return shards.token(shard);
-  }
-
-  @Override
-  public String ownerAddress(int shard) {
-    return shards.ownerAddress(shard, System.nanoTime());
-  }
-
-  @Override
-  public List<Member> members() {
-    return shards.members();
-  }
-
-  @Override
-  public int shardCount() {
-    return SHARD_COUNT;
-  }
-
-  @Override
-  public OptionalLong confirmedAt() {
-    long confirmedAt = shards.confirmedAt();
-    return confirmedAt == ReplicaGroup.NEVER ? OptionalLong.empty() : OptionalLong.of(confirmedAt);
-  }
-
-  @Override
-  public long configurationSequence() {
-    return shards.committedSequence();
-  }
-
   private static CoreStore openStore(FleetSettings settings, long random) throws StartException {
     Path path = settings.dataDirectory().orElse(null);
     if (path == null) {
@@ -362,7 +207,7 @@
           DiskDirectory.open(path),
           settings.internalAddress(),
           settings.firstRun(),
-          SHARD_COUNT,
+          ShardMap.SHARD_COUNT,
           random);
     } catch (StorageException failure) {
       throw new StartException("open the disk", failure.getMessage(), failure);
--- a/fleet/src/main/java/nettletrail/fleet/CoreStatus.java
+++ b/fleet/src/main/java/nettletrail/fleet/CoreStatus.java
@@ -1,7 +1,6 @@
 package nettletrail.fleet;
 
 import com.jsoniter.output.JsonStream;
-import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -41,7 +40,6 @@
   private final CoreShards shards;
   private final CoreRegistry registry;
   private final StorageThread storage;
-  private final EventLoop loop;
   private final ControlServer server;
 
   CoreStatus(
@@ -49,13 +47,11 @@
       CoreShards shards,
       CoreRegistry registry,
       StorageThread storage,
-      EventLoop loop,
       ControlServer server) {
     this.settings = settings;
     this.shards = shards;
     this.registry = registry;
     this.storage = storage;
-    this.loop = loop;
     this.server = server;
   }
 
@@ -134,16 +130,15 @@
   private void versions(long call) {
     storage.readVersions(
         CoreShards.CONFIGURATION_SHARD,
-        versions ->
-            loop.execute(() -> list(call, "versions", CoreStatusJson.versions(stored(versions)))),
-        failure -> loop.execute(() -> diskFailed(call, failure)));
+        versions -> list(call, "versions", CoreStatusJson.versions(stored(versions))),
+        failure -> diskFailed(call, failure));
   }
 
   private void version(long call, String edition) {
     storage.readVersions(
         CoreShards.CONFIGURATION_SHARD,
-        versions -> loop.execute(() -> document(call, edition, stored(versions))),
-        failure -> loop.execute(() -> diskFailed(call, failure)));
+        versions -> document(call, edition, stored(versions)),
+        failure -> diskFailed(call, failure));
   }
 
   private static List<StoredConfiguration> stored(List<ShardVersion> versions) {
--- a/fleet/src/main/java/nettletrail/fleet/DoorControlView.java
+++ b/fleet/src/main/java/nettletrail/fleet/DoorControlView.java
@@ -6,13 +6,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettletrail.configuration.CompressedDocument;
-import nettletrail.configuration.ConfigurationDocument;
 import nettletrail.configuration.ConfigurationException;
 import nettletrail.configuration.RoutingTable;
-import nettletrail.configuration.Tenant;
 import nettletrail.control.door.DoorControl;
-import nettletrail.control.grant.QuotaLimit;
+import nettletrail.control.host.ConfigurationReader;
+import nettletrail.control.host.QuotaLimits;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendState;
 import nettletrail.protocol.event.LogEvent;
@@ -33,11 +31,9 @@
   private final boolean keysNeedConfirmation;
   private final Runnable quotaShort;
   private final Map<String, List<BackendEndpoint>> endpoints = new HashMap<>();
+  private final ConfigurationReader reader = new ConfigurationReader();
   private RoutingTable routing;
 
-  /** What {@link #routing} was compiled from; the next one is read beside it. */
-  private ConfigurationDocument newest;
-
   /**
    * Begins without a configuration.
    *
@@ -52,32 +48,26 @@
   }
 
   /**
-   * Puts a configuration in force, given as it is stored and sent; false if it can't be used, which
-   * leaves the one before.
+   * Makes a configuration the active one, given as it is stored and sent.
+   *
+   * @return false if it can't be used; the active one then stays
    */
   boolean configurationChanged(ByteBuffer document) {
     try {
-      byte[] json = CompressedDocument.decompress(document);
-      ConfigurationDocument parsed = ConfigurationDocument.parse(json, newest);
-      RoutingTable table = RoutingTable.compile(parsed);
-      Map<String, QuotaLimit> limits = new HashMap<>();
-      for (Tenant tenant : table.tenants()) {
-        limits.put(tenant.name(), new QuotaLimit(tenant.ratePerSecond(), tenant.burst()));
-      }
-      control.grants().limits(limits);
+      RoutingTable table = reader.compile(document);
+      control.grants().limits(QuotaLimits.of(table.tenants()));
       routing = table;
-      newest = parsed;
       return true;
-    } catch (ConfigurationException fault) {
+    } catch (ConfigurationException unusable) {
       LOG.error(
           "{} the configuration can't be used: {}",
           LogEvent.CONFIGURATION_UNUSABLE,
-          fault.getMessage());
+          unusable.getMessage());
       return false;
     }
   }
 
-  /** The backends of a service are others. */
+  /** The backends of a service have changed; its endpoints are resolved again when next used. */
   void backendsChanged(String service) {
     endpoints.remove(service);
   }
--- a/fleet/src/main/java/nettletrail/fleet/DoorProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/DoorProcess.java
@@ -9,9 +9,12 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import nettletrail.control.door.DoorAction;
+import nettletrail.control.door.DoorAction.ConfigurationChanged;
 import nettletrail.control.door.DoorControl;
 import nettletrail.control.door.DoorControlSettings;
+import nettletrail.control.host.DoorDataPlane;
+import nettletrail.control.host.DoorHost;
+import nettletrail.control.host.NetworkDoorLinks;
 import nettletrail.fleet.settings.Bounds;
 import nettletrail.fleet.settings.FleetSettings;
 import nettletrail.protocol.Hello;
@@ -27,13 +30,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The role {@code door}: joins the data plane with the door's view of the control plane and the
- * links to the core. Decides nothing itself; everything runs on one event loop.
+ * The role {@code door}: runs the {@link DoorHost} of the control plane over links to the core, and
+ * joins it with the data plane. Everything runs on one event loop.
  */
 final class DoorProcess implements LinkListener, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(DoorProcess.class);
   private static final int PROTOCOL_VERSION = 2;
-  private static final long TICK_MS = 50;
 
   /** Descriptors that are kept for links, listeners and files. */
   private static final int RESERVED_DESCRIPTORS = 400;
@@ -51,6 +53,7 @@
   private final EventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final DoorControl control;
+  private final DoorHost host;
   private final DoorControlView view;
   private final Links links;
   private final ProcessMetrics metrics = new ProcessMetrics();
@@ -85,6 +88,8 @@
             incarnation,
             PROTOCOL_VERSION);
     this.links = new Links(loop, LinkSettings.defaults(), hello, this, metrics);
+    this.host =
+        new DoorHost(control, System::nanoTime, new NetworkDoorLinks(links), new DataPlane());
   }
 
   /** Begins to find the core; clients are listened for once a configuration is known. */
@@ -95,14 +100,15 @@
     } catch (InterruptedException | RuntimeException failure) {
       throw new StartException("listen", ready, failure);
     }
-    ticks = loop.scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+    ticks =
+        loop.scheduleAtFixedRate(
+            this::tick, DoorHost.TICK_MS, DoorHost.TICK_MS, TimeUnit.MILLISECONDS);
     LOG.info("{} door {} starts", LogEvent.DOOR_STARTS, settings.node());
   }
 
   /** Takes the seeds of changed settings; on any thread. */
   void settingsChanged(FleetSettings changed) {
-    loop.execute(
-        () -> perform(control.settingsChanged(changed.seedInternalAddresses(), System.nanoTime())));
+    loop.execute(() -> host.settingsChanged(changed.seedInternalAddresses()));
   }
 
   EventLoop loop() {
@@ -143,35 +149,33 @@
 
   @Override
   public void up(Peer peer) {
-    perform(control.linkUp(peer.key(), System.nanoTime()));
+    host.up(peer);
   }
 
   @Override
   public void down(Peer peer) {
-    if (!links.isUp(peer.key())) {
-      perform(control.linkDown(peer.key(), System.nanoTime()));
-    }
+    host.down(peer);
   }
 
   @Override
   public void received(Peer peer, SpecificRecord body) {
-    perform(control.received(peer.key(), body, System.nanoTime()));
-    tellGrownQuotas();
+    host.received(peer, body);
+    notifyGrownQuotas();
     schedulePoll();
   }
 
   private void tick() {
-    perform(control.tick(System.nanoTime()));
-    tellGrownQuotas();
+    host.tick();
+    notifyGrownQuotas();
   }
 
-  /** Asked after a request found too few tokens; the owner is asked at once. */
+  /** A request found too few tokens: requests a grant of the owner without waiting for a tick. */
   private void quotaShort() {
-    perform(control.poll(System.nanoTime()));
+    host.poll();
     schedulePoll();
   }
 
-  /** Asks again before the next tick where that is due; one such poll is waited for at a time. */
+  /** Schedules a poll where one is due before the next tick; at most one is pending. */
   private void schedulePoll() {
     OptionalLong delay = control.nextPoll();
     if (delay.isEmpty() || pollScheduled) {
@@ -187,46 +191,13 @@
         TimeUnit.NANOSECONDS);
   }
 
-  private void tellGrownQuotas() {
+  private void notifyGrownQuotas() {
     List<String> tenants = control.grants().takeGrownTenants();
     if (!tenants.isEmpty()) {
       router.quotaGranted(tenants);
     }
   }
 
-  private void perform(List<DoorAction> actions) {
-    for (DoorAction action : actions) {
-      if (action instanceof DoorAction.Dial dial) {
-        links.dial(dial.address());
-      } else if (action instanceof DoorAction.Undial undial) {
-        links.undial(undial.address());
-      } else if (action instanceof DoorAction.SendToCore send) {
-        links.send(send.address(), send.message());
-      } else if (action instanceof DoorAction.ConfigurationChanged changed) {
-        configurationChanged(changed);
-      } else if (action instanceof DoorAction.BackendsChanged changed) {
-        view.backendsChanged(changed.service());
-        router.backendsChanged(changed.service());
-      }
-    }
-  }
-
-  private void configurationChanged(DoorAction.ConfigurationChanged changed) {
-    long began = System.nanoTime();
-    putInForce(changed);
-    long now = System.nanoTime();
-    control.configurationInForce(now - began, now);
-  }
-
-  private void putInForce(DoorAction.ConfigurationChanged changed) {
-    if (view.configurationChanged(changed.document())) {
-      LOG.info(
-          "{} configuration {} is in force", LogEvent.CONFIGURATION_IN_FORCE, changed.edition());
-      router.routingChanged();
-      listen();
-    }
-  }
-
   /**
    * Clients are listened for from the first configuration on: before it every request would have to
    * be refused.
@@ -248,6 +219,33 @@
             });
   }
 
+  /** What the control plane changes in the router. */
+  private final class DataPlane implements DoorDataPlane {
+    /** Reports how long it took too: the spacing of configurations depends on it. */
+    @Override
+    public void activate(ConfigurationChanged changed) {
+      long began = System.nanoTime();
+      route(changed);
+      long now = System.nanoTime();
+      control.configurationInForce(now - began, now);
+    }
+
+    private void route(ConfigurationChanged changed) {
+      if (view.configurationChanged(changed.document())) {
+        LOG.info(
+            "{} configuration {} is in force", LogEvent.CONFIGURATION_IN_FORCE, changed.edition());
+        router.routingChanged();
+        listen();
+      }
+    }
+
+    @Override
+    public void backendsChanged(String service) {
+      view.backendsChanged(service);
+      router.backendsChanged(service);
+    }
+  }
+
   private static RouterSettings routerSettings(FleetSettings settings, long seed) {
     Bounds bounds = settings.bounds();
     return new RouterSettings(
--- /dev/null
+++ b/fleet/src/main/java/nettletrail/fleet/LoggedConfigurations.java
@@ -0,0 +1,40 @@
+package nettletrail.fleet;
+
+import java.util.Map;
+import java.util.Optional;
+import nettletrail.configuration.ConfigurationDocument;
+import nettletrail.configuration.ConfigurationException;
+import nettletrail.control.grant.QuotaLimit;
+import nettletrail.control.host.CommittedConfigurations;
+import nettletrail.control.host.ConfigurationReader;
+import nettletrail.control.host.QuotaLimits;
+import nettletrail.control.shard.CoreAction.CommittedConfiguration;
+import nettletrail.protocol.event.LogEvent;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Reads committed configurations, and logs each of them as committed or as unusable. */
+final class LoggedConfigurations implements CommittedConfigurations {
+  private static final Logger LOG = LoggerFactory.getLogger(LoggedConfigurations.class);
+
+  private final ConfigurationReader reader = new ConfigurationReader();
+
+  @Override
+  public Optional<Map<String, QuotaLimit>> limits(CommittedConfiguration committed) {
+    try {
+      ConfigurationDocument document = reader.parse(committed.document());
+      LOG.info(
+          "{} configuration {} is committed",
+          LogEvent.CONFIGURATION_COMMITTED,
+          committed.edition());
+      return Optional.of(QuotaLimits.of(document.tenants()));
+    } catch (ConfigurationException unusable) {
+      LOG.error(
+          "{} committed configuration {} can't be used: {}",
+          LogEvent.CONFIGURATION_UNUSABLE,
+          committed.edition(),
+          unusable.getMessage());
+      return Optional.empty();
+    }
+  }
+}
