--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Operator.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CapacityOperator.java
@@ -9,12 +9,12 @@
  * Sends configurations one after the other, each again to another core process until it is
  * acknowledged.
  */
-final class Operator {
+final class CapacityOperator {
   private static final long RESEND = VirtualTime.SECOND;
   private static final long TRANSFER = 1_400_000;
 
   private final VirtualTime time;
-  private final List<CoreNode> cores;
+  private final List<MeasuredCore> cores;
   private final CompiledConfigurations configurations;
   private final Demand demand;
   private final int tenants;
@@ -23,7 +23,7 @@
   private long edition;
   private int nextCore;
 
-  Operator(FleetParts parts, List<CoreNode> cores, int tenants) {
+  CapacityOperator(FleetParts parts, List<MeasuredCore> cores, int tenants) {
     this.time = parts.time();
     this.configurations = parts.configurations();
     this.demand = parts.demand();
@@ -70,7 +70,7 @@
     lastCall++;
     long call = lastCall;
     editionOfCall.put(call, made);
-    CoreNode core = cores.get(nextCore++ % cores.size());
+    MeasuredCore core = cores.get(nextCore++ % cores.size());
     time.after(
         TRANSFER,
         () -> core.process().submit(() -> core.order(call, method, Long.toString(base), body)));
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CompiledConfigurations.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CompiledConfigurations.java
@@ -39,7 +39,7 @@
       return known;
     }
     long began = Gauge.cpuNs();
-    Map<String, QuotaLimit> limits = Map.copyOf(CoreNode.limits(changed.document()));
+    Map<String, QuotaLimit> limits = Map.copyOf(MeasuredCore.limits(changed.document()));
     long spent = Gauge.cpuNs() - began;
     byEdition.put(changed.edition(), new Compiled(limits, spent));
     return new Compiled(limits, 0);
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
@@ -134,7 +134,7 @@
     int doors = fleet.doors().size();
     int restarts = part(RESTARTS_PER_MINUTE);
     for (int i = 0; i < restarts; i++) {
-      HollowDoor door = fleet.doors().get(i * doors / restarts % doors);
+      MeasuredDoor door = fleet.doors().get(i * doors / restarts % doors);
       time.after(i * MINUTE * SECOND / RESTARTS_PER_MINUTE, () -> restart(door));
     }
   }
@@ -142,38 +142,38 @@
   private void allDoorsByTenths() {
     long gap = part(MINUTE) * SECOND / TENTHS;
     for (int i = 0; i < fleet.doors().size(); i++) {
-      HollowDoor door = fleet.doors().get(i);
+      MeasuredDoor door = fleet.doors().get(i);
       time.after(i % TENTHS * gap, () -> restart(door));
     }
   }
 
-  private void restart(HollowDoor door) {
+  private void restart(MeasuredDoor door) {
     door.kill();
     time.after(2 * SECOND, door::start);
   }
 
   /** The owner of the configuration goes while a change is under way. */
   private void ownerKilled() {
-    CoreNode owner = fleet.owner(0);
+    MeasuredCore owner = fleet.owner(0);
     fleet.operator().sendChange();
     owner.kill();
     time.after(OWNER_AWAY_SECONDS * SECOND, owner::start);
   }
 
   private void zoneGoneAndBack() {
-    List<HollowBackend> backends =
+    List<SimulatedBackend> backends =
         fleet.backends().stream().filter(backend -> backend.zone() == 0).toList();
-    List<HollowDoor> doors = new ArrayList<>();
+    List<MeasuredDoor> doors = new ArrayList<>();
     for (int i = 0; i < fleet.doors().size(); i += FleetPlan.ZONES) {
       doors.add(fleet.doors().get(i));
     }
-    backends.forEach(HollowBackend::stop);
-    doors.forEach(HollowDoor::kill);
+    backends.forEach(SimulatedBackend::stop);
+    doors.forEach(MeasuredDoor::kill);
     time.after(
         ZONE_AWAY_SECONDS * SECOND,
         () -> {
-          backends.forEach(HollowBackend::start);
-          doors.forEach(HollowDoor::start);
+          backends.forEach(SimulatedBackend::start);
+          doors.forEach(MeasuredDoor::start);
         });
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowDoor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredDoor.java
@@ -4,15 +4,21 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import nettletrail.control.door.DoorAction;
+import nettletrail.control.door.DoorAction.ConfigurationChanged;
 import nettletrail.control.door.DoorControl;
 import nettletrail.control.door.DoorControlSettings;
+import nettletrail.control.host.DoorDataPlane;
+import nettletrail.control.host.DoorHost;
+import nettletrail.control.host.DoorLinks;
 import nettletrail.emulator.simulation.VirtualTime;
 import org.apache.avro.specific.SpecificRecord;
 
-/** A door's real control plane with its share of requests, which take quota and do nothing else. */
-final class HollowDoor implements MeasuredNetwork.Endpoint {
-  private static final long TICK = 50 * VirtualTime.MILLISECOND;
+/**
+ * A door's real control plane over measured links, with its share of the requests, which take quota
+ * and do nothing else.
+ */
+final class MeasuredDoor implements MeasuredNetwork.Endpoint {
+  private static final long TICK = DoorHost.TICK_MS * VirtualTime.MILLISECOND;
   private static final long REVOKE_MS = 5_000;
   private static final long IN_FORCE_MS = 9_000;
 
@@ -24,11 +30,12 @@
   private final List<String> seeds;
   private final SplittableRandom random;
   private final CompiledConfigurations configurations;
-  private final HollowRequests requests;
+  private final SimulatedRequests requests;
   private final Set<String> dialled = new HashSet<>();
   private DoorControl control;
+  private DoorHost host;
 
-  HollowDoor(
+  MeasuredDoor(
       FleetParts parts,
       MeasuredProcess process,
       int number,
@@ -43,11 +50,11 @@
     this.zone = FleetNames.zone(number);
     this.random = random;
     this.requests =
-        new HollowRequests(parts.demand(), requestsPerSecond, random.split(), parts.counts());
+        new SimulatedRequests(parts.demand(), requestsPerSecond, random.split(), parts.counts());
     network.add(name, this);
   }
 
-  /** Starts a life of the process with nothing in memory. */
+  /** Starts an incarnation of the process with nothing in memory. */
   void start() {
     process.start();
     requests.clear();
@@ -56,6 +63,7 @@
     DoorControlSettings settings =
         new DoorControlSettings(name, zone, incarnation, REVOKE_MS, IN_FORCE_MS, seeds);
     control = new DoorControl(settings, time.now());
+    host = new DoorHost(control, time::now, new MeasuredLinks(), new DataPlane());
     process.submit(this::tick);
     nextRequest();
   }
@@ -77,6 +85,7 @@
     process.end();
     requests.clear();
     control = null;
+    host = null;
   }
 
   @Override
@@ -85,7 +94,8 @@
   }
 
   private void tick() {
-    perform(control.tick(time.now()));
+    host.tick();
+    retryRequests();
     requests.refuseOverdue(control, time.now());
     process.after(TICK, this::tick);
   }
@@ -96,48 +106,32 @@
 
   private void request() {
     nextRequest();
-    perform(requests.request(control, time.now()));
-  }
-
-  private void perform(List<DoorAction> actions) {
-    for (DoorAction action : actions) {
-      if (action instanceof DoorAction.Dial dial) {
-        dialled.add(dial.address());
-      } else if (action instanceof DoorAction.Undial undial) {
-        dialled.remove(undial.address());
-      } else if (action instanceof DoorAction.SendToCore send) {
-        network.send(name, send.address(), send.message());
-      } else if (action instanceof DoorAction.ConfigurationChanged changed) {
-        configurationChanged(changed);
-      } else if (action instanceof DoorAction.BackendsChanged changed) {
-        control.backends(changed.service());
-      }
-    }
-    requests.retryGrown(control, time.now());
+    host.perform(requests.request(control, time.now()));
+    retryRequests();
   }
 
-  private void configurationChanged(DoorAction.ConfigurationChanged changed) {
-    CompiledConfigurations.Compiled compiled = configurations.of(changed);
-    process.charge(compiled.cpuNs());
-    control.grants().limits(compiled.limits());
-    configurations.inForce(name, changed.edition(), time.now());
+  private void retryRequests() {
+    requests.retryGrown(control, time.now());
   }
 
   // Links
 
   @Override
   public void up(String peer, boolean peerIsDoor) {
-    perform(control.linkUp(peer, time.now()));
+    host.linkUp(peer);
+    retryRequests();
   }
 
   @Override
   public void down(String peer, boolean peerIsDoor) {
-    perform(control.linkDown(peer, time.now()));
+    host.linkDown(peer);
+    retryRequests();
   }
 
   @Override
   public void received(String peer, boolean peerIsDoor, SpecificRecord message) {
-    perform(control.received(peer, message, time.now()));
+    host.received(peer, message);
+    retryRequests();
   }
 
   @Override
@@ -149,4 +143,43 @@
   public Set<String> dialled() {
     return dialled;
   }
+
+  private final class MeasuredLinks implements DoorLinks {
+    @Override
+    public void dial(String address) {
+      dialled.add(address);
+    }
+
+    @Override
+    public void undial(String address) {
+      dialled.remove(address);
+    }
+
+    @Override
+    public void send(String address, SpecificRecord message) {
+      network.send(name, address, message);
+    }
+
+    /** Two processes have one link at most, and the host is notified only after it is down. */
+    @Override
+    public boolean isUp(String address) {
+      return false;
+    }
+  }
+
+  /** Requests need limits only; the lookup of backends has its cost in the measurement. */
+  private final class DataPlane implements DoorDataPlane {
+    @Override
+    public void activate(ConfigurationChanged changed) {
+      CompiledConfigurations.Compiled compiled = configurations.of(changed);
+      process.charge(compiled.cpuNs());
+      control.grants().limits(compiled.limits());
+      configurations.inForce(name, changed.edition(), time.now());
+    }
+
+    @Override
+    public void backendsChanged(String service) {
+      control.backends(service);
+    }
+  }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
@@ -28,12 +28,12 @@
   private final FleetPlan plan;
   private final VirtualTime time = new VirtualTime();
   private final MeasuredNetwork network = new MeasuredNetwork(time);
-  private final List<CoreNode> cores = new ArrayList<>();
-  private final List<HollowDoor> doors = new ArrayList<>();
-  private final List<HollowBackend> backends = new ArrayList<>();
+  private final List<MeasuredCore> cores = new ArrayList<>();
+  private final List<MeasuredDoor> doors = new ArrayList<>();
+  private final List<SimulatedBackend> backends = new ArrayList<>();
   private final RequestCounts counts = new RequestCounts();
   private final CompiledConfigurations configurations = new CompiledConfigurations();
-  private final Operator operator;
+  private final CapacityOperator operator;
 
   MeasuredFleet(FleetPlan plan, long seed) {
     this.plan = plan;
@@ -42,20 +42,21 @@
     List<String> seeds =
         IntStream.range(0, FleetPlan.CORE_PROCESSES).mapToObj(FleetNames::coreAddress).toList();
     FleetParts parts = new FleetParts(time, network, configurations, demand, counts, seeds);
-    operator = new Operator(parts, cores, plan.tenants());
+    operator = new CapacityOperator(parts, cores, plan.tenants());
     for (int i = 0; i < FleetPlan.CORE_PROCESSES; i++) {
       int region = i < FleetPlan.CORE_PROCESSES - 1 ? 0 : 1;
       MeasuredProcess process = new MeasuredProcess(time, FleetNames.core(i), region);
-      cores.add(new CoreNode(time, network, process, seeds.get(i), seeds, operator::acknowledged));
+      cores.add(
+          new MeasuredCore(time, network, process, seeds.get(i), seeds, operator::acknowledged));
     }
     double doorRate = plan.requestsPerSecond() / plan.doors();
     for (int i = 0; i < plan.doors(); i++) {
       MeasuredProcess process =
           new MeasuredProcess(time, FleetNames.door(i), regionOfZone(zone(i)));
-      doors.add(new HollowDoor(parts, process, i, doorRate, random.split()));
+      doors.add(new MeasuredDoor(parts, process, i, doorRate, random.split()));
     }
     for (int i = 0; i < plan.backends(); i++) {
-      backends.add(new HollowBackend(time, cores, i, random.split()));
+      backends.add(new SimulatedBackend(time, cores, i, random.split()));
     }
   }
 
@@ -79,15 +80,15 @@
     return network;
   }
 
-  List<CoreNode> cores() {
+  List<MeasuredCore> cores() {
     return cores;
   }
 
-  List<HollowDoor> doors() {
+  List<MeasuredDoor> doors() {
     return doors;
   }
 
-  List<HollowBackend> backends() {
+  List<SimulatedBackend> backends() {
     return backends;
   }
 
@@ -99,15 +100,15 @@
     return configurations;
   }
 
-  Operator operator() {
+  CapacityOperator operator() {
     return operator;
   }
 
   /** Starts everything and lets the first configuration come into force. */
   void start() {
-    cores.forEach(CoreNode::start);
-    doors.forEach(HollowDoor::start);
-    backends.forEach(HollowBackend::start);
+    cores.forEach(MeasuredCore::start);
+    doors.forEach(MeasuredDoor::start);
+    backends.forEach(SimulatedBackend::start);
     connect();
     time.runFor(3 * VirtualTime.SECOND);
     operator.sendFirst();
@@ -157,9 +158,9 @@
   }
 
   /** The core process that owns a shard now, or null. */
-  CoreNode owner(int shard) {
-    for (CoreNode core : cores) {
-      if (core.process().running() && core.owns(shard, time.now())) {
+  MeasuredCore owner(int shard) {
+    for (MeasuredCore core : cores) {
+      if (core.process().running() && core.owns(shard)) {
         return core;
       }
     }
@@ -170,7 +171,7 @@
   List<String> owners() {
     List<String> owners = new ArrayList<>();
     for (int shard = 0; shard < ShardMap.SHARD_COUNT; shard++) {
-      CoreNode owner = owner(shard);
+      MeasuredCore owner = owner(shard);
       owners.add(owner == null ? "" : owner.address());
     }
     return owners;
@@ -182,7 +183,7 @@
    */
   int unlistedBackends() {
     int unlisted = 0;
-    for (CoreNode core : cores) {
+    for (MeasuredCore core : cores) {
       if (core.process().runningFor(SETTLED)) {
         unlisted += unlistedAt(core);
       }
@@ -190,13 +191,13 @@
     return unlisted;
   }
 
-  private int unlistedAt(CoreNode core) {
+  private int unlistedAt(MeasuredCore core) {
     Set<String> listed = new HashSet<>();
     for (Backend backend : core.registry().backends()) {
       listed.add(backend.getId());
     }
     int unlisted = 0;
-    for (HollowBackend backend : backends) {
+    for (SimulatedBackend backend : backends) {
       boolean heard = backend.runningFor(SETTLED) && !network.regionsCutWithin(SETTLED);
       unlisted += heard && !listed.contains(backend.id()) ? 1 : 0;
     }
@@ -208,7 +209,7 @@
    */
   int expiredDoors() {
     int expired = 0;
-    for (CoreNode core : cores) {
+    for (MeasuredCore core : cores) {
       if (core.process().runningFor(SETTLED)) {
         expired += Math.max(0, reachingDoors(core) - core.registry().liveDoors(time.now()));
       }
@@ -216,9 +217,9 @@
     return expired;
   }
 
-  private int reachingDoors(CoreNode core) {
+  private int reachingDoors(MeasuredCore core) {
     int reaching = 0;
-    for (HollowDoor door : doors) {
+    for (MeasuredDoor door : doors) {
       MeasuredProcess process = door.process();
       boolean reaches =
           !network.regionsCutWithin(SETTLED) || process.region() == core.process().region();
@@ -229,11 +230,11 @@
 
   /** Lets go of the doors' control planes, for measuring what they keep. */
   void releaseDoors() {
-    doors.forEach(HollowDoor::release);
+    doors.forEach(MeasuredDoor::release);
   }
 
   /** Lets go of the core processes' deciders, for measuring what they keep. */
   void releaseCores() {
-    cores.forEach(CoreNode::release);
+    cores.forEach(MeasuredCore::release);
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowBackend.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SimulatedBackend.java
@@ -9,14 +9,14 @@
  * A backend that only registers and sends heartbeats, each to one core process as long as that
  * runs.
  */
-final class HollowBackend {
+final class SimulatedBackend {
   private static final int ANSWER_BYTES =
       "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}".length();
-  private static final long HEARTBEAT = CoreNode.HEARTBEAT_MS * VirtualTime.MILLISECOND;
+  private static final long HEARTBEAT = MeasuredCore.HEARTBEAT_MS * VirtualTime.MILLISECOND;
   private static final long TRANSFER = 1_400_000;
 
   private final VirtualTime time;
-  private final List<CoreNode> cores;
+  private final List<MeasuredCore> cores;
   private final int number;
   private final SplittableRandom random;
   private boolean running;
@@ -24,7 +24,8 @@
   private long startedAt;
   private long callSequence;
 
-  HollowBackend(VirtualTime time, List<CoreNode> cores, int number, SplittableRandom random) {
+  SimulatedBackend(
+      VirtualTime time, List<MeasuredCore> cores, int number, SplittableRandom random) {
     this.time = time;
     this.cores = cores;
     this.number = number;
@@ -65,7 +66,7 @@
     callSequence++;
     Backend report =
         Backend.newBuilder(SampleMessages.backend(number)).setCallSequence(callSequence).build();
-    CoreNode core = runningCore();
+    MeasuredCore core = runningCore();
     if (core != null) {
       core.process().exchanged(requestBytes(), ANSWER_BYTES);
       time.after(
@@ -74,9 +75,9 @@
     time.after(HEARTBEAT, () -> heartbeat(ofIncarnation));
   }
 
-  private CoreNode runningCore() {
+  private MeasuredCore runningCore() {
     for (int i = 0; i < cores.size(); i++) {
-      CoreNode core = cores.get((number + i) % cores.size());
+      MeasuredCore core = cores.get((number + i) % cores.size());
       if (core.process().running()) {
         return core;
       }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/HollowRequests.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SimulatedRequests.java
@@ -13,7 +13,7 @@
  * One door's share of requests: each takes quota, waits for it if need be, and does nothing else.
  * Times are steady nanoseconds.
  */
-public final class HollowRequests {
+public final class SimulatedRequests {
   /** A request that got no quota for so long is refused. */
   private static final long LONGEST_WAIT = 1_700_000_000L;
 
@@ -29,7 +29,7 @@
   /**
    * {@code perSecond}: requests of this door; {@code counts} is shared by the doors of one thread.
    */
-  public HollowRequests(
+  public SimulatedRequests(
       Demand demand, double perSecond, SplittableRandom random, RequestCounts counts) {
     this.demand = demand;
     this.perSecond = perSecond;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketDoor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketDoor.java
@@ -4,10 +4,13 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import nettletrail.control.door.DoorAction;
+import nettletrail.control.door.DoorAction.ConfigurationChanged;
 import nettletrail.control.door.DoorControl;
 import nettletrail.control.door.DoorControlSettings;
-import nettletrail.emulator.capacity.HollowRequests;
+import nettletrail.control.host.DoorDataPlane;
+import nettletrail.control.host.DoorHost;
+import nettletrail.control.host.NetworkDoorLinks;
+import nettletrail.emulator.capacity.SimulatedRequests;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.link.LinkListener;
 import nettletrail.protocol.link.LinkSettings;
@@ -16,21 +19,22 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /**
- * A door's control plane on real links, with hollow requests. Everything runs on its event loop.
+ * A door's control plane over real links, with simulated requests. Everything runs on its event
+ * loop.
  */
 final class SocketDoor implements LinkListener {
   private static final int PROTOCOL_VERSION = 2;
-  private static final long TICK_MS = 50;
   private static final long REVOKE_MS = 5_000;
   private static final long IN_FORCE_MS = 9_000;
 
   private final EventLoop loop;
   private final Links links;
   private final DoorControl control;
-  private final HollowRequests requests;
+  private final DoorHost host;
+  private final SimulatedRequests requests;
   private final ConfigurationListener configurations;
 
-  /** Told each edition that a door puts in force. */
+  /** Notified of each configuration that a door activates. */
   interface ConfigurationListener {
     /** Called on the door's loop. */
     void inForce(SocketDoor door, long edition, ByteBuffer document);
@@ -41,7 +45,7 @@
       String name,
       long incarnation,
       List<String> seeds,
-      HollowRequests requests,
+      SimulatedRequests requests,
       ConfigurationListener configurations) {
     this.loop = loop;
     this.requests = requests;
@@ -52,11 +56,13 @@
             System.nanoTime());
     Hello hello = new Hello(name, "", Links.DOOR_ROLE, incarnation, PROTOCOL_VERSION);
     this.links = new Links(loop, LinkSettings.defaults(), hello, this);
+    this.host =
+        new DoorHost(control, System::nanoTime, new NetworkDoorLinks(links), new DataPlane());
   }
 
   /** Begins to dial, and with the requests. */
   void start(long delayMs) {
-    loop.scheduleAtFixedRate(this::tick, delayMs, TICK_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(this::tick, delayMs, DoorHost.TICK_MS, TimeUnit.MILLISECONDS);
     loop.schedule(this::request, delayMs, TimeUnit.MILLISECONDS);
   }
 
@@ -69,46 +75,51 @@
   }
 
   private void tick() {
-    perform(control.tick(System.nanoTime()));
+    host.tick();
+    retryRequests();
     requests.refuseOverdue(control, System.nanoTime());
   }
 
   private void request() {
     loop.schedule(this::request, requests.gap(), TimeUnit.NANOSECONDS);
-    perform(requests.request(control, System.nanoTime()));
+    host.perform(requests.request(control, System.nanoTime()));
+    retryRequests();
   }
 
-  private void perform(List<DoorAction> actions) {
-    for (DoorAction action : actions) {
-      if (action instanceof DoorAction.Dial dial) {
-        links.dial(dial.address());
-      } else if (action instanceof DoorAction.Undial undial) {
-        links.undial(undial.address());
-      } else if (action instanceof DoorAction.SendToCore send) {
-        links.send(send.address(), send.message());
-      } else if (action instanceof DoorAction.ConfigurationChanged changed) {
-        configurations.inForce(this, changed.edition(), changed.document());
-      } else if (action instanceof DoorAction.BackendsChanged changed) {
-        control.backends(changed.service());
-      }
-    }
+  private void retryRequests() {
     requests.retryGrown(control, System.nanoTime());
   }
 
   @Override
   public void up(Peer peer) {
-    perform(control.linkUp(peer.key(), System.nanoTime()));
+    host.up(peer);
+    retryRequests();
   }
 
   @Override
   public void down(Peer peer) {
     if (!links.isUp(peer.key())) {
-      perform(control.linkDown(peer.key(), System.nanoTime()));
+      host.linkDown(peer.key());
+      retryRequests();
     }
   }
 
   @Override
   public void received(Peer peer, SpecificRecord body) {
-    perform(control.received(peer.key(), body, System.nanoTime()));
+    host.received(peer, body);
+    retryRequests();
+  }
+
+  /** Requests need limits only; the lookup of backends has its cost in the measurement. */
+  private final class DataPlane implements DoorDataPlane {
+    @Override
+    public void activate(ConfigurationChanged changed) {
+      configurations.inForce(SocketDoor.this, changed.edition(), changed.document());
+    }
+
+    @Override
+    public void backendsChanged(String service) {
+      control.backends(service);
+    }
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketRun.java
@@ -17,21 +17,19 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.Stream;
-import nettletrail.configuration.CompressedDocument;
-import nettletrail.configuration.ConfigurationDocument;
 import nettletrail.configuration.ConfigurationException;
-import nettletrail.configuration.RoutingTable;
-import nettletrail.configuration.Tenant;
 import nettletrail.control.grant.QuotaLimit;
+import nettletrail.control.host.ConfigurationReader;
+import nettletrail.control.host.QuotaLimits;
 import nettletrail.emulator.capacity.Demand;
 import nettletrail.emulator.capacity.FleetNames;
 import nettletrail.emulator.capacity.FleetPlan;
 import nettletrail.emulator.capacity.Gauge;
-import nettletrail.emulator.capacity.HollowRequests;
 import nettletrail.emulator.capacity.ProcessUse;
 import nettletrail.emulator.capacity.RequestCounts;
 import nettletrail.emulator.capacity.Rounded;
 import nettletrail.emulator.capacity.SampleDocument;
+import nettletrail.emulator.capacity.SimulatedRequests;
 
 /**
  * One size over sockets: {@code DOORS SECONDS}. Prints one JSON object. Real: the core processes,
@@ -119,8 +117,8 @@
     for (int i = 0; i < plan.doors(); i++) {
       EventLoop loop = group.next();
       RequestCounts loopCounts = ofLoop.computeIfAbsent(loop, unseen -> new RequestCounts());
-      HollowRequests requests =
-          new HollowRequests(
+      SimulatedRequests requests =
+          new SimulatedRequests(
               demand, plan.requestsPerSecond() / plan.doors(), random.split(), loopCounts);
       SocketDoor door =
           new SocketDoor(
@@ -144,14 +142,9 @@
 
   private static Map<String, QuotaLimit> compile(ByteBuffer document) {
     try {
-      byte[] json = CompressedDocument.decompress(document);
-      Map<String, QuotaLimit> limits = new HashMap<>();
-      for (Tenant tenant : RoutingTable.compile(ConfigurationDocument.parse(json)).tenants()) {
-        limits.put(tenant.name(), new QuotaLimit(tenant.ratePerSecond(), tenant.burst()));
-      }
-      return Map.copyOf(limits);
-    } catch (ConfigurationException e) {
-      throw new IllegalStateException("an invalid configuration came into force", e);
+      return Map.copyOf(QuotaLimits.of(new ConfigurationReader().compile(document).tenants()));
+    } catch (ConfigurationException invalid) {
+      throw new IllegalStateException("an invalid configuration was delivered", invalid);
     }
   }
 
