--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ChoiceCost.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ChoiceCost.java
@@ -17,6 +17,9 @@
  * Processor time of a door for the choice of a backend, by the number of backends of the service.
  */
 public final class ChoiceCost {
+  private static final String ADDRESS = "10.128.0.1";
+  private static final int PORT = 8080;
+  private static final int SLOTS = 128;
   private static final int[] BACKENDS = {19, 38, 75, 150, 600};
   private static final int WARMING = 20_000;
   private static final int CHOICES = 20_000;
@@ -35,9 +38,9 @@
   private ChoiceCost(int backends) {
     List<BackendEndpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < backends; i++) {
-      InetSocketAddress address = InetSocketAddress.createUnresolved("10.128.0.1", 8080);
+      InetSocketAddress address = InetSocketAddress.createUnresolved(ADDRESS, PORT);
       endpoints.add(
-          new BackendEndpoint(FleetNames.backend(i), address, FleetNames.zone(i), 128, 0));
+          new BackendEndpoint(FleetNames.backend(i), address, FleetNames.zone(i), SLOTS, 0));
     }
     service.update(endpoints);
   }
@@ -52,7 +55,7 @@
       cost.choose(CHOICES);
       repeats[i] = (Gauge.cpuNs() - began) / MICROSECOND / CHOICES;
     }
-    return Gauge.quantile(repeats, 0.5);
+    return Gauge.quantile(repeats, Gauge.MEDIAN);
   }
 
   private void choose(int count) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CompiledConfigurations.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CompiledConfigurations.java
@@ -13,6 +13,8 @@
  * one process hold it once.
  */
 final class CompiledConfigurations {
+  private static final double NANOS_PER_SECOND = 1e9;
+
   private final Map<Long, Compiled> byEdition = new HashMap<>();
   private final Map<Long, Order> orders = new HashMap<>();
 
@@ -82,7 +84,10 @@
     orders.forEach(
         (number, order) -> {
           if (number >= firstEdition && number <= lastEdition) {
-            order.inForceAt.values().forEach(at -> seconds.add((at - order.sentAt) / 1e9));
+            order
+                .inForceAt
+                .values()
+                .forEach(at -> seconds.add((at - order.sentAt) / NANOS_PER_SECOND));
           }
         });
     return seconds;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ConfigurationCost.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ConfigurationCost.java
@@ -80,7 +80,7 @@
   }
 
   private static double median(double[] values) {
-    return Gauge.quantile(values, 0.5);
+    return Gauge.quantile(values, Gauge.MEDIAN);
   }
 
   /** All sizes, the fit through all but the largest, and the error of its prediction. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Demand.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Demand.java
@@ -6,6 +6,8 @@
  * Who asks for what: tenants by Zipf's law with exponent 1, requests of exponentially spread size.
  */
 public final class Demand {
+  private static final double NANOS_PER_SECOND = 1e9;
+
   /** Tokens of a request, prompt and answer, on the mean. */
   static final double MEAN_TOKENS = 2_000;
 
@@ -57,6 +59,6 @@
 
   /** Nanoseconds until the next request of a stream of this rate. */
   static long gap(SplittableRandom random, double perSecond) {
-    return Math.max(1, (long) (-Math.log(1 - random.nextDouble()) * 1e9 / perSecond));
+    return Math.max(1, (long) (-Math.log(1 - random.nextDouble()) * NANOS_PER_SECOND / perSecond));
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
@@ -9,6 +9,10 @@
 
 /** Plays what happens to a fleet over a year and tells the peak of each, and how long it lasts. */
 final class FleetEvents {
+  /** Seconds of undisturbed service that the events are compared with. */
+  private static final int CALM_SECONDS = 5;
+
+  private static final double MEGABYTE = 1e6;
   private static final long SECOND = VirtualTime.SECOND;
   private static final int RESTARTS_PER_MINUTE = 51;
   private static final int TENTHS = 10;
@@ -41,7 +45,7 @@
   /** All events, one after the other; {@code progress} is told each. */
   Map<String, Object> playAll(Consumer<Map<String, Object>> progress) {
     FleetMeter meter = new FleetMeter(fleet);
-    time.runFor(5 * SECOND);
+    time.runFor(CALM_SECONDS * SECOND);
     calm = meter.read();
     Map<String, Object> events = new LinkedHashMap<>();
     for (Event event : all()) {
@@ -110,7 +114,7 @@
             .mapToLong(core -> core.process().takeMaxQueuedBytes())
             .max()
             .orElse(0);
-    told.put("core_queued_mb_max", Rounded.of(queued / 1e6));
+    told.put("core_queued_mb_max", Rounded.of(queued / MEGABYTE));
     return told;
   }
 
@@ -119,7 +123,7 @@
     if (last >= firstEdition) {
       List<Double> seconds = fleet.configurations().secondsUntilInForce(firstEdition, last);
       double[] sorted = seconds.stream().mapToDouble(Double::doubleValue).toArray();
-      told.put("in_force_p99_s", Rounded.of(Gauge.quantile(sorted, 0.99)));
+      told.put("in_force_p99_s", Rounded.of(Gauge.quantile(sorted, Gauge.P99)));
       told.put("in_force_max_s", Rounded.of(Gauge.quantile(sorted, 1)));
       long wanted = (last - firstEdition + 1) * fleet.doors().size();
       told.put("changes_missing_at_doors", wanted - seconds.size());
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetMeter.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetMeter.java
@@ -66,20 +66,20 @@
 
     /** Percent of a core, the 99th percentile over doors. */
     double doorCpuPct() {
-      return doorQuantile(MeasuredProcess.Usage::cpuNs, 0.99) / SECOND * PERCENT;
+      return doorQuantile(MeasuredProcess.Usage::cpuNs, Gauge.P99) / SECOND * PERCENT;
     }
 
     double doorCpuMedianPct() {
-      return doorQuantile(MeasuredProcess.Usage::cpuNs, 0.5) / SECOND * PERCENT;
+      return doorQuantile(MeasuredProcess.Usage::cpuNs, Gauge.MEDIAN) / SECOND * PERCENT;
     }
 
     /** Bytes a second both ways, the 99th percentile over doors. */
     double doorBytesPerSecond() {
-      return doorQuantile(MeasuredProcess.Usage::bytes, 0.99);
+      return doorQuantile(MeasuredProcess.Usage::bytes, Gauge.P99);
     }
 
     double doorBytesMedianPerSecond() {
-      return doorQuantile(MeasuredProcess.Usage::bytes, 0.5);
+      return doorQuantile(MeasuredProcess.Usage::bytes, Gauge.MEDIAN);
     }
 
     /** Nanoseconds of processor time of a door, the mean. */
@@ -93,7 +93,8 @@
     }
 
     double doorMessagesPerSecond() {
-      return doorQuantile(usage -> usage.messagesSent() + (double) usage.messagesReceived(), 0.99);
+      return doorQuantile(
+          usage -> usage.messagesSent() + (double) usage.messagesReceived(), Gauge.P99);
     }
 
     /** Percent of a core, the busiest core process. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetNames.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetNames.java
@@ -4,6 +4,13 @@
 
 /** Names and addresses as long as those of a real fleet, the same for the same number. */
 public final class FleetNames {
+  private static final int PUBLIC_PORT = 8662;
+  private static final int LINK_PORT = 7680;
+  private static final int BACKEND_PORT = 8080;
+
+  /** Second number of the backends' addresses, which stay clear of those of cores and doors. */
+  private static final int BACKEND_NETWORK = 128;
+
   private static final long GOLDEN_RATIO = 0x9e3779b1L;
   private static final long LOW_32_BITS = 0xffffffffL;
   private static final int ADDRESSES_PER_BYTE = 250;
@@ -16,7 +23,7 @@
   }
 
   static String doorAddress(int number) {
-    return address(1, number, 8662);
+    return address(1, number, PUBLIC_PORT);
   }
 
   static String core(int number) {
@@ -24,10 +31,10 @@
   }
 
   static String coreAddress(int number) {
-    return address(0, number, 7680);
+    return address(0, number, LINK_PORT);
   }
 
-  /** Identity of a replica: its address and the life of its disk. */
+  /** Identity of a replica: its address and the incarnation of its disk. */
   static String member(int number) {
     return coreAddress(number) + "#0";
   }
@@ -38,7 +45,7 @@
   }
 
   static String backendAddress(int number) {
-    return address(128, number, 8080);
+    return address(BACKEND_NETWORK, number, BACKEND_PORT);
   }
 
   static String tenant(int number) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetPlan.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetPlan.java
@@ -34,6 +34,7 @@
   /** Replicated registers: one of the configuration, the others of the tenants. */
   public static final int SHARDS = 5;
 
+  /** Checks the ranges. */
   public FleetPlan {
     if (doors < 1 || backends < 1 || tenants < 1) {
       throw new IllegalArgumentException(
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Gauge.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Gauge.java
@@ -6,6 +6,12 @@
 
 /** Processor time and memory of the thread that measures, and the time that it has left. */
 public final class Gauge {
+  /** The quantile of the median. */
+  public static final double MEDIAN = 0.5;
+
+  /** The quantile of the 99th percentile. */
+  public static final double P99 = 0.99;
+
   private static final double SECOND = 1e9;
 
   /** The serial collector leaves some dead objects in place, but for one collection in four. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
@@ -15,6 +15,9 @@
  * counted.
  */
 final class MeasuredFleet {
+  /** Time in which all shards get an owner. */
+  private static final long ELECTIONS = 3 * VirtualTime.SECOND;
+
   private static final long CONNECT_EVERY = 100 * VirtualTime.MILLISECOND;
   private static final int LONGEST_SETTLING_SECONDS = 60;
   private static final long LITTLE_QUEUED = 1_000_000;
@@ -110,7 +113,7 @@
     doors.forEach(MeasuredDoor::start);
     backends.forEach(SimulatedBackend::start);
     connect();
-    time.runFor(3 * VirtualTime.SECOND);
+    time.runFor(ELECTIONS);
     operator.sendFirst();
     runUntilSettled();
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredProcess.java
@@ -10,6 +10,9 @@
  * bandwidth.
  */
 final class MeasuredProcess {
+  private static final int METER_ROUNDS = 20_000;
+  private static final int METER_REPEATS = 5;
+
   /** Bits that a machine's link carries in a second. */
   static final long LINK_BITS_PER_S = 1_000_000_000L;
 
@@ -162,9 +165,9 @@
 
   /** What reading the thread's clock twice costs by itself. */
   private static long meterCost() {
-    int rounds = 20_000;
+    int rounds = METER_ROUNDS;
     long min = Long.MAX_VALUE;
-    for (int repeat = 0; repeat < 5; repeat++) {
+    for (int repeat = 0; repeat < METER_REPEATS; repeat++) {
       long began = Gauge.cpuNs();
       for (int i = 1; i < rounds; i++) {
         Gauge.cpuNs();
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MessageSizes.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MessageSizes.java
@@ -16,6 +16,8 @@
  * Bytes of each message as it is framed: a fixed part, and a part for each element that it lists.
  */
 public final class MessageSizes {
+  private static final long EDITION = 1_000;
+
   /** Length before each frame. */
   public static final int FRAME_HEADER_BYTES = 4;
 
@@ -60,7 +62,8 @@
         linear(
             "ConfigurationChunk",
             "tenant",
-            tenants -> SampleMessages.configurationChunk(SampleDocument.complete(1_000, tenants))));
+            tenants ->
+                SampleMessages.configurationChunk(SampleDocument.complete(EDITION, tenants))));
     sizes.add(linear("FeedSnapshot", "backend", SampleMessages::feedSnapshot));
     sizes.add(linear("FeedEvents", "backend", SampleMessages::feedEvents));
     sizes.add(fixed("FeedAck", SampleMessages.feedAck(MANY)));
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/RequestCounts.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/RequestCounts.java
@@ -1,7 +1,9 @@
 package nettletrail.emulator.capacity;
 
-/** What became of the requests of hollow doors. One thread. */
+/** The outcomes of the requests of simulated doors. One thread. */
 public final class RequestCounts {
+  private static final double PERCENT = 100;
+
   private static final double MILLISECOND = 1e6;
 
   private long asked;
@@ -46,12 +48,12 @@
 
     /** Part of the requests that were refused, percent. */
     public double refusedPct() {
-      return asked == 0 ? 0 : 100.0 * refused / asked;
+      return asked == 0 ? 0 : PERCENT * refused / asked;
     }
 
     /** Part of the requests that had to wait for a grant, percent. */
     public double waitedPct() {
-      return letIn == 0 ? 0 : 100.0 * waited / letIn;
+      return letIn == 0 ? 0 : PERCENT * waited / letIn;
     }
 
     /** Mean wait of those that waited, milliseconds. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SampleDocument.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SampleDocument.java
@@ -10,6 +10,14 @@
  * tenant with two keys for each of the plan's.
  */
 public final class SampleDocument {
+  /** An estimate, so that the text need not be copied as it grows. */
+  private static final int CHARACTERS_PER_TENANT = 256;
+
+  /** Successive editions differ in the time-outs of their routes. */
+  private static final long MIN_TIMEOUT_MS = 8_000;
+
+  private static final long TIMEOUTS = 1_000;
+
   /** One for each model in steady use. */
   public static final int SERVICES = 4;
 
@@ -21,14 +29,14 @@
 
   private SampleDocument() {}
 
-  /** The whole document of an edition, as the operator sends it; all tenants have one limit. */
+  /** The complete document of an edition, as the operator sends it; all tenants have one limit. */
   public static byte[] complete(long edition, int tenants) {
     return complete(edition, tenants, tenant -> USUAL_TOKENS_PER_S);
   }
 
   /** The same with a limit for each tenant, in tokens a second; a second of it is the burst. */
   public static byte[] complete(long edition, int tenants, IntToDoubleFunction limits) {
-    StringBuilder json = new StringBuilder(256 * tenants);
+    StringBuilder json = new StringBuilder(CHARACTERS_PER_TENANT * tenants);
     json.append("{\"edition\":").append(edition).append(",\"routes\":[");
     for (int i = 0; i < SERVICES * ROUTES_PER_SERVICE; i++) {
       json.append(i == 0 ? "" : ",").append(route(i, edition));
@@ -38,7 +46,8 @@
       json.append(i == 0 ? "" : ",").append(service(i));
     }
     json.append(
-        "],\"limits\":{\"header_bytes\":16384,\"body_bytes\":4194304,\"header_ms\":3000,\"idle_ms\":15000}");
+        "],\"limits\":{\"header_bytes\":16384,\"body_bytes\":4194304,"
+            + "\"header_ms\":3000,\"idle_ms\":15000}");
     json.append(",\"senders\":[");
     for (int i = 0; i < tenants; i++) {
       json.append(i == 0 ? "" : ",").append(tenant(i, limits.applyAsDouble(i)));
@@ -61,7 +70,7 @@
             + "\"unstamped\":false,\"sticky\":true,\"resume\":true,\"gap_aim_ms\":300}",
         number,
         number,
-        8_000 + edition % 1_000,
+        MIN_TIMEOUT_MS + edition % TIMEOUTS,
         number % ROUTES_PER_SERVICE,
         FleetNames.service(number % SERVICES));
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SampleMessages.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SampleMessages.java
@@ -36,6 +36,13 @@
 
 /** Messages with the names and numbers that a fleet has after some weeks of service. */
 final class SampleMessages {
+  private static final long TERM = 40;
+  private static final int SLOTS = 128;
+  private static final long AGE_MS = 600;
+  private static final long CONFIRMED_AGE_MS = 150;
+  private static final double PRESSURE_PERCENT = 40;
+  private static final int DOORS_SERVING = 3;
+  private static final long VALID_MS = 1_000;
   private static final long STEADY_CLOCK_NS = 30L * 24 * 3_600 * 1_000_000_000L;
   private static final long TOKENS_USED = 5_000_000_000L;
   private static final long TOKENS_WANTED = 4_000;
@@ -44,7 +51,7 @@
   private SampleMessages() {}
 
   static ProposalNumber proposal() {
-    return new ProposalNumber(40L, FleetNames.member(0));
+    return new ProposalNumber(TERM, FleetNames.member(0));
   }
 
   static List<Member> members() {
@@ -105,7 +112,7 @@
         FleetNames.backendAddress(number),
         FleetNames.zone(number),
         "v17",
-        128,
+        SLOTS,
         BackendState.READY,
         0L,
         "either_way",
@@ -128,7 +135,7 @@
   static RegistryDigest registryDigest(int backends) {
     List<BackendFreshness> all = new ArrayList<>();
     for (int i = 0; i < backends; i++) {
-      all.add(new BackendFreshness(FleetNames.backend(i), COUNT, 600L));
+      all.add(new BackendFreshness(FleetNames.backend(i), COUNT, AGE_MS));
     }
     return new RegistryDigest(FleetNames.member(0), all);
   }
@@ -152,25 +159,12 @@
     return doorHeartbeatReply(doors, null);
   }
 
-  /** The reply to a door that hasn't got the directory, or an older one. */
-  static DoorHeartbeatReply doorHeartbeatReplyWithDirectory(int doors) {
-    return doorHeartbeatReply(doors, directory());
-  }
-
-  private static Directory directory() {
-    List<String> owners =
-        IntStream.range(0, FleetPlan.SHARDS)
-            .mapToObj(shard -> FleetNames.coreAddress(shard % FleetPlan.CORE_PROCESSES))
-            .toList();
-    return new Directory(STEADY_CLOCK_NS, members(), owners);
-  }
-
   private static DoorHeartbeatReply doorHeartbeatReply(int doors, Directory directory) {
     return new DoorHeartbeatReply(
         FleetNames.member(0),
         STEADY_CLOCK_NS,
         true,
-        150L,
+        CONFIRMED_AGE_MS,
         COUNT,
         STEADY_CLOCK_NS,
         COUNT,
@@ -179,7 +173,20 @@
         directory);
   }
 
-  /** All pieces of a document, as one message. */
+  /** The reply to a door that hasn't got the directory, or an older one. */
+  static DoorHeartbeatReply doorHeartbeatReplyWithDirectory(int doors) {
+    return doorHeartbeatReply(doors, directory());
+  }
+
+  private static Directory directory() {
+    List<String> owners =
+        IntStream.range(0, FleetPlan.SHARDS)
+            .mapToObj(shard -> FleetNames.coreAddress(shard % FleetPlan.CORE_PROCESSES))
+            .toList();
+    return new Directory(STEADY_CLOCK_NS, members(), owners);
+  }
+
+  /** All chunks of a document, as one message. */
   static ConfigurationChunk configurationChunk(byte[] document) {
     byte[] stored = CompressedDocument.compress(document);
     return new ConfigurationChunk(COUNT, COUNT, stored.length, 0, ByteBuffer.wrap(stored));
@@ -217,8 +224,11 @@
   static GrantReply grantReply(int tenants) {
     List<TenantGrant> grants =
         IntStream.range(0, tenants)
-            .mapToObj(i -> new TenantGrant(FleetNames.tenant(i), TOKENS_WANTED, 40.0, 3, true))
+            .mapToObj(
+                i ->
+                    new TenantGrant(
+                        FleetNames.tenant(i), TOKENS_WANTED, PRESSURE_PERCENT, DOORS_SERVING, true))
             .toList();
-    return new GrantReply(FleetNames.member(0), COUNT, 1, true, proposal(), 1_000L, grants);
+    return new GrantReply(FleetNames.member(0), COUNT, 1, true, proposal(), VALID_MS, grants);
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ScaleRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ScaleRun.java
@@ -10,6 +10,7 @@
 
 /** Runs a fleet at four sizes, one of them with its events, predicts a fifth and runs that. */
 public final class ScaleRun {
+  private static final double MEGABYTE = 1e6;
   private static final List<String> JUDGED =
       List.of(
           "control_cpu_pct", "control_mb", "control_bytes_per_s", "in_force_max_s", "core_cpu_pct");
@@ -79,7 +80,7 @@
     for (MemoryPoolMXBean pool : ManagementFactory.getMemoryPoolMXBeans()) {
       bytes += pool.getPeakUsage().getUsed();
     }
-    return bytes / 1e6;
+    return bytes / MEGABYTE;
   }
 
   /** The budgets that figures break. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SizeRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SizeRun.java
@@ -11,6 +11,8 @@
  * takes.
  */
 final class SizeRun {
+  private static final double PERCENT = 100;
+  private static final int MICROS_PER_MILLI = 1_000;
   private static final double SECOND = 1e9;
   private static final double MICROSECOND = 1e3;
   private static final double SECONDS_PER_DAY = 86_400;
@@ -122,12 +124,12 @@
     double bytes = reading.doorBytesMean() - lasted * steady.doorBytesMean();
     double doorCpu = reading.doorCpuNsMean() - lasted * steady.doorCpuNsMean();
     double coreCpu =
-        (reading.coreCpuPct() - steady.coreCpuPct()) / 100 * reading.seconds() * SECOND;
+        (reading.coreCpuPct() - steady.coreCpuPct()) / PERCENT * reading.seconds() * SECOND;
     double coreBytes =
         (reading.coreBytesPerSecond() - steady.coreBytesPerSecond()) * reading.seconds();
     put("change_bytes_per_door", bytes / CHANGES);
     put("change_us_per_door", doorCpu / MICROSECOND / CHANGES);
-    put("change_ms_per_core", coreCpu / MICROSECOND / 1_000 / CHANGES);
+    put("change_ms_per_core", coreCpu / MICROSECOND / MICROS_PER_MILLI / CHANGES);
     put("change_bytes_per_core", coreBytes / CHANGES);
     double changesPerSecond = plan.configurationChangesPerDay() / SECONDS_PER_DAY;
     put("control_bytes_per_s", steady.doorBytesPerSecond() + changesPerSecond * bytes / CHANGES);
@@ -144,7 +146,7 @@
     List<Double> seconds =
         fleet.configurations().secondsUntilInForce(first, fleet.operator().edition());
     double[] sorted = seconds.stream().mapToDouble(Double::doubleValue).toArray();
-    put("in_force_p99_s", Gauge.quantile(sorted, 0.99));
+    put("in_force_p99_s", Gauge.quantile(sorted, Gauge.P99));
     put("in_force_max_s", Gauge.quantile(sorted, 1));
     figures.put("changes_missing_at_doors", CHANGES * plan.doors() - seconds.size());
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/CoreProcesses.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/CoreProcesses.java
@@ -13,6 +13,7 @@
  * thread.
  */
 final class CoreProcesses implements AutoCloseable {
+  private static final int SPARE_PORTS = 15;
   static final int COUNT = 3;
 
   private static final Path JAR = Path.of("fleet/target/nettletrail-fleet.jar");
@@ -74,7 +75,7 @@
         "zone=zone-" + number,
         "region=region",
         "zones.zone-" + number + "=region",
-        "spare_ports=" + LINK_PORT + "," + (LINK_PORT + 15),
+        "spare_ports=" + LINK_PORT + "," + (LINK_PORT + SPARE_PORTS),
         "seed_nodes=" + seeds,
         "ports.control_gate=" + host(number) + ":" + CONTROL_PORT,
         "first_run=" + firstRun,
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketBackends.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketBackends.java
@@ -9,6 +9,7 @@
  * answer. A thread for each process.
  */
 final class SocketBackends implements AutoCloseable {
+  private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long HEARTBEAT_MS = 1_200;
   private static final int OK = 200;
 
@@ -43,7 +44,7 @@
         for (int number = home; number < count; number += CoreProcesses.COUNT) {
           call(home, number, sequence);
         }
-        long spentMs = (System.nanoTime() - began) / 1_000_000;
+        long spentMs = (System.nanoTime() - began) / NANOS_PER_MILLI;
         Thread.sleep(Math.max(1, HEARTBEAT_MS - spentMs));
       }
     } catch (InterruptedException closed) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketRun.java
@@ -33,14 +33,26 @@
 
 /**
  * One size over sockets: {@code DOORS SECONDS}. Prints one JSON object. Real: the core processes,
- * links, HTTP, disks. Hollow: doors, all in this process, and backends.
+ * links, HTTP, disks. Simulated: doors, all in this process, and backends.
  */
 public final class SocketRun {
+  /** Second number of the loopback networks, one a process, so that runs do not meet. */
+  private static final int FIRST_NETWORK = 100;
+
+  private static final int NETWORKS = 100;
+  private static final long SETTLE_MS = 3_000;
+  private static final long START_DELAY_MS = 1_000;
+  private static final int START_SPREAD_MS = 500;
+  private static final long BETWEEN_CHANGES_MS = 1_000;
+  private static final long AFTER_RESTART_MS = 4_000;
+  private static final long MILLIS_PER_SECOND = 1_000;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final double PERCENT = 100;
   private static final int LOOPS = 2;
   private static final double SECOND = 1e9;
   private static final int OK = 200;
   private static final long POLL_MS = 20;
-  private static final long LONGEST_MS = 20_000;
+  private static final long MAX_WAIT_MS = 20_000;
   private static final int CHANGES = 3;
 
   private final FleetPlan plan;
@@ -64,7 +76,7 @@
     FleetPlan plan = FleetPlan.TARGET.withDoors(Integer.parseInt(arguments[0]));
     SocketRun run = new SocketRun(plan, Integer.parseInt(arguments[1]));
     Path folder = Files.createTempDirectory("fleet-capacity");
-    String network = "127." + (100 + ProcessHandle.current().pid() % 100) + ".0";
+    String network = "127." + (FIRST_NETWORK + ProcessHandle.current().pid() % NETWORKS) + ".0";
     EventLoopGroup group = new NioEventLoopGroup(LOOPS);
     try (CoreProcesses cores = new CoreProcesses(folder, network)) {
       run.run(cores, group);
@@ -95,7 +107,7 @@
     List<RequestCounts> counts = startDoors(cores, group, demand);
     try (SocketBackends backends = new SocketBackends(cores, plan.backends())) {
       put("first_configuration_s", first(cores, demand));
-      Thread.sleep(3_000);
+      Thread.sleep(SETTLE_MS);
       steady(cores, group, counts);
       changes(cores);
       put("core_peak_mb", cores.peakMb());
@@ -124,13 +136,13 @@
           new SocketDoor(
               loop, FleetNames.door(i), i + 1L, cores.linkAddresses(), requests, this::inForce);
       doors.add(door);
-      door.start(1_000 + random.nextInt(500));
+      door.start(START_DELAY_MS + random.nextInt(START_SPREAD_MS));
     }
     counts.addAll(ofLoop.values());
     return counts;
   }
 
-  /** Compiled once; the doors of this process share the outcome. */
+  /** Compiles each configuration once; the doors of this process share the outcome. */
   private void inForce(SocketDoor door, long ofEdition, ByteBuffer document) {
     Map<String, QuotaLimit> compiled =
         limits.computeIfAbsent(ofEdition, unseen -> compile(document));
@@ -154,32 +166,34 @@
   }
 
   /**
-   * Sends an order until it is taken and waits until all doors use it, for {@link #LONGEST_MS} at
-   * most; seconds from its first sending.
+   * Sends a configuration change until it is accepted and waits until all doors use it, for {@link
+   * #MAX_WAIT_MS} at most.
+   *
+   * @return seconds since the change was sent first
    */
   private double order(CoreProcesses cores, String method, byte[] body)
       throws InterruptedException {
     long began = System.nanoTime();
     sentAt.put(edition + 1, began);
-    boolean taken = false;
-    for (int i = 0; !taken && waitedMs(began) < LONGEST_MS; i++) {
+    boolean accepted = false;
+    for (int i = 0; !accepted && waitedMs(began) < MAX_WAIT_MS; i++) {
       String url = cores.control(i % CoreProcesses.COUNT) + "/nettletrail/config";
-      taken = operator.call(method, url, Long.toString(edition), body) == OK;
+      accepted = operator.call(method, url, Long.toString(edition), body) == OK;
       Thread.sleep(POLL_MS);
     }
-    if (!taken) {
+    if (!accepted) {
       ordersNotTaken++;
-      return waitedMs(began) / 1e3;
+      return waitedMs(began) / MILLIS_PER_SECOND;
     }
     edition++;
-    while (missing(edition) > 0 && waitedMs(began) < LONGEST_MS) {
+    while (missing(edition) > 0 && waitedMs(began) < MAX_WAIT_MS) {
       Thread.sleep(POLL_MS);
     }
-    return waitedMs(began) / 1e3;
+    return waitedMs(began) / MILLIS_PER_SECOND;
   }
 
   private static double waitedMs(long since) {
-    return (System.nanoTime() - since) / 1e6;
+    return (System.nanoTime() - since) / NANOS_PER_MILLI;
   }
 
   private int missing(long ofEdition) {
@@ -193,17 +207,17 @@
     long letInBefore = letIn(counts);
     long refusedBefore = refused(counts);
     long began = System.nanoTime();
-    Thread.sleep(seconds * 1_000L);
+    Thread.sleep(seconds * MILLIS_PER_SECOND);
     double lasted = (System.nanoTime() - began) / SECOND;
     double[] coresAfter = cores.cpuSeconds();
     double busiest = 0;
     for (int i = 0; i < coresAfter.length; i++) {
       busiest = Math.max(busiest, coresAfter[i] - coresBefore[i]);
     }
-    put("core_cpu_pct", 100 * busiest / lasted);
+    put("core_cpu_pct", PERCENT * busiest / lasted);
     put(
         "control_cpu_mean_pct",
-        100 * (loopsCpuNs(group) - loopsBefore) / SECOND / lasted / plan.doors());
+        PERCENT * (loopsCpuNs(group) - loopsBefore) / SECOND / lasted / plan.doors());
     put("grants_per_s", (letIn(counts) - letInBefore) / lasted);
     put("refused_per_s", (refused(counts) - refusedBefore) / lasted);
     figures.put("core_out_of_buffers_first", cores.outOfBuffers());
@@ -231,7 +245,7 @@
     long first = edition + 1;
     for (int i = 0; i < CHANGES && ordersNotTaken == 0; i++) {
       order(cores, "PATCH", SampleDocument.change(edition + 1, i));
-      Thread.sleep(1_000);
+      Thread.sleep(BETWEEN_CHANGES_MS);
     }
     List<Double> took = new ArrayList<>();
     int missing = 0;
@@ -244,7 +258,7 @@
       missing += missing(changed);
     }
     double[] sorted = took.stream().mapToDouble(Double::doubleValue).toArray();
-    put("in_force_p99_s", Gauge.quantile(sorted, 0.99));
+    put("in_force_p99_s", Gauge.quantile(sorted, Gauge.P99));
     put("in_force_max_s", Gauge.quantile(sorted, 1));
     figures.put("changes_missing_at_doors", missing);
     figures.put("cores_alive_after_changes", alive(cores));
@@ -257,7 +271,7 @@
       cores.kill(i);
       longest = Math.max(longest, order(cores, "PATCH", SampleDocument.change(edition + 1, i)));
       cores.start(i, false);
-      Thread.sleep(4_000);
+      Thread.sleep(AFTER_RESTART_MS);
     }
     put("in_force_owner_killed_max_s", longest);
   }
