--- a/fleet/src/main/java/nettletrail/fleet/cli/ChangeOptions.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/ChangeOptions.java
@@ -5,14 +5,13 @@
 import com.jsoniter.ValueType;
 import com.jsoniter.any.Any;
 import com.jsoniter.spi.JsonException;
-import java.util.LinkedHashMap;
-import java.util.Map;
+import java.io.PrintStream;
 
-/** Options of the commands that change the configuration, and how they send the change. */
+/** The option of commands that change the configuration, and the sending of the change. */
 public final class ChangeOptions {
   private static final String NO_CONFIGURATION = "0";
 
-  /** The edition that the change builds on; empty to ask the core. */
+  /** The edition that the change builds on; empty for the current one. */
   @Option(
       name = "--if-match",
       title = "EDITION",
@@ -21,48 +20,57 @@
               + " one that the core holds now.")
   String ifMatch = "";
 
-  /** Sends a change and says what came of it. */
-  ExitCode send(CoreClient client, String method, byte[] body, boolean json, Console console)
-      throws ClientException {
+  /**
+   * Sends a change and writes its result.
+   *
+   * @param method PUT or PATCH
+   * @throws CommandException if the core rejected the change, or there is no definite response
+   */
+  ExitCode send(
+      CoreClient client, String method, byte[] body, OutputOptions output, Console console)
+      throws CommandException {
     String base = ifMatch.isEmpty() ? currentEdition(client) : ifMatch;
-    CoreAnswer answer = client.change(method, base, body);
-    if (!answer.isTaken()) {
-      throw answer.refusal();
-    }
-    if (json) {
-      Map<String, Object> result = new LinkedHashMap<>();
-      result.put("taken", true);
-      result.put("built_on", base);
-      result.put("core", answer.core());
-      console.json(result);
-    } else {
-      console.out().println("taken by " + answer.core() + ", built on edition " + base);
-    }
+    CoreResponse response = client.changeConfiguration(method, base, body).requireSuccess();
+    output.write(new AcceptedChange(base, response.core()), console);
     return ExitCode.DONE;
   }
 
-  /** The edition that the core holds now; 0 if there is none. */
-  static String currentEdition(CoreClient client) throws ClientException {
-    CoreAnswer answer = client.get();
-    if (answer.isNotFound()) {
+  /** The edition of the core's configuration; 0 if it has none. */
+  static String currentEdition(CoreClient client) throws CommandException {
+    CoreResponse response = client.readConfiguration();
+    if (response.isNotFound()) {
       return NO_CONFIGURATION;
     }
-    if (!answer.isTaken()) {
-      throw answer.refusal();
-    }
-    return editionOf(answer);
+    return editionOf(response.requireSuccess());
   }
 
-  private static String editionOf(CoreAnswer answer) throws ClientException {
+  private static String editionOf(CoreResponse response) throws CommandException {
     try {
-      Any edition = JsonIterator.deserialize(answer.body()).get("edition");
+      Any edition = JsonIterator.deserialize(response.body()).get("edition");
       if (edition.valueType() == ValueType.NUMBER) {
         return Long.toString(edition.toLong());
       }
     } catch (JsonException | IndexOutOfBoundsException failure) {
-      // Reported below, as a document without an edition.
+      // Reported below, like a document without an edition.
+    }
+    throw response.malformed("it names no edition", null);
+  }
+
+  /**
+   * A change that a core has accepted.
+   *
+   * @param builtOn the edition that it builds on
+   * @param core the address of that core
+   */
+  private record AcceptedChange(String builtOn, String core) implements CommandResult {
+    @Override
+    public JsonObject toJson() {
+      return new JsonObject().put("taken", true).put("built_on", builtOn).put("core", core);
+    }
+
+    @Override
+    public void printText(PrintStream out) {
+      out.println("taken by " + core + ", built on edition " + builtOn);
     }
-    throw new ClientException(
-        ExitCode.NO_CLEAR_ANSWER, ClientStep.CALL, answer.core(), "it names no edition");
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/ConfigPatch.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/ConfigPatchCommand.java
@@ -9,7 +9,7 @@
 @Command(
     name = "patch",
     description = "Adds, replaces or removes the items of the configuration that a file names.")
-public final class ConfigPatch implements OperatorCommand {
+public final class ConfigPatchCommand implements OperatorCommand {
   @AirlineModule CoreOptions core = new CoreOptions();
   @AirlineModule OutputOptions output = new OutputOptions();
   @AirlineModule ChangeOptions change = new ChangeOptions();
@@ -19,8 +19,8 @@
   String file = "";
 
   @Override
-  public ExitCode run(Console console) throws ClientException {
-    return change.send(core.client(), "PATCH", InputFile.read(file), output.json, console);
+  public ExitCode run(Console console) throws CommandException {
+    return change.send(core.client(), "PATCH", InputFile.read(file), output, console);
   }
 
   @Override
--- a/fleet/src/main/java/nettletrail/fleet/cli/ConfigPut.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/ConfigPutCommand.java
@@ -7,7 +7,7 @@
 
 /** Replaces the configuration. */
 @Command(name = "put", description = "Replaces the whole configuration by a file's.")
-public final class ConfigPut implements OperatorCommand {
+public final class ConfigPutCommand implements OperatorCommand {
   @AirlineModule CoreOptions core = new CoreOptions();
   @AirlineModule OutputOptions output = new OutputOptions();
   @AirlineModule ChangeOptions change = new ChangeOptions();
@@ -17,9 +17,9 @@
   String file = "";
 
   @Override
-  public ExitCode run(Console console) throws ClientException {
+  public ExitCode run(Console console) throws CommandException {
     byte[] document = InputFile.readConfiguration(file).json();
-    return change.send(core.client(), "PUT", document, output.json, console);
+    return change.send(core.client(), "PUT", document, output, console);
   }
 
   @Override
--- a/fleet/src/main/java/nettletrail/fleet/cli/ConfigurationDiff.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/ConfigurationDiff.java
@@ -4,36 +4,41 @@
 import com.jsoniter.ValueType;
 import com.jsoniter.any.Any;
 import com.jsoniter.spi.JsonException;
-import java.math.BigDecimal;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.stream.Collectors;
 
 /**
- * Compares two configurations item by item. Order and layout don't matter; keys of tenants are
- * never printed.
+ * Compares two configurations item by item. Order and layout don't matter; the keys of tenants are
+ * never part of the result.
  */
 final class ConfigurationDiff {
   private static final String NAME_FIELD = "name";
   private static final Set<String> SECRET_FIELDS = Set.of("passes");
   private static final int MAX_VALUE_LENGTH = 80;
-  private static final String ABSENT = "nothing";
 
   private final List<ItemChange> changes = new ArrayList<>();
 
   private ConfigurationDiff() {}
 
   /**
-   * What changes from one configuration to another, section by section.
+   * The changes from the core's configuration to another one, section by section.
    *
-   * @throws JsonException if one of them is no JSON object
+   * @param before the core's response with its configuration
+   * @throws CommandException if one of them isn't a JSON object
    */
-  static List<ItemChange> between(byte[] before, byte[] after) {
+  static List<ItemChange> between(CoreResponse before, byte[] after) throws CommandException {
+    try {
+      return between(before.body(), after);
+    } catch (JsonException malformed) {
+      throw before.malformed(malformed.getMessage(), malformed);
+    }
+  }
+
+  private static List<ItemChange> between(byte[] before, byte[] after) {
     ConfigurationDiff diff = new ConfigurationDiff();
     Map<String, Any> oldSections = fieldsOf(JsonIterator.deserialize(before));
     Map<String, Any> newSections = fieldsOf(JsonIterator.deserialize(after));
@@ -96,7 +101,7 @@
       changes.add(new ItemChange(ItemChange.Kind.ADDED, section, name, List.of()));
     } else if (after == null) {
       changes.add(new ItemChange(ItemChange.Kind.REMOVED, section, name, List.of()));
-    } else if (!canonical(before).equals(canonical(after))) {
+    } else if (!CanonicalJson.of(before).equals(CanonicalJson.of(after))) {
       List<String> details = details(section, before, after);
       changes.add(new ItemChange(ItemChange.Kind.CHANGED, section, name, details));
     }
@@ -112,7 +117,7 @@
     for (String field : namesOf(before.asMap(), after.asMap())) {
       Any oldValue = before.asMap().get(field);
       Any newValue = after.asMap().get(field);
-      if (!canonical(oldValue).equals(canonical(newValue))) {
+      if (!CanonicalJson.of(oldValue).equals(CanonicalJson.of(newValue))) {
         details.add(detail(field, oldValue, newValue));
       }
     }
@@ -123,34 +128,14 @@
     if (SECRET_FIELDS.contains(field)) {
       return field + " changed";
     }
-    return field + " " + shortened(canonical(before)) + " -> " + shortened(canonical(after));
+    return field
+        + " "
+        + shortened(CanonicalJson.of(before))
+        + " -> "
+        + shortened(CanonicalJson.of(after));
   }
 
   private static String shortened(String text) {
     return text.length() <= MAX_VALUE_LENGTH ? text : text.substring(0, MAX_VALUE_LENGTH) + "...";
   }
-
-  /** A value's text that is the same for all ways of writing it. */
-  private static String canonical(Any value) {
-    if (value == null) {
-      return ABSENT;
-    }
-    return switch (value.valueType()) {
-      case OBJECT -> canonicalObject(value);
-      case ARRAY ->
-          value.asList().stream()
-              .map(ConfigurationDiff::canonical)
-              .collect(Collectors.joining(",", "[", "]"));
-      case NUMBER -> new BigDecimal(value.toString()).stripTrailingZeros().toPlainString();
-      case STRING -> '"' + value.toString() + '"';
-      case BOOLEAN, NULL, INVALID -> value.toString();
-    };
-  }
-
-  private static String canonicalObject(Any object) {
-    Map<String, Any> sorted = new TreeMap<>(object.asMap());
-    return sorted.entrySet().stream()
-        .map(field -> field.getKey() + ":" + canonical(field.getValue()))
-        .collect(Collectors.joining(",", "{", "}"));
-  }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/CoreClient.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/CoreClient.java
@@ -2,10 +2,7 @@
 
 import java.io.IOException;
 import java.net.URI;
-import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -13,205 +10,130 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls the core's control interface.
+ * A client of the core's control interface. Blocks; one thread at a time.
  *
- * <p>The addresses are tried in turn, some rounds long with growing pauses between the rounds,
- * until one gives a clear answer. Failures, 5xx, 408 and 429 are no clear answers. Sending a change
- * again is harmless: the core acknowledges a change that it has taken already.
+ * <p>A request is sent to the addresses in turn, in rounds with a growing backoff between them,
+ * until there is a definite response. Connection failures, redirects that lead nowhere and the
+ * statuses 5xx, 408 and 429 are indefinite and are retried. Changes are idempotent: the core
+ * acknowledges a change that it has accepted before.
  */
 public final class CoreClient {
   private static final String CONFIGURATION_PATH = "/nettletrail/config";
   private static final String STATUS_PREFIX = "/nettletrail/status/";
-  private static final int MAX_REDIRECTS = 2;
-  private static final int TEMPORARY_REDIRECT = 307;
-  private static final int FIRST_SERVER_ERROR = 500;
-  private static final Set<Integer> RETRIED_STATUSES = Set.of(408, 429);
-
-  /**
-   * How long the client waits.
-   *
-   * @param connect for a connection
-   * @param answer for an answer
-   * @param betweenRounds before the second round; doubled for each further one
-   * @param rounds how often all addresses are tried
-   */
-  public record Pauses(Duration connect, Duration answer, Duration betweenRounds, int rounds) {
-    private static final Duration CONNECT = Duration.ofSeconds(2);
-    private static final Duration ANSWER = Duration.ofSeconds(5);
-    private static final Duration BETWEEN_ROUNDS = Duration.ofMillis(200);
-    private static final int ROUNDS = 3;
-
-    /** For an operator who waits. */
-    public static Pauses standard() {
-      return new Pauses(CONNECT, ANSWER, BETWEEN_ROUNDS, ROUNDS);
-    }
-
-    /** For a question that may go unanswered: no address is tried twice. */
-    static Pauses once() {
-      return new Pauses(CONNECT, ANSWER, Duration.ZERO, 1);
-    }
-  }
+  private static final int MIN_SERVER_ERROR = 500;
+  private static final Set<Integer> RETRIED_STATUSES =
+      Set.of(RedirectingHttpClient.TEMPORARY_REDIRECT, 408, 429);
 
   private final List<String> addresses;
-  private final Pauses pauses;
-  private final HttpClient http;
+  private final RetryPolicy policy;
+  private final RedirectingHttpClient http;
 
   /**
-   * A client that has called nobody yet.
+   * Creates a client; sends nothing.
    *
-   * @throws ClientException if there is no address, or one that can't be read
+   * @param addresses control addresses of cores, as {@code host:port}
+   * @throws CommandException if there is no address, or a malformed one
    */
-  public CoreClient(List<String> addresses, Pauses pauses) throws ClientException {
+  public CoreClient(List<String> addresses, RetryPolicy policy) throws CommandException {
     if (addresses.isEmpty()) {
-      throw new ClientException(
-          ExitCode.USAGE, ClientStep.READ, "--core", "name at least one HOST:PORT");
+      throw new CommandException(
+          ExitCode.USAGE, CommandStep.READ, "--core", "name at least one HOST:PORT");
     }
     for (String address : addresses) {
-      uri(address, CONFIGURATION_PATH);
+      CoreRequest.get(CONFIGURATION_PATH).uriAt(address);
     }
     this.addresses = List.copyOf(addresses);
-    this.pauses = pauses;
-    this.http = HttpClient.newBuilder().connectTimeout(pauses.connect()).build();
+    this.policy = policy;
+    this.http = new RedirectingHttpClient(policy);
   }
 
-  private static URI uri(String address, String path) throws ClientException {
-    URI uri = null;
-    try {
-      uri = URI.create("http://" + address + path);
-    } catch (IllegalArgumentException failure) {
-      // Reported below, as an address without a port.
-    }
-    if (uri == null || uri.getHost() == null || uri.getPort() < 0) {
-      throw new ClientException(ExitCode.USAGE, ClientStep.READ, address, "it isn't HOST:PORT");
-    }
-    return uri;
-  }
-
-  /** Reads the configuration. */
-  public CoreAnswer get() throws ClientException {
-    return call(CONFIGURATION_PATH, "GET", "", new byte[0]);
+  /**
+   * Reads the configuration.
+   *
+   * @throws CommandException if there is no definite response
+   */
+  public CoreResponse readConfiguration() throws CommandException {
+    return send(CoreRequest.get(CONFIGURATION_PATH));
   }
 
   /**
-   * Reads a part of a core's state.
+   * Reads a resource of a core's state.
    *
-   * @param resource its name, as {@code doors} or {@code quota/TENANT}
+   * @param resource its name, as {@code doors} or {@code quota/TENANT}, encoded
+   * @throws CommandException if there is no definite response
    */
-  CoreAnswer status(String resource) throws ClientException {
-    return call(STATUS_PREFIX + resource, "GET", "", new byte[0]);
+  CoreResponse readStatus(String resource) throws CommandException {
+    return send(CoreRequest.get(STATUS_PREFIX + resource));
   }
 
   /**
-   * Writes the configuration or a patch.
+   * Replaces or patches the configuration.
    *
    * @param method PUT or PATCH
    * @param edition the edition that the change builds on
+   * @throws CommandException if there is no definite response; the change may have been accepted
    */
-  public CoreAnswer change(String method, String edition, byte[] body) throws ClientException {
-    return call(CONFIGURATION_PATH, method, edition, body);
+  public CoreResponse changeConfiguration(String method, String edition, byte[] body)
+      throws CommandException {
+    return send(new CoreRequest(CONFIGURATION_PATH, method, edition, body));
   }
 
-  private CoreAnswer call(String path, String method, String ifMatch, byte[] body)
-      throws ClientException {
+  private CoreResponse send(CoreRequest request) throws CommandException {
     List<String> failures = new ArrayList<>();
-    for (int round = 0; round < pauses.rounds(); round++) {
-      pauseBefore(round);
+    for (int round = 0; round < policy.maxRounds(); round++) {
+      backOff(round);
       for (String address : addresses) {
-        Optional<CoreAnswer> answer = attempt(uri(address, path), method, ifMatch, body, failures);
-        if (answer.isPresent()) {
-          return answer.get();
+        Optional<CoreResponse> response = attempt(request, request.uriAt(address), failures);
+        if (response.isPresent()) {
+          return response.get();
         }
       }
     }
     String last =
         String.join("; ", failures.subList(failures.size() - addresses.size(), failures.size()));
-    throw new ClientException(
-        ExitCode.NO_CLEAR_ANSWER,
-        ClientStep.CALL,
-        String.join(",", addresses),
-        "no clear answer in " + pauses.rounds() + " rounds; in the last: " + last);
+    throw noResponse(
+        "no clear answer in " + policy.maxRounds() + " rounds; in the last: " + last, null);
   }
 
-  private void pauseBefore(int round) throws ClientException {
-    if (round == 0) {
-      return;
-    }
+  private void backOff(int round) throws CommandException {
     try {
-      TimeUnit.MILLISECONDS.sleep(pauses.betweenRounds().toMillis() << (round - 1));
+      TimeUnit.MILLISECONDS.sleep(policy.backoffMs(round));
     } catch (InterruptedException interrupted) {
-      throw interrupted();
+      throw interrupted(interrupted);
     }
   }
 
-  /** One call of one address; notes the failure if there is no clear answer. */
-  private Optional<CoreAnswer> attempt(
-      URI target, String method, String ifMatch, byte[] body, List<String> failures)
-      throws ClientException {
+  /** Sends a request to one address; adds a failure if there is no definite response. */
+  private Optional<CoreResponse> attempt(CoreRequest request, URI target, List<String> failures)
+      throws CommandException {
     String address = target.getAuthority();
     try {
-      HttpResponse<byte[]> response = send(target, method, ifMatch, body);
-      if (isClear(response.statusCode())) {
+      HttpResponse<byte[]> response = http.send(request, target);
+      if (isDefinite(response.statusCode())) {
         String core = response.uri().getAuthority();
-        return Optional.of(new CoreAnswer(core, response.statusCode(), response.body()));
+        return Optional.of(new CoreResponse(core, response.statusCode(), response.body()));
       }
-      CoreAnswer unclear = new CoreAnswer(address, response.statusCode(), response.body());
-      failures.add(address + ": " + unclear.reason());
+      CoreResponse indefinite = new CoreResponse(address, response.statusCode(), response.body());
+      failures.add(address + ": " + indefinite.reason());
     } catch (IOException failure) {
       failures.add(address + ": " + failure);
     } catch (InterruptedException interrupted) {
-      throw interrupted();
+      throw interrupted(interrupted);
     }
     return Optional.empty();
   }
 
-  private HttpResponse<byte[]> send(URI first, String method, String ifMatch, byte[] body)
-      throws IOException, InterruptedException {
-    URI target = first;
-    for (int redirects = 0; true; redirects++) {
-      HttpResponse<byte[]> response =
-          http.send(
-              request(target, method, ifMatch, body), HttpResponse.BodyHandlers.ofByteArray());
-      Optional<String> location = response.headers().firstValue("Location");
-      boolean redirected = response.statusCode() == TEMPORARY_REDIRECT && location.isPresent();
-      if (!redirected || redirects == MAX_REDIRECTS) {
-        return response;
-      }
-      target = redirectTarget(target, location.get());
-    }
+  private static boolean isDefinite(int status) {
+    return status < MIN_SERVER_ERROR && !RETRIED_STATUSES.contains(status);
   }
 
-  private static URI redirectTarget(URI from, String location) throws IOException {
-    try {
-      return from.resolve(location);
-    } catch (IllegalArgumentException failure) {
-      throw new IOException("redirected to what isn't an address: " + location, failure);
-    }
-  }
-
-  private HttpRequest request(URI target, String method, String ifMatch, byte[] body) {
-    HttpRequest.Builder request = HttpRequest.newBuilder(target).timeout(pauses.answer());
-    if (body.length > 0) {
-      request.header("Content-Type", "application/json");
-    }
-    if (!ifMatch.isEmpty()) {
-      request.header("If-Match", ifMatch);
-    }
-    HttpRequest.BodyPublisher publisher =
-        body.length == 0
-            ? HttpRequest.BodyPublishers.noBody()
-            : HttpRequest.BodyPublishers.ofByteArray(body);
-    return request.method(method, publisher).build();
-  }
-
-  private static boolean isClear(int status) {
-    return status < FIRST_SERVER_ERROR
-        && status != TEMPORARY_REDIRECT
-        && !RETRIED_STATUSES.contains(status);
+  private CommandException interrupted(InterruptedException cause) {
+    Thread.currentThread().interrupt();
+    return noResponse("interrupted", cause);
   }
 
-  private ClientException interrupted() {
-    Thread.currentThread().interrupt();
-    return new ClientException(
-        ExitCode.NO_CLEAR_ANSWER, ClientStep.CALL, String.join(",", addresses), "interrupted");
+  private CommandException noResponse(String reason, Throwable cause) {
+    return new CommandException(
+        ExitCode.NO_CLEAR_ANSWER, CommandStep.CALL, String.join(",", addresses), reason, cause);
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/CoreOptions.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/CoreOptions.java
@@ -5,9 +5,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Options about which cores are called. */
+/** The option that selects the cores. */
 public final class CoreOptions {
-  /** Addresses, joined by commas. */
+  /** Control addresses, separated by commas. */
   @Option(
       name = "--core",
       title = "HOST:PORT[,..]",
@@ -15,13 +15,18 @@
   @Required
   String addresses = "";
 
-  /** A client that tries these cores in turn. */
-  CoreClient client() throws ClientException {
-    return new CoreClient(list(), CoreClient.Pauses.standard());
+  /** A client of these cores, which tries them in turn and retries. */
+  CoreClient client() throws CommandException {
+    return new CoreClient(addressList(), RetryPolicy.standard());
   }
 
-  /** The addresses, one by one. */
-  List<String> list() {
+  /** A client of one core, without retries. */
+  static CoreClient clientWithoutRetries(String address) throws CommandException {
+    return new CoreClient(List.of(address), RetryPolicy.withoutRetries());
+  }
+
+  /** The addresses, in the order of the option; blank ones are skipped. */
+  List<String> addressList() {
     return Arrays.stream(addresses.split(","))
         .map(String::strip)
         .filter(address -> !address.isEmpty())
--- a/fleet/src/main/java/nettletrail/fleet/cli/DiskCheckCommand.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/DiskCheckCommand.java
@@ -8,10 +8,7 @@
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import nettletrail.configuration.ConfigurationDocument;
 import nettletrail.configuration.ConfigurationException;
 import nettletrail.control.ShardMap;
@@ -37,28 +34,25 @@
   String directory = "";
 
   @Override
-  public ExitCode run(Console console) throws ClientException {
+  public ExitCode run(Console console) throws CommandException {
     DiskReport report = check();
     List<Finding> findings = new ArrayList<>(report.findings());
     report.shards().forEach(shard -> checkConfiguration(shard, findings));
-    boolean healthy = findings.stream().noneMatch(finding -> finding.severity() == Severity.FAULT);
-    if (output.json) {
-      console.json(json(report, findings, healthy));
-    } else {
-      print(report, findings, healthy, console);
-    }
-    return healthy ? ExitCode.DONE : ExitCode.DIFFERENT;
+    DiskCheckResult result = new DiskCheckResult(directory, report, findings);
+    output.write(result, console);
+    return result.isHealthy() ? ExitCode.DONE : ExitCode.DIFFERENT;
   }
 
-  private DiskReport check() throws ClientException {
+  private DiskReport check() throws CommandException {
     try {
       Path path = Path.of(directory);
       if (!Files.isDirectory(path)) {
-        throw new ClientException(ExitCode.USAGE, ClientStep.READ, directory, "not a directory");
+        throw new CommandException(ExitCode.USAGE, CommandStep.READ, directory, "not a directory");
       }
       return DiskCheck.check(path, ShardMap.SHARD_COUNT);
     } catch (StorageException | InvalidPathException failure) {
-      throw new ClientException(ExitCode.USAGE, ClientStep.READ, directory, failure.getMessage());
+      throw new CommandException(
+          ExitCode.USAGE, CommandStep.READ, directory, failure.getMessage(), failure);
     }
   }
 
@@ -79,48 +73,6 @@
     }
   }
 
-  private static Map<String, Object> json(
-      DiskReport report, List<Finding> findings, boolean healthy) {
-    Map<String, Object> json = new LinkedHashMap<>();
-    json.put("healthy", healthy);
-    json.put("identity", report.identity());
-    json.put("shards", shardRows(report));
-    json.put("findings", findings.stream().map(DiskCheckCommand::findingRow).toList());
-    return json;
-  }
-
-  private static List<Map<String, Object>> shardRows(DiskReport report) {
-    List<Map<String, Object>> rows = new ArrayList<>();
-    for (DiskReport.Shard shard : report.shards()) {
-      Map<String, Object> row = new LinkedHashMap<>();
-      row.put("shard", shard.shard());
-      row.put("sequence", shard.newest() == null ? -1 : shard.newest().getSequence());
-      row.put("whole_versions", shard.completeVersions());
-      row.put("promised_round", shard.promised() == null ? -1 : shard.promised().getTerm());
-      row.put("replicas", shard.newest() == null ? 0 : shard.newest().getMembers().size());
-      rows.add(row);
-    }
-    return rows;
-  }
-
-  private static Map<String, Object> findingRow(Finding finding) {
-    Map<String, Object> row = new LinkedHashMap<>();
-    row.put("severity", finding.severity().name().toLowerCase(Locale.ROOT));
-    row.put("file", finding.file());
-    row.put("what", finding.what());
-    return row;
-  }
-
-  private void print(DiskReport report, List<Finding> findings, boolean healthy, Console console) {
-    console.out().println("identity " + (report.identity().isEmpty() ? "-" : report.identity()));
-    TextTable.print(shardRows(report), console.out());
-    for (Finding finding : findings) {
-      String severity = finding.severity().name().toLowerCase(Locale.ROOT);
-      console.out().println(severity + ": " + finding.file() + ": " + finding.what());
-    }
-    console.out().println(directory + (healthy ? " is healthy" : " has FAULTS"));
-  }
-
   @Override
   public boolean isJson() {
     return output.json;
--- a/fleet/src/main/java/nettletrail/fleet/cli/ExitCode.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/ExitCode.java
@@ -1,16 +1,16 @@
 package nettletrail.fleet.cli;
 
-/** The exit codes of the operators' client. */
+/** The exit codes of the operators' command line. Part of its public interface. */
 enum ExitCode {
-  /** Done; or nothing is wrong, or nothing differs. */
+  /** The command succeeded and found no faults or differences. */
   DONE(0, "done"),
-  /** What was checked has faults, or what was compared differs. */
+  /** Faults or differences were found. */
   DIFFERENT(1, "faults or differences were found"),
-  /** The command line can't be understood, or a file can't be read. */
+  /** The command line is invalid, or a file can't be read. */
   USAGE(2, "the command line can't be understood or a file can't be read"),
-  /** The core refused the call; sending it again would not help. */
+  /** The core rejected the request; a retry would not help. */
   REFUSED(3, "the core refused the call"),
-  /** No core gave a clear answer; a change may or may not have been taken. */
+  /** No core gave a definite response; a change may or may not have been accepted. */
   NO_CLEAR_ANSWER(4, "no core gave a clear answer, so a change may or may not have been taken");
 
   private final int number;
@@ -21,12 +21,12 @@
     this.meaning = meaning;
   }
 
-  /** The number that the process ends with. */
+  /** The exit status of the process. */
   int number() {
     return number;
   }
 
-  /** What the number says, for the help. */
+  /** A description for the help. */
   String meaning() {
     return meaning;
   }
--- a/fleet/src/main/java/nettletrail/fleet/cli/InputFile.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/InputFile.java
@@ -7,28 +7,38 @@
 import nettletrail.configuration.ConfigurationDocument;
 import nettletrail.configuration.ConfigurationException;
 
-/** Files named on the command line. */
+/** Reads files that are named on the command line. */
 final class InputFile {
   private InputFile() {}
 
-  /** The bytes of a file. */
-  static byte[] read(String name) throws ClientException {
+  /**
+   * The content of a file.
+   *
+   * @throws CommandException if it can't be read
+   */
+  static byte[] read(String name) throws CommandException {
     try {
       return Files.readAllBytes(Path.of(name));
     } catch (IOException | InvalidPathException failure) {
-      throw new ClientException(ExitCode.USAGE, ClientStep.READ, name, failure.toString());
+      throw new CommandException(
+          ExitCode.USAGE, CommandStep.READ, name, failure.toString(), failure);
     }
   }
 
-  /** A file as a configuration that holds no faults, of whatever edition. */
-  static ConfigurationDocument readConfiguration(String name) throws ClientException {
+  /**
+   * The configuration in a file, of any edition.
+   *
+   * @throws CommandException if the file can't be read or the configuration is invalid
+   */
+  static ConfigurationDocument readConfiguration(String name) throws CommandException {
     byte[] json = read(name);
     try {
       ConfigurationDocument document = ConfigurationDocument.parse(json);
       document.requireValidAfter(document.edition() - 1);
       return document;
     } catch (ConfigurationException failure) {
-      throw new ClientException(ExitCode.DIFFERENT, ClientStep.CHECK, name, failure.getMessage());
+      throw new CommandException(
+          ExitCode.DIFFERENT, CommandStep.CHECK, name, failure.getMessage(), failure);
     }
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/ItemChange.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/ItemChange.java
@@ -1,20 +1,18 @@
 package nettletrail.fleet.cli;
 
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 
 /**
  * One difference between two configurations.
  *
- * @param kind what became of the item
- * @param section the part of the configuration, such as {@code routes}
+ * @param kind how the item differs
+ * @param section the top-level field of the configuration, such as {@code routes}
  * @param name the item's name; empty for a section that holds no named items
- * @param details for a change: each field with its old and its new value
+ * @param details for {@link Kind#CHANGED}: each changed field with its old and its new value
  */
 record ItemChange(Kind kind, String section, String name, List<String> details) {
-  /** What became of an item. */
+  /** How an item differs. */
   enum Kind {
     /** Only in the newer configuration. */
     ADDED("+"),
@@ -30,16 +28,16 @@
     }
   }
 
-  /** The difference as fields of a JSON object. */
-  Map<String, Object> toJson() {
-    Map<String, Object> object = new LinkedHashMap<>();
-    object.put("change", kind.name().toLowerCase(Locale.ROOT));
-    object.put("section", section);
-    object.put("name", name);
-    object.put("details", details);
-    return object;
+  /** The difference for {@code --json}. */
+  JsonObject toJson() {
+    return new JsonObject()
+        .put("change", kind.name().toLowerCase(Locale.ROOT))
+        .put("section", section)
+        .put("name", name)
+        .putTexts("details", details);
   }
 
+  /** The difference as one line of text. */
   @Override
   public String toString() {
     String item = name.isEmpty() ? section : section + " " + name;
--- a/fleet/src/main/java/nettletrail/fleet/cli/OperatorClient.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/OperatorClient.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The operators' command line. Ends with one of the numbers of {@link ExitCode}. */
+/** The operators' command line. */
 @Cli(
     name = "nettletrail-fleet",
     description =
@@ -19,27 +19,31 @@
           name = "config",
           description = "The configuration that the core holds.",
           commands = {
-            ConfigGet.class,
-            ConfigPut.class,
-            ConfigPatch.class,
-            ConfigDiff.class,
-            ConfigCheck.class,
-            ConfigHistory.class,
-            ConfigRollback.class
+            ConfigGetCommand.class,
+            ConfigPutCommand.class,
+            ConfigPatchCommand.class,
+            ConfigDiffCommand.class,
+            ConfigCheckCommand.class,
+            ConfigHistoryCommand.class,
+            ConfigRollbackCommand.class
           }),
       @Group(
           name = "snapshot",
           description = "Copies of the configuration in files.",
-          commands = {SnapshotSave.class, SnapshotVerify.class, SnapshotRestore.class})
+          commands = {
+            SnapshotSaveCommand.class,
+            SnapshotVerifyCommand.class,
+            SnapshotRestoreCommand.class
+          })
     },
     commands = {
-      TryFleet.class,
-      Doors.class,
-      Backends.class,
-      Shards.class,
-      Leases.class,
-      Quota.class,
-      CheckSettings.class,
+      TryCommand.class,
+      DoorsCommand.class,
+      BackendsCommand.class,
+      ShardsCommand.class,
+      LeasesCommand.class,
+      QuotaCommand.class,
+      CheckSettingsCommand.class,
       DiskCheckCommand.class
     })
 public final class OperatorClient {
@@ -54,15 +58,16 @@
   }
 
   /**
-   * Runs a command line on the process's own streams.
+   * Runs a command line with the process's standard streams.
    *
-   * @return the exit code
+   * @param arguments the command with its options and arguments
+   * @return the exit code, a number of {@link ExitCode}
    */
   public static int run(String... arguments) {
     return run(new Console(System.out, System.err), arguments);
   }
 
-  /** Runs a command line on other streams; returns the exit code. */
+  /** As above, with other streams. */
   public static int run(Console console, String... arguments) {
     ExitCode code = new OperatorClient(console).runCommand(arguments);
     console.out().flush();
@@ -73,8 +78,12 @@
   private ExitCode execute(OperatorCommand command) {
     try {
       return command.run(console);
-    } catch (ClientException failure) {
-      console.error(failure, command.isJson());
+    } catch (CommandException failure) {
+      if (command.isJson()) {
+        console.printJsonError(failure);
+      } else {
+        console.printError(failure);
+      }
       return failure.exitCode();
     }
   }
--- a/fleet/src/main/java/nettletrail/fleet/cli/OperatorCommand.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/OperatorCommand.java
@@ -1,15 +1,15 @@
 package nettletrail.fleet.cli;
 
-/** One command of the operators' client, with its options set. */
+/** A command of the operators' command line. Its fields are set by the parser. */
 interface OperatorCommand {
   /**
-   * Runs the command.
+   * Runs the command; blocks until it has ended.
    *
    * @return how it ended
-   * @throws ClientException if it could not do what it was asked for
+   * @throws CommandException if it failed
    */
-  ExitCode run(Console console) throws ClientException;
+  ExitCode run(Console console) throws CommandException;
 
-  /** Whether results and errors are written as JSON. */
+  /** Whether the output is JSON. */
   boolean isJson();
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/Quota.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/QuotaCommand.java
@@ -5,15 +5,15 @@
 import com.github.rvesse.airline.annotations.Command;
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import com.jsoniter.spi.JsonException;
+import java.io.PrintStream;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
-import java.util.Map;
 
 /** Shows a tenant's quota. */
 @Command(
     name = "quota",
     description = "Shows a tenant's quota as the owner of its shard keeps it, in tokens.")
-public final class Quota implements OperatorCommand {
+public final class QuotaCommand implements OperatorCommand {
   @AirlineModule CoreOptions core = new CoreOptions();
   @AirlineModule OutputOptions output = new OutputOptions();
 
@@ -22,27 +22,35 @@
   String tenant = "";
 
   @Override
-  public ExitCode run(Console console) throws ClientException {
+  public ExitCode run(Console console) throws CommandException {
     String name = URLEncoder.encode(tenant, StandardCharsets.UTF_8).replace("+", "%20");
-    CoreAnswer answer = core.client().status("quota/" + name);
-    if (!answer.isTaken()) {
-      throw answer.refusal();
-    }
-    Map<String, Object> fields = fields(answer);
-    if (output.json) {
-      console.json(fields);
-    } else {
-      fields.forEach((field, value) -> console.out().printf("%-14s %s%n", field, value));
-    }
+    CoreResponse response = core.client().readStatus("quota/" + name).requireSuccess();
+    output.write(new TenantQuota(fields(response)), console);
     return ExitCode.DONE;
   }
 
-  private static Map<String, Object> fields(CoreAnswer answer) throws ClientException {
+  private static JsonObject fields(CoreResponse response) throws CommandException {
     try {
-      return OrderedJson.readObject(answer.body());
+      return JsonObject.parse(response.body());
     } catch (JsonException malformed) {
-      throw new ClientException(
-          ExitCode.NO_CLEAR_ANSWER, ClientStep.CALL, answer.core(), malformed.getMessage());
+      throw response.malformed(malformed.getMessage(), malformed);
+    }
+  }
+
+  /**
+   * The quota of one tenant.
+   *
+   * @param fields the core's response, whose fields are printed as they are
+   */
+  private record TenantQuota(JsonObject fields) implements CommandResult {
+    @Override
+    public JsonObject toJson() {
+      return fields;
+    }
+
+    @Override
+    public void printText(PrintStream out) {
+      fields.forEachText((field, value) -> out.printf("%-14s %s%n", field, value));
     }
   }
 
--- a/fleet/src/main/java/nettletrail/fleet/cli/SnapshotRestore.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/SnapshotRestoreCommand.java
@@ -6,12 +6,12 @@
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import nettletrail.configuration.ConfigurationDocument;
 
-/** Puts a snapshot's configuration in force. */
+/** Activates the configuration of a snapshot. */
 @Command(
     name = "restore",
     description =
         "Puts the configuration of a snapshot in force, as a new edition above the current one.")
-public final class SnapshotRestore implements OperatorCommand {
+public final class SnapshotRestoreCommand implements OperatorCommand {
   @AirlineModule CoreOptions core = new CoreOptions();
   @AirlineModule OutputOptions output = new OutputOptions();
   @AirlineModule DryRunOption dryRun = new DryRunOption();
@@ -21,10 +21,11 @@
   String file = "";
 
   @Override
-  public ExitCode run(Console console) throws ClientException {
+  public ExitCode run(Console console) throws CommandException {
     ConfigurationDocument document = SnapshotFile.read(file);
-    return new EarlierDocument(core.client(), console, output.json)
-        .restore(document.json(), file, dryRun.dryRun);
+    ConfigurationRestorer restorer =
+        new ConfigurationRestorer(core.client(), document.json(), file);
+    return dryRun.run(restorer, output, console);
   }
 
   @Override
--- a/fleet/src/main/java/nettletrail/fleet/cli/SnapshotSave.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/SnapshotSaveCommand.java
@@ -4,8 +4,7 @@
 import com.github.rvesse.airline.annotations.Arguments;
 import com.github.rvesse.airline.annotations.Command;
 import com.github.rvesse.airline.annotations.restrictions.Required;
-import java.util.LinkedHashMap;
-import java.util.Map;
+import java.io.PrintStream;
 import nettletrail.configuration.ConfigurationDocument;
 import nettletrail.configuration.ConfigurationException;
 
@@ -13,7 +12,7 @@
 @Command(
     name = "save",
     description = "Saves the newest configuration in a new file, with its digest. It holds keys.")
-public final class SnapshotSave implements OperatorCommand {
+public final class SnapshotSaveCommand implements OperatorCommand {
   @AirlineModule CoreOptions core = new CoreOptions();
   @AirlineModule OutputOptions output = new OutputOptions();
 
@@ -22,30 +21,32 @@
   String file = "";
 
   @Override
-  public ExitCode run(Console console) throws ClientException {
-    CoreAnswer answer = core.client().get();
-    if (!answer.isTaken()) {
-      throw answer.refusal();
-    }
-    ConfigurationDocument document = document(answer);
+  public ExitCode run(Console console) throws CommandException {
+    CoreResponse response = core.client().readConfiguration().requireSuccess();
+    ConfigurationDocument document = document(response);
     SnapshotFile.write(file, document);
-    if (output.json) {
-      Map<String, Object> json = new LinkedHashMap<>();
-      json.put("file", file);
-      json.put("edition", document.edition());
-      console.json(json);
-    } else {
-      console.out().println(file + " holds edition " + document.edition());
-    }
+    output.write(new SavedSnapshot(file, document.edition()), console);
     return ExitCode.DONE;
   }
 
-  private static ConfigurationDocument document(CoreAnswer answer) throws ClientException {
+  private static ConfigurationDocument document(CoreResponse response) throws CommandException {
     try {
-      return ConfigurationDocument.parse(answer.body());
+      return ConfigurationDocument.parse(response.body());
     } catch (ConfigurationException failure) {
-      throw new ClientException(
-          ExitCode.NO_CLEAR_ANSWER, ClientStep.CALL, answer.core(), failure.getMessage());
+      throw response.malformed(failure.getMessage(), failure);
+    }
+  }
+
+  /** A snapshot that was written. */
+  private record SavedSnapshot(String file, long edition) implements CommandResult {
+    @Override
+    public JsonObject toJson() {
+      return new JsonObject().put("file", file).put("edition", edition);
+    }
+
+    @Override
+    public void printText(PrintStream out) {
+      out.println(file + " holds edition " + edition);
     }
   }
 
--- a/fleet/src/main/java/nettletrail/fleet/cli/StatusQuery.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/StatusQuery.java
@@ -2,81 +2,61 @@
 
 import com.jsoniter.spi.JsonException;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
- * Asks every core for its view of the fleet's state; cores that don't answer are named, and the
- * others still count.
+ * Reads a resource of the fleet's state from every core. Cores that don't respond are reported, and
+ * the others still count. Used once.
  */
 final class StatusQuery {
   private static final String CORE_FIELD = "core";
 
-  private final List<Map<String, Object>> rows = new ArrayList<>();
+  private final List<String> addresses;
+  private final String resource;
+  private final List<JsonObject> rows = new ArrayList<>();
   private final List<String> failures = new ArrayList<>();
 
-  private StatusQuery() {}
+  StatusQuery(CoreOptions cores, String resource) {
+    this.addresses = cores.addressList();
+    this.resource = resource;
+  }
 
   /**
-   * Asks all cores for a list.
+   * Queries all cores in turn.
    *
-   * @param resource the list's name
-   * @throws ClientException if none answered
+   * @throws CommandException if an address is malformed, or if no core responded
    */
-  static StatusQuery ask(CoreOptions cores, String resource) throws ClientException {
-    StatusQuery query = new StatusQuery();
-    ClientException last = null;
-    List<String> addresses = cores.list();
-    // Checks all addresses before any of them is called.
-    new CoreClient(addresses, CoreClient.Pauses.once());
+  StatusList run() throws CommandException {
+    // Checks all addresses before the first request is sent.
+    new CoreClient(addresses, RetryPolicy.withoutRetries());
+    CommandException last = null;
     for (String address : addresses) {
       try {
-        query.add(
-            new CoreClient(List.of(address), CoreClient.Pauses.once()).status(resource), resource);
-      } catch (ClientException failure) {
-        query.failures.add(failure.getMessage());
+        addRows(CoreOptions.clientWithoutRetries(address).readStatus(resource).requireSuccess());
+      } catch (CommandException failure) {
+        failures.add(failure.getMessage());
         last = failure;
       }
     }
-    if (last != null && query.failures.size() == addresses.size()) {
-      throw new ClientException(
+    if (last != null && failures.size() == addresses.size()) {
+      throw new CommandException(
           last.exitCode(),
           last.step(),
           String.join(",", addresses),
-          String.join("; ", query.failures));
+          String.join("; ", failures),
+          last);
     }
-    return query;
+    return new StatusList(resource, List.copyOf(rows), List.copyOf(failures));
   }
 
-  private void add(CoreAnswer answer, String resource) throws ClientException {
-    if (!answer.isTaken()) {
-      throw answer.refusal();
-    }
+  private void addRows(CoreResponse response) throws CommandException {
     try {
-      Map<String, Object> json = OrderedJson.readObject(answer.body());
-      for (Object entry : (List<?>) json.get(resource)) {
-        Map<String, Object> row = new LinkedHashMap<>();
-        row.put(CORE_FIELD, json.get(CORE_FIELD));
-        ((Map<?, ?>) entry).forEach((name, value) -> row.put((String) name, value));
-        rows.add(row);
+      JsonObject json = JsonObject.parse(response.body());
+      for (JsonObject entry : json.objects(resource)) {
+        rows.add(json.only(CORE_FIELD).putAll(entry));
       }
-    } catch (JsonException | ClassCastException | NullPointerException malformed) {
-      throw new ClientException(
-          ExitCode.NO_CLEAR_ANSWER,
-          ClientStep.CALL,
-          answer.core(),
-          "its answer can't be read: " + malformed.getMessage());
+    } catch (JsonException malformed) {
+      throw response.malformed("its answer can't be read: " + malformed.getMessage(), malformed);
     }
   }
-
-  /** One row for each entry of each core that answered. */
-  List<Map<String, Object>> rows() {
-    return List.copyOf(rows);
-  }
-
-  /** Which core failed at which step, and why. */
-  List<String> failures() {
-    return List.copyOf(failures);
-  }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/TryFleet.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/TryCommand.java
@@ -10,20 +10,20 @@
 import nettletrail.fleet.cli.demonstration.DemonstrationPlan;
 import nettletrail.fleet.cli.demonstration.DemonstrationResult;
 
-/** Shows a whole fleet at work on this computer. */
+/** Runs a demonstration of the fleet on this computer. */
 @Command(
     name = "try",
     description =
         "Starts a core of three and four doors as processes on loopback, with emulated backends and"
             + " clients; replaces a core machine, revokes a key, drains and crashes a backend,"
             + " restarts a door; tells what came of every request and whether each rule held.")
-public final class TryFleet implements OperatorCommand {
+public final class TryCommand implements OperatorCommand {
   private static final String HOME_PROPERTY = "nettletrail.home";
-  private static final int SHORTEST_SECONDS = 12;
+  private static final int MIN_SECONDS = 12;
 
   @AirlineModule OutputOptions output = new OutputOptions();
 
-  /** How long the clients send. */
+  /** How long the clients send requests, in seconds. */
   @Option(
       name = "--seconds",
       title = "N",
@@ -31,27 +31,30 @@
   int seconds = 18;
 
   @Override
-  public ExitCode run(Console console) throws ClientException {
-    if (seconds < SHORTEST_SECONDS) {
-      throw new ClientException(
-          ExitCode.USAGE, ClientStep.READ, "--seconds", "name " + SHORTEST_SECONDS + " at least");
+  public ExitCode run(Console console) throws CommandException {
+    if (seconds < MIN_SECONDS) {
+      throw new CommandException(
+          ExitCode.USAGE, CommandStep.READ, "--seconds", "name " + MIN_SECONDS + " at least");
     }
     Path home = Path.of(System.getProperty(HOME_PROPERTY, "."));
     try {
-      Path folder = Files.createTempDirectory("nettletrail-try-");
+      Path directory = Files.createTempDirectory("nettletrail-try-");
       DemonstrationResult result =
           new Demonstration(
-                  DemonstrationPlan.standard(seconds), home, folder, line -> narrate(console, line))
+                  DemonstrationPlan.standard(seconds),
+                  home,
+                  directory,
+                  line -> narrate(console, line))
               .run();
-      print(result, folder, console);
+      print(result, directory, console);
       return result.isPassed() ? ExitCode.DONE : ExitCode.DIFFERENT;
     } catch (IOException failure) {
-      throw new ClientException(
-          ExitCode.DIFFERENT, ClientStep.RUN, "the demonstration", failure.toString());
+      throw new CommandException(
+          ExitCode.DIFFERENT, CommandStep.RUN, "the demonstration", failure.toString(), failure);
     } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
-      throw new ClientException(
-          ExitCode.DIFFERENT, ClientStep.RUN, "the demonstration", "interrupted");
+      throw new CommandException(
+          ExitCode.DIFFERENT, CommandStep.RUN, "the demonstration", "interrupted", interrupted);
     }
   }
 
@@ -61,9 +64,10 @@
     }
   }
 
-  private void print(DemonstrationResult result, Path folder, Console console) throws IOException {
+  private void print(DemonstrationResult result, Path directory, Console console)
+      throws IOException {
     if (output.json) {
-      console.json(result.toJson());
+      console.out().println(result.toJson());
     } else {
       console.out().println();
       result.print(console.out());
@@ -73,10 +77,10 @@
           .println(
               result.isPassed()
                   ? "every rule held"
-                  : "a rule was BROKEN; logs and disks are in " + folder);
+                  : "a rule was BROKEN; logs and disks are in " + directory);
     }
     if (result.isPassed()) {
-      Demonstration.deleteFolder(folder);
+      Demonstration.deleteFolder(directory);
     }
   }
 
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationOperator.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationOperator.java
@@ -5,9 +5,10 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import nettletrail.fleet.cli.ClientException;
-import nettletrail.fleet.cli.CoreAnswer;
+import nettletrail.fleet.cli.CommandException;
 import nettletrail.fleet.cli.CoreClient;
+import nettletrail.fleet.cli.CoreResponse;
+import nettletrail.fleet.cli.RetryPolicy;
 
 /** The operator of a demonstration: changes the configuration and reads it back. */
 final class DemonstrationOperator {
@@ -25,7 +26,7 @@
   }
 
   /**
-   * Patches the configuration; the same order is sent until there is a clear answer.
+   * Patches the configuration; the same order is sent until there is a clear response.
    *
    * @return when it was acknowledged, steady clock, nanoseconds
    */
@@ -37,35 +38,36 @@
   /** The edition that a core reads back. */
   long editionAt(Machine core) throws IOException {
     try {
-      CoreAnswer answer = client(List.of(core.controlAddress())).get();
-      if (!answer.isTaken()) {
-        throw new IOException(core.name() + ": " + answer.reason());
+      CoreResponse response = client(List.of(core.controlAddress())).readConfiguration();
+      if (!response.isSuccess()) {
+        throw new IOException(core.name() + ": " + response.reason());
       }
-      return JsonIterator.deserialize(answer.body()).get("edition").toLong();
-    } catch (ClientException | JsonException failure) {
+      return JsonIterator.deserialize(response.body()).get("edition").toLong();
+    } catch (CommandException | JsonException failure) {
       throw new IOException(core.name() + ": " + failure.getMessage(), failure);
     }
   }
 
   private void change(String method, long builtOn, String body) throws IOException {
-    ClientException last = null;
+    CommandException last = null;
     for (int round = 0; round < ROUNDS; round++) {
       try {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        CoreAnswer answer =
-            client(fleet.controlAddresses()).change(method, Long.toString(builtOn), bytes);
-        if (!answer.isTaken()) {
-          throw new IOException(method + " at " + answer.core() + ": " + answer.reason());
+        CoreResponse response =
+            client(fleet.controlAddresses())
+                .changeConfiguration(method, Long.toString(builtOn), bytes);
+        if (!response.isSuccess()) {
+          throw new IOException(method + " at " + response.core() + ": " + response.reason());
         }
         return;
-      } catch (ClientException unclear) {
+      } catch (CommandException unclear) {
         last = unclear;
       }
     }
     throw new IOException("no core took the configuration: " + last.getMessage(), last);
   }
 
-  private static CoreClient client(List<String> addresses) throws ClientException {
-    return new CoreClient(addresses, CoreClient.Pauses.standard());
+  private static CoreClient client(List<String> addresses) throws CommandException {
+    return new CoreClient(addresses, RetryPolicy.standard());
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationResult.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationResult.java
@@ -2,9 +2,8 @@
 
 import java.io.PrintStream;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import nettletrail.fleet.cli.JsonObject;
 
 /**
  * What came of a demonstration.
@@ -51,34 +50,31 @@
   }
 
   /** The same for {@code --json}. */
-  public Map<String, Object> toJson() {
-    Map<String, Object> json = new LinkedHashMap<>();
-    json.put("passed", isPassed());
-    json.put("requests", routes.stream().map(DemonstrationResult::routeJson).toList());
-    json.put("failures", failures);
-    json.put("rules", rules.stream().map(DemonstrationResult::ruleJson).toList());
-    return json;
+  public JsonObject toJson() {
+    return new JsonObject()
+        .put("passed", isPassed())
+        .putObjects("requests", routes.stream().map(DemonstrationResult::routeJson).toList())
+        .putTexts("failures", failures)
+        .putObjects("rules", rules.stream().map(DemonstrationResult::ruleJson).toList());
   }
 
-  private static Map<String, Object> routeJson(RouteSummary route) {
-    Map<String, Object> json = new LinkedHashMap<>();
-    json.put("title", route.title());
-    json.put("asked", route.asked());
-    json.put("tries", route.tries());
-    json.put("answered", route.answered());
-    json.put("refused", route.refused());
-    json.put("failed", route.failed());
-    json.put("p50_ms", route.p50Ms());
-    json.put("p99_ms", route.p99Ms());
-    return json;
+  private static JsonObject routeJson(RouteSummary route) {
+    return new JsonObject()
+        .put("title", route.title())
+        .put("asked", route.asked())
+        .put("tries", route.tries())
+        .put("answered", route.answered())
+        .put("refused", route.refused())
+        .put("failed", route.failed())
+        .put("p50_ms", route.p50Ms())
+        .put("p99_ms", route.p99Ms());
   }
 
-  private static Map<String, Object> ruleJson(RuleResult rule) {
-    Map<String, Object> json = new LinkedHashMap<>();
-    json.put("rule", rule.rule());
-    json.put("held", rule.held());
-    json.put("evidence", rule.evidence());
-    return json;
+  private static JsonObject ruleJson(RuleResult rule) {
+    return new JsonObject()
+        .put("rule", rule.rule())
+        .put("held", rule.held())
+        .put("evidence", rule.evidence());
   }
 
   /**
--- a/fleet/src/test/java/nettletrail/fleet/cli/CommandFormTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/cli/CommandFormTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void exitCodesAreToldByTheHelp() throws IOException {
+  void helpListsTheExitCodes() throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     PrintStream stream = new PrintStream(out, true, StandardCharsets.UTF_8);
     OperatorClient.run(new Console(stream, stream), "help");
--- a/fleet/src/test/java/nettletrail/fleet/cli/LayoutTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/cli/LayoutTest.java
@@ -13,7 +13,7 @@
 import nettletrail.fleet.settings.FleetSettings;
 import org.junit.jupiter.api.Test;
 
-/** The daemons' classes name nothing of the operators' client, so that they never load it. */
+/** No class of the daemons refers to the operators' command line, so that they never load it. */
 class LayoutTest {
   private static final String CLIENT_PACKAGE = "nettletrail/fleet/cli/";
   private static final String PARSER_PACKAGE = "com/github/rvesse/airline/";
@@ -23,13 +23,13 @@
     return Path.of(FleetSettings.class.getProtectionDomain().getCodeSource().getLocation().toURI());
   }
 
-  private static boolean names(Path classFile, String packageName) throws IOException {
+  private static boolean refersTo(Path classFile, String packageName) throws IOException {
     String constants = new String(Files.readAllBytes(classFile), StandardCharsets.ISO_8859_1);
     return constants.contains(packageName);
   }
 
   @Test
-  void onlyTheEntryNamesTheClient() throws Exception {
+  void onlyTheEntryClassRefersToTheCommandLine() throws Exception {
     Path root = classes();
     List<Path> daemonClasses;
     try (Stream<Path> files = Files.walk(root)) {
@@ -42,8 +42,8 @@
     }
     assertTrue(daemonClasses.size() > 10);
     for (Path file : daemonClasses) {
-      assertFalse(names(file, CLIENT_PACKAGE), file.toString());
-      assertFalse(names(file, PARSER_PACKAGE), file.toString());
+      assertFalse(refersTo(file, CLIENT_PACKAGE), file.toString());
+      assertFalse(refersTo(file, PARSER_PACKAGE), file.toString());
     }
   }
 }
--- a/fleet/src/test/java/nettletrail/fleet/cli/OperatorClientTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/cli/OperatorClientTest.java
@@ -24,7 +24,7 @@
        "timeout_ms":4000,"carrier":"model"}],"carriers":[{"name":"model"}],
        "senders":[{"name":"tenant","passes":["secret-1"]}]}
       """;
-  private static final String NOBODY = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
 
   @TempDir private Path folder;
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -51,10 +51,10 @@
   }
 
   @Test
-  void getPrintsTheDocumentOfTheFirstCoreThatAnswersClearly() throws Exception {
+  void getPrintsTheFirstDefiniteResponse() throws Exception {
     try (StubCore busy = new StubCore().answers(503, "{\"error\":\"no owner\"}");
         StubCore core = new StubCore().answers(200, DOCUMENT)) {
-      String cores = NOBODY + "," + busy.address() + "," + core.address();
+      String cores = UNREACHABLE + "," + busy.address() + "," + core.address();
       assertEquals(0, run("config", "get", "--core", cores));
       assertEquals(DOCUMENT.strip(), output());
       assertEquals(1, busy.calls.size());
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void putBuildsOnTheEditionThatTheCoreHolds() throws Exception {
+  void putBuildsOnTheCurrentEdition() throws Exception {
     try (StubCore core = new StubCore().answers(200, "{\"edition\":4}").answers(200, "{}")) {
       assertEquals(0, run("config", "put", "--core", core.address(), file(DOCUMENT)));
       assertEquals(new StubCore.Call("PUT", "4", DOCUMENT), core.calls.get(1));
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void patchFollowsARedirectWithTheSameCall() throws Exception {
+  void patchFollowsARedirectWithTheSameRequest() throws Exception {
     String patch = "{\"edition\":9,\"withdraw\":{\"routes\":[\"chat\"]}}";
     try (StubCore owner = new StubCore().answers(200, "{}");
         StubCore core = new StubCore().redirectsTo(owner)) {
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void refusalNamesCoreStatusAndReason() throws Exception {
+  void rejectionReportsCoreStatusAndReason() throws Exception {
     try (StubCore core = new StubCore().answers(412, "{\"error\":\"edition 6 is current\"}")) {
       String[] command = {
         "config", "put", "--if-match", "5", "--core", core.address(), file(DOCUMENT)
@@ -106,12 +106,12 @@
   }
 
   @Test
-  void noClearAnswerNamesEachCoreAndEndsWithItsOwnCode() throws Exception {
+  void indefiniteResponsesAreRetriedAndReportedForEachCore() throws Exception {
     try (StubCore core = new StubCore().answers(503, "{\"error\":\"no owner\"}")) {
-      String cores = core.address() + "," + NOBODY;
+      String cores = core.address() + "," + UNREACHABLE;
       assertEquals(4, run("config", "get", "--json", "--core", cores));
       assertTrue(errors().contains(core.address() + ": 503 no owner"), errors());
-      assertTrue(errors().contains(NOBODY + ": java.net.ConnectException"), errors());
+      assertTrue(errors().contains(UNREACHABLE + ": java.net.ConnectException"), errors());
       assertTrue(errors().contains("\"step\":\"calling\""), errors());
       assertTrue(errors().contains("\"exit_code\":4"), errors());
       assertEquals(3, core.calls.size());
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void diffNamesItemsAndFieldsButNoKeys() throws Exception {
+  void diffListsItemsAndFieldsButNoKeys() throws Exception {
     String changed =
         DOCUMENT
             .replace("\"edition\":5", "\"edition\":6")
@@ -153,11 +153,11 @@
     assertEquals("{\"valid\":true,\"edition\":5}", output());
     assertEquals(1, run("config", "check", file(DOCUMENT.replace("4000", "0"))));
     assertTrue(errors().contains("timeout_ms"), errors());
-    assertEquals(1, run("config", "put", "--core", NOBODY, file("{")));
+    assertEquals(1, run("config", "put", "--core", UNREACHABLE, file("{")));
   }
 
   @Test
-  void checkSettingsNamesEveryFault() throws Exception {
+  void checkSettingsReportsEveryFault() throws Exception {
     String settings =
         """
         node=counter-a-1
@@ -175,19 +175,19 @@
   }
 
   @Test
-  void wrongUseEndsWithItsOwnCode() throws Exception {
+  void invalidCommandLineHasItsOwnExitCode() throws Exception {
     assertEquals(2, run("config", "get"));
     assertEquals(2, run("config", "get", "--core", "nowhere"));
     assertEquals(2, run("config", "get", "--core", ","));
-    assertEquals(2, run("config", "put", "--core", NOBODY));
-    assertEquals(2, run("config", "put", "--core", NOBODY, folder.resolve("none").toString()));
+    assertEquals(2, run("config", "put", "--core", UNREACHABLE));
+    assertEquals(2, run("config", "put", "--core", UNREACHABLE, folder.resolve("none").toString()));
     assertEquals(2, run("config", "lose"));
     assertEquals(2, run("nonsense"));
     assertFalse(errors().isEmpty());
   }
 
   @Test
-  void helpNamesCommandsAndExitCodes() {
+  void helpListsCommandsAndExitCodes() {
     for (String[] arguments : new String[][] {{}, {"help"}, {"config", "--help"}}) {
       assertEquals(0, run(arguments));
       assertTrue(output().contains("config"), output());
--- a/fleet/src/test/java/nettletrail/fleet/cli/StubCore.java
+++ b/fleet/src/test/java/nettletrail/fleet/cli/StubCore.java
@@ -11,16 +11,16 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A core of a test: gives prepared answers in turn, the last one for ever, and notes the calls. */
+/** A core for tests: sends prepared responses in turn, repeating the last, and records requests. */
 final class StubCore implements AutoCloseable {
-  /** An answer; the location is sent if it isn't empty. */
-  record Prepared(int status, String location, String body) {}
+  /** A response; the location is sent if it isn't empty. */
+  record PreparedResponse(int status, String location, String body) {}
 
-  /** A call as it came. */
+  /** A request as received. */
   record Call(String method, String ifMatch, String body) {}
 
   final List<Call> calls = new CopyOnWriteArrayList<>();
-  private final Deque<Prepared> answers = new ArrayDeque<>();
+  private final Deque<PreparedResponse> responses = new ArrayDeque<>();
   private final HttpServer server;
 
   StubCore() throws IOException {
@@ -34,33 +34,33 @@
   }
 
   StubCore answers(int status, String body) {
-    return prepare(new Prepared(status, "", body));
+    return prepare(new PreparedResponse(status, "", body));
   }
 
   StubCore redirectsTo(StubCore other) {
     String location = "http://" + other.address() + "/nettletrail/config";
-    return prepare(new Prepared(307, location, ""));
+    return prepare(new PreparedResponse(307, location, ""));
   }
 
-  private synchronized StubCore prepare(Prepared answer) {
-    answers.add(answer);
+  private synchronized StubCore prepare(PreparedResponse response) {
+    responses.add(response);
     return this;
   }
 
-  private synchronized Prepared nextAnswer() {
-    return answers.size() > 1 ? answers.remove() : answers.element();
+  private synchronized PreparedResponse nextResponse() {
+    return responses.size() > 1 ? responses.remove() : responses.element();
   }
 
   private void handle(HttpExchange exchange) throws IOException {
     String ifMatch = exchange.getRequestHeaders().getFirst("If-Match");
     String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
     calls.add(new Call(exchange.getRequestMethod(), ifMatch == null ? "" : ifMatch, body));
-    Prepared answer = nextAnswer();
-    if (!answer.location().isEmpty()) {
-      exchange.getResponseHeaders().set("Location", answer.location());
+    PreparedResponse response = nextResponse();
+    if (!response.location().isEmpty()) {
+      exchange.getResponseHeaders().set("Location", response.location());
     }
-    byte[] bytes = answer.body().getBytes(StandardCharsets.UTF_8);
-    exchange.sendResponseHeaders(answer.status(), bytes.length == 0 ? -1 : bytes.length);
+    byte[] bytes = response.body().getBytes(StandardCharsets.UTF_8);
+    exchange.sendResponseHeaders(response.status(), bytes.length == 0 ? -1 : bytes.length);
     exchange.getResponseBody().write(bytes);
     exchange.close();
   }
--- a/fleet/src/test/java/nettletrail/fleet/cli/demonstration/DemonstrationFormTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/cli/demonstration/DemonstrationFormTest.java
@@ -1,6 +1,5 @@
 package nettletrail.fleet.cli.demonstration;
 
-import com.jsoniter.output.JsonStream;
 import java.io.IOException;
 import java.util.List;
 import nettletrail.fleet.ApprovedForm;
@@ -13,6 +12,6 @@
   void resultHasItsKeys() throws IOException {
     RuleResult rule = new RuleResult("a rule", true, "seen");
     DemonstrationResult result = DemonstrationResult.of(List.of(), List.of(rule), 0);
-    ApprovedForm.verify("try-json.txt", JsonShape.of(JsonStream.serialize(result.toJson())));
+    ApprovedForm.verify("try-json.txt", JsonShape.of(result.toJson().toString()));
   }
 }
