--- a/fleet/src/main/java/nettletrail/fleet/cli/TryCommand.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/TryCommand.java
@@ -80,7 +80,7 @@
                   : "a rule was BROKEN; logs and disks are in " + directory);
     }
     if (result.isPassed()) {
-      Demonstration.deleteFolder(directory);
+      Demonstration.deleteDirectory(directory);
     }
   }
 
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/BackendRegistration.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/BackendRegistration.java
@@ -13,29 +13,33 @@
 import java.util.function.Supplier;
 
 /**
- * A backend's calls to the core: heartbeats, its intention to end, and its end. A call that fails
- * goes to the next core.
+ * Registers a backend with the core, renews the registration by heartbeats, and removes it. A
+ * request that fails is sent to the next core. Thread-safe; heartbeats are sent on an own thread.
  */
 final class BackendRegistration implements AutoCloseable {
-  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
   private static final int OK = 200;
+  private static final int MAX_ATTEMPTS_PER_CORE = 2;
 
   private final EmulatedBackend backend;
   private final Supplier<List<String>> cores;
-  private final HttpClient http = HttpClient.newBuilder().connectTimeout(CALL_TIMEOUT).build();
+  private final HttpClient http = HttpClient.newBuilder().connectTimeout(REQUEST_TIMEOUT).build();
   private final ScheduledExecutorService heartbeats =
       Executors.newSingleThreadScheduledExecutor(BackendRegistration::daemon);
   private String state = "open_for_mail";
-  private int core;
+  private int coreIndex;
   private long callSequence;
 
   /**
-   * @param cores control addresses of the core machines as they are now
+   * Sends nothing yet.
+   *
+   * @param cores supplies the current control addresses of the core machines
+   * @param firstCore index of the core that is called first, modulo their number
    */
   BackendRegistration(EmulatedBackend backend, Supplier<List<String>> cores, int firstCore) {
     this.backend = backend;
     this.cores = cores;
-    this.core = firstCore;
+    this.coreIndex = firstCore;
   }
 
   private static Thread daemon(Runnable work) {
@@ -44,17 +48,17 @@
     return thread;
   }
 
-  /** Registers; begins to send heartbeats. */
+  /** Registers the backend and starts to send heartbeats. */
   void start() throws IOException, InterruptedException {
     heartbeat();
     heartbeats.scheduleWithFixedDelay(
-        this::heartbeatQuietly,
-        SettingsText.HEARTBEAT_MS,
-        SettingsText.HEARTBEAT_MS,
+        this::heartbeatIgnoringFailure,
+        SettingsTemplate.HEARTBEAT_MS,
+        SettingsTemplate.HEARTBEAT_MS,
         TimeUnit.MILLISECONDS);
   }
 
-  /** Says that the backend is about to end; returns once that is acknowledged. */
+  /** Announces that the backend is draining; returns when that is acknowledged. */
   void drain() throws IOException, InterruptedException {
     synchronized (this) {
       state = "closing";
@@ -62,23 +66,23 @@
     heartbeat();
   }
 
-  /** Says that the backend has ended. */
+  /** Deregisters the backend and stops the heartbeats. */
   synchronized void remove() throws IOException, InterruptedException {
     close();
-    call("DELETE", HttpRequest.BodyPublishers.noBody());
+    send("DELETE", HttpRequest.BodyPublishers.noBody());
   }
 
-  /** Sends no more heartbeats, as after a crash. */
+  /** Stops the heartbeats without deregistering, as a crash does. */
   @Override
   public void close() {
     heartbeats.shutdownNow();
   }
 
-  private void heartbeatQuietly() {
+  private void heartbeatIgnoringFailure() {
     try {
       heartbeat();
     } catch (IOException noCore) {
-      // The next heartbeat tries all cores again.
+      // The next heartbeat is sent to all cores again.
     } catch (InterruptedException stopped) {
       Thread.currentThread().interrupt();
     }
@@ -86,18 +90,18 @@
 
   private synchronized void heartbeat() throws IOException, InterruptedException {
     callSequence++;
-    call("PUT", HttpRequest.BodyPublishers.ofString(record()));
+    send("PUT", HttpRequest.BodyPublishers.ofString(registrationJson()));
   }
 
-  private void call(String method, HttpRequest.BodyPublisher body)
+  private void send(String method, HttpRequest.BodyPublisher body)
       throws IOException, InterruptedException {
     List<String> addresses = cores.get();
     IOException last = new IOException("there is no core");
-    for (int attempt = 0; attempt < 2 * addresses.size(); attempt++) {
-      String address = addresses.get(core % addresses.size());
+    for (int attempt = 0; attempt < MAX_ATTEMPTS_PER_CORE * addresses.size(); attempt++) {
+      String address = addresses.get(coreIndex % addresses.size());
       URI uri = URI.create("http://" + address + "/nettletrail/backends/" + backend.id());
       HttpRequest request =
-          HttpRequest.newBuilder(uri).timeout(CALL_TIMEOUT).method(method, body).build();
+          HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT).method(method, body).build();
       try {
         int status = http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
         if (status == OK) {
@@ -107,12 +111,12 @@
       } catch (IOException failure) {
         last = new IOException(method + " at " + address + ": " + failure, failure);
       }
-      core++;
+      coreIndex++;
     }
     throw last;
   }
 
-  private String record() {
+  private String registrationJson() {
     return """
         {"carrier":"%s","address":"%s","zone":"%s","edition":"v1","berths":%d,
          "state":"%s","cold_left_ms":0,"stage":"either_way",
@@ -122,7 +126,7 @@
             backend.service(),
             backend.address(),
             backend.zone(),
-            ConfigurationText.BACKEND_SLOTS,
+            ConfigurationTemplate.BACKEND_SLOTS,
             state,
             callSequence);
   }
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/RunLedger.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/BackendRunLog.java
@@ -5,29 +5,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which backend ran which attempt, and when; written by all backends, on any thread. */
-final class RunLedger {
+/** Records which backend ran which attempt, and when. Thread-safe; written by all backends. */
+final class BackendRunLog {
   /**
-   * A backend began to run a request.
+   * A backend started to run an attempt.
    *
-   * @param attempt the id of the client's try
+   * @param backend the backend's id
+   * @param attempt the id of the client's attempt
    * @param startedAt steady clock, nanoseconds
    */
   record Run(String backend, String attempt, RequestKind kind, long startedAt) {}
 
   private final List<Run> runs = new ArrayList<>();
 
-  /** Notes a run. */
-  synchronized void began(Run run) {
+  synchronized void record(Run run) {
     runs.add(run);
   }
 
-  /** Everything that ran so far. */
+  /** All runs so far, in the order of their start. */
   synchronized List<Run> runs() {
     return List.copyOf(runs);
   }
 
-  /** How often each attempt ran. */
+  /** The number of runs of each attempt, by the attempt's id. */
   Map<String, Integer> countsByAttempt() {
     Map<String, Integer> counts = new HashMap<>();
     for (Run run : runs()) {
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/ChildProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/ChildProcess.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import nettletrail.fleet.settings.FleetSettings;
 
-/** One process of the fleet, started as the deploy file does, that ends with this process. */
+/** A process of the fleet, started as by the deploy file. It terminates with this process. */
 final class ChildProcess {
   private static final Path JAR = Path.of("fleet", "target", "nettletrail-fleet.jar");
-  private static final long END_TIMEOUT_S = 12;
+  private static final long TERMINATION_TIMEOUT_S = 12;
 
   private final Process process;
 
@@ -21,11 +21,11 @@
   }
 
   /**
-   * Starts the role of a machine; its settings file has been written.
+   * Starts the role of a machine, whose settings file must exist.
    *
-   * @param home the repository, where {@code deploy/} lies
+   * @param home the repository, which contains {@code deploy/}
    */
-  static ChildProcess start(Path home, Machine machine) throws IOException {
+  static ChildProcess start(Path home, EmulatedMachine machine) throws IOException {
     Path java = Path.of(System.getProperty("java.home"), "bin", "java");
     ProcessBuilder builder =
         new ProcessBuilder(
@@ -43,7 +43,10 @@
     return new ChildProcess(builder.start());
   }
 
-  /** The jar by the path that the archive of classes was made with, or the classes of a test. */
+  /**
+   * The jar, by the same relative path as for the class data sharing archive, which is valid for
+   * that path only; or the class path of this process, as in tests.
+   */
   private static String classPath(Path home) throws IOException {
     try {
       Path own =
@@ -51,8 +54,8 @@
       Path jar = home.resolve(JAR);
       boolean runsFromJar = Files.exists(jar) && Files.isSameFile(own, jar);
       return runsFromJar ? JAR.toString() : System.getProperty("java.class.path");
-    } catch (URISyntaxException impossible) {
-      throw new IOException("the class path can't be found", impossible);
+    } catch (URISyntaxException malformed) {
+      throw new IOException("the class path can't be found", malformed);
     }
   }
 
@@ -60,26 +63,28 @@
     return process.isAlive();
   }
 
-  /** Ends it at once, as a loss of power would. */
+  /**
+   * Kills the process without a graceful shutdown, like a loss of power; returns when it has ended.
+   */
   void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
   /** Sends SIGTERM. */
-  void requestEnd() {
-    // Process.destroy would also close standard input, which ends the child at once.
+  void requestTermination() {
+    // Process.destroy would also close standard input, at which SupervisedMain halts the child.
     process.toHandle().destroy();
   }
 
   /**
-   * Waits for the end that was requested.
+   * Waits for the requested termination; kills the process after a time-out.
    *
-   * @return empty if it ended in time with exit code 0, else what it did instead
+   * @return empty if it terminated in time with exit code 0, else what it did instead
    */
-  Optional<String> awaitEnd() throws InterruptedException {
-    if (!process.waitFor(END_TIMEOUT_S, TimeUnit.SECONDS)) {
+  Optional<String> awaitTermination() throws InterruptedException {
+    if (!process.waitFor(TERMINATION_TIMEOUT_S, TimeUnit.SECONDS)) {
       kill();
-      return Optional.of("didn't end within " + END_TIMEOUT_S + " s");
+      return Optional.of("didn't end within " + TERMINATION_TIMEOUT_S + " s");
     }
     int code = process.exitValue();
     return code == 0 ? Optional.empty() : Optional.of("ended with code " + code);
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/ClientResponse.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/ClientResponse.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 
 /**
- * What came back for one try of a request.
+ * What a client received for one attempt of a request.
  *
- * @param status HTTP status; 0 if no head came
- * @param headers by name in lower case
- * @param firstEventAt when the body began, steady clock, nanoseconds; 0 if it didn't
- * @param eventIds the ids of the events that came, in their order
- * @param complete whether the body came whole
- * @param connected whether a connection came up at all
+ * @param status HTTP status; 0 if no response head was received
+ * @param headers values by name in lower case
+ * @param firstEventAt when the first byte of the body was received: steady clock, nanoseconds; 0 if
+ *     none was
+ * @param eventIds the ids of the received events, in their order
+ * @param complete whether the response was received completely
+ * @param connected whether a connection was established
  */
 record ClientResponse(
     int status,
@@ -21,7 +22,7 @@
     boolean complete,
     boolean connected) {
 
-  /** No door was reached. */
+  /** No connection was established. */
   static ClientResponse notConnected() {
     return new ClientResponse(0, Map.of(), 0, List.of(), false, false);
   }
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/ConfigurationText.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/ConfigurationTemplate.java
@@ -1,7 +1,7 @@
 package nettletrail.fleet.cli.demonstration;
 
 /** The configuration of a demonstration, and its changes. */
-final class ConfigurationText {
+final class ConfigurationTemplate {
   static final String HOST = "models.example";
   static final String MODEL_SERVICE = "language-model";
   static final String CHAT_SERVICE = "chat-relay";
@@ -12,7 +12,7 @@
   static final long EDITION_WITHOUT_KEY = 2;
   static final long LAST_EDITION = 3;
 
-  private ConfigurationText() {}
+  private ConfigurationTemplate() {}
 
   /** The first configuration. */
   static String first() {
@@ -50,7 +50,7 @@
             south("\"south-key-1\",\"south-key-2\""));
   }
 
-  /** A patch that takes one of a tenant's two keys away. */
+  /** A patch that revokes one of the two keys of a tenant. */
   static String withoutKey() {
     return """
         {"edition":%d,"deliver":{"senders":[%s]}}
@@ -58,7 +58,7 @@
         .formatted(EDITION_WITHOUT_KEY, south("\"south-key-1\""));
   }
 
-  /** A patch that changes a route's priority, sent after the faults. */
+  /** A patch that changes the priority of a route, for the end of the demonstration. */
   static String last() {
     return """
         {"edition":%d,"deliver":{"routes":[
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationOperator.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationOperator.java
@@ -10,9 +10,9 @@
 import nettletrail.fleet.cli.CoreResponse;
 import nettletrail.fleet.cli.RetryPolicy;
 
-/** The operator of a demonstration: changes the configuration and reads it back. */
+/** Changes the configuration of a demonstration and reads it back. Blocks. */
 final class DemonstrationOperator {
-  private static final int ROUNDS = 10;
+  private static final int MAX_ATTEMPTS = 10;
 
   private final FleetProcesses fleet;
 
@@ -20,23 +20,24 @@
     this.fleet = fleet;
   }
 
-  /** Puts the first configuration; goes on until it is taken. */
+  /** Puts the first configuration; retries until a core has accepted it. */
   void putFirst() throws IOException {
-    change("PUT", 0, ConfigurationText.first());
+    change("PUT", 0, ConfigurationTemplate.first());
   }
 
   /**
-   * Patches the configuration; the same order is sent until there is a clear response.
+   * Patches the configuration; retries the same request until there is a definite response.
    *
-   * @return when it was acknowledged, steady clock, nanoseconds
+   * @param builtOn the current edition
+   * @return when the change was acknowledged: steady clock, nanoseconds
    */
   long patch(long builtOn, String patch) throws IOException {
     change("PATCH", builtOn, patch);
     return System.nanoTime();
   }
 
-  /** The edition that a core reads back. */
-  long editionAt(Machine core) throws IOException {
+  /** The edition of the configuration that a core returns. */
+  long editionAt(EmulatedMachine core) throws IOException {
     try {
       CoreResponse response = client(List.of(core.controlAddress())).readConfiguration();
       if (!response.isSuccess()) {
@@ -50,7 +51,7 @@
 
   private void change(String method, long builtOn, String body) throws IOException {
     CommandException last = null;
-    for (int round = 0; round < ROUNDS; round++) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       try {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         CoreResponse response =
@@ -60,8 +61,8 @@
           throw new IOException(method + " at " + response.core() + ": " + response.reason());
         }
         return;
-      } catch (CommandException unclear) {
-        last = unclear;
+      } catch (CommandException indefinite) {
+        last = indefinite;
       }
     }
     throw new IOException("no core took the configuration: " + last.getMessage(), last);
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationPlan.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationPlan.java
@@ -1,39 +1,37 @@
 package nettletrail.fleet.cli.demonstration;
 
 /**
- * How large a demonstration is and which faults it has.
+ * The size of a demonstration and the faults that it injects.
  *
  * @param coreCount core machines at the start
  * @param zoneCount zones; doors and backends are spread over them
- * @param doorsInZone doors of each zone
- * @param clientsInZone clients of each zone, each with one request at a time
- * @param loadSeconds how long clients send requests
+ * @param doorsPerZone doors in each zone
+ * @param clientsPerZone clients in each zone, each with one request at a time
+ * @param loadSeconds duration of the load, in seconds
  * @param replaceCore whether a core machine is killed and replaced by an empty one at another
  *     address
  */
 public record DemonstrationPlan(
     int coreCount,
     int zoneCount,
-    int doorsInZone,
-    int clientsInZone,
+    int doorsPerZone,
+    int clientsPerZone,
     int loadSeconds,
     boolean replaceCore) {
 
   private static final int CORES = 3;
   private static final int ZONES = 2;
-  private static final int DOORS_IN_ZONE = 2;
-  private static final int CLIENTS_IN_ZONE = 6;
+  private static final int DOORS_PER_ZONE = 2;
+  private static final int CLIENTS_PER_ZONE = 6;
 
-  /** A core of three, two doors in each of two zones, all faults. */
+  /** Three cores, two doors in each of two zones, all faults. */
   public static DemonstrationPlan standard(int loadSeconds) {
-    return new DemonstrationPlan(CORES, ZONES, DOORS_IN_ZONE, CLIENTS_IN_ZONE, loadSeconds, true);
+    return new DemonstrationPlan(CORES, ZONES, DOORS_PER_ZONE, CLIENTS_PER_ZONE, loadSeconds, true);
   }
 
-  /**
-   * Three processes: a core of one and a door in each of two zones; no core machine is replaced.
-   */
+  /** One core and a door in each of two zones; no core machine is replaced. For tests. */
   static DemonstrationPlan small(int loadSeconds) {
-    return new DemonstrationPlan(1, ZONES, 1, CLIENTS_IN_ZONE / 2, loadSeconds, false);
+    return new DemonstrationPlan(1, ZONES, 1, CLIENTS_PER_ZONE / 2, loadSeconds, false);
   }
 
   /** The name of a zone, by its number from 0. */
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationResult.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/DemonstrationResult.java
@@ -6,37 +6,37 @@
 import nettletrail.fleet.cli.JsonObject;
 
 /**
- * What came of a demonstration.
+ * The result of a demonstration.
  *
- * @param routes one entry for each kind of request
- * @param failures what became of requests that failed, one line each
- * @param rules whether each rule held
+ * @param requests one summary for each kind of request
+ * @param failures one line for each request that failed
+ * @param invariants whether each guarantee was kept
  */
 public record DemonstrationResult(
-    List<RouteSummary> routes, List<String> failures, List<RuleResult> rules) {
+    List<RequestSummary> requests, List<String> failures, List<InvariantResult> invariants) {
   private static final int MAX_FAILURES_PRINTED = 12;
 
-  /** Whether every rule held. */
+  /** Whether every guarantee was kept. */
   public boolean isPassed() {
-    return rules.stream().allMatch(RuleResult::held);
+    return invariants.stream().allMatch(InvariantResult::holds);
   }
 
-  /** Writes two tables. */
+  /** Prints a table of the requests and one of the guarantees. */
   public void print(PrintStream out) {
     out.printf(
         "%-37s %6s %6s %9s %8s %7s %8s %8s%n",
         "requests", "asked", "tries", "answered", "refused", "failed", "p50 ms", "p99 ms");
-    for (RouteSummary route : routes) {
+    for (RequestSummary request : requests) {
       out.printf(
           "%-37s %6d %6d %9d %8d %7d %8d %8d%n",
-          route.title(),
-          route.asked(),
-          route.tries(),
-          route.answered(),
-          route.refused(),
-          route.failed(),
-          route.p50Ms(),
-          route.p99Ms());
+          request.title(),
+          request.requests(),
+          request.attempts(),
+          request.answered(),
+          request.rejected(),
+          request.failed(),
+          request.p50Ms(),
+          request.p99Ms());
     }
     out.println(
         "p50, p99: to the first event or byte of those that were answered, from their last try");
@@ -44,55 +44,57 @@
         .limit(MAX_FAILURES_PRINTED)
         .forEach(failure -> out.println("failed: " + failure));
     out.println();
-    for (RuleResult rule : rules) {
-      out.printf("%-7s %-50s %s%n", rule.held() ? "held" : "BROKEN", rule.rule(), rule.evidence());
+    for (InvariantResult result : invariants) {
+      out.printf(
+          "%-7s %-50s %s%n",
+          result.holds() ? "held" : "BROKEN", result.invariant(), result.evidence());
     }
   }
 
-  /** The same for {@code --json}. */
+  /** The result for {@code --json}; the names of its fields must not change. */
   public JsonObject toJson() {
     return new JsonObject()
         .put("passed", isPassed())
-        .putObjects("requests", routes.stream().map(DemonstrationResult::routeJson).toList())
+        .putObjects("requests", requests.stream().map(DemonstrationResult::requestJson).toList())
         .putTexts("failures", failures)
-        .putObjects("rules", rules.stream().map(DemonstrationResult::ruleJson).toList());
+        .putObjects("rules", invariants.stream().map(DemonstrationResult::invariantJson).toList());
   }
 
-  private static JsonObject routeJson(RouteSummary route) {
+  private static JsonObject requestJson(RequestSummary request) {
     return new JsonObject()
-        .put("title", route.title())
-        .put("asked", route.asked())
-        .put("tries", route.tries())
-        .put("answered", route.answered())
-        .put("refused", route.refused())
-        .put("failed", route.failed())
-        .put("p50_ms", route.p50Ms())
-        .put("p99_ms", route.p99Ms());
+        .put("title", request.title())
+        .put("asked", request.requests())
+        .put("tries", request.attempts())
+        .put("answered", request.answered())
+        .put("refused", request.rejected())
+        .put("failed", request.failed())
+        .put("p50_ms", request.p50Ms())
+        .put("p99_ms", request.p99Ms());
   }
 
-  private static JsonObject ruleJson(RuleResult rule) {
+  private static JsonObject invariantJson(InvariantResult result) {
     return new JsonObject()
-        .put("rule", rule.rule())
-        .put("held", rule.held())
-        .put("evidence", rule.evidence());
+        .put("rule", result.invariant())
+        .put("held", result.holds())
+        .put("evidence", result.evidence());
   }
 
   /**
-   * Sums up.
+   * Summarizes a demonstration.
    *
-   * @param startedAt when the demonstration began, steady clock, nanoseconds
+   * @param startedAt when the demonstration started: steady clock, nanoseconds
    */
   static DemonstrationResult of(
-      List<RequestOutcome> outcomes, List<RuleResult> rules, long startedAt) {
-    List<RouteSummary> routes = new ArrayList<>();
+      List<AttemptResult> attempts, List<InvariantResult> invariants, long startedAt) {
+    List<RequestSummary> requests = new ArrayList<>();
     for (RequestKind kind : RequestKind.values()) {
-      routes.add(RouteSummary.of(kind, outcomes));
+      requests.add(RequestSummary.of(kind, attempts));
     }
     List<String> failures =
-        outcomes.stream()
-            .filter(each -> each.lastTry() && each.result() == RequestOutcome.Result.FAILED)
+        attempts.stream()
+            .filter(each -> each.finalAttempt() && each.outcome() == AttemptResult.Outcome.FAILED)
             .map(each -> each.describe(startedAt))
             .toList();
-    return new DemonstrationResult(routes, failures, List.copyOf(rules));
+    return new DemonstrationResult(requests, failures, List.copyOf(invariants));
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/EmulatedBackend.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/EmulatedBackend.java
@@ -12,12 +12,13 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * A model backend: answers with a text or a stream of events after the time that its work takes,
- * refuses what is not meant for it and what it has no slot for, and notes what it ran.
+ * An HTTP server in place of a model backend. It responds with a text or a stream of events after a
+ * processing time, rejects requests for another backend and those that it has no slot for, and
+ * records the attempts that it runs. Handles requests on its own threads.
  */
 final class EmulatedBackend implements AutoCloseable {
-  private static final long FIRST_EVENT_MS = 25;
-  private static final long EVENT_MS = 20;
+  private static final long PREFILL_MS = 25;
+  private static final long EVENT_INTERVAL_MS = 20;
   private static final int OK = 200;
   private static final int MISDIRECTED = 421;
   private static final int UNAVAILABLE = 503;
@@ -26,19 +27,19 @@
   private final String id;
   private final String service;
   private final String zone;
-  private final RunLedger ledger;
+  private final BackendRunLog runLog;
   private final HttpServer server;
   private final ExecutorService threads = Executors.newCachedThreadPool(EmulatedBackend::daemon);
-  private final Semaphore slots = new Semaphore(ConfigurationText.BACKEND_SLOTS);
+  private final Semaphore slots = new Semaphore(ConfigurationTemplate.BACKEND_SLOTS);
   private volatile boolean crashed;
 
-  /** Listens at once; registered by a {@link BackendRegistration}. */
-  EmulatedBackend(String id, String service, String zone, String ip, RunLedger ledger)
+  /** Starts to listen; {@link BackendRegistration} registers the backend. */
+  EmulatedBackend(String id, String service, String zone, String ip, BackendRunLog runLog)
       throws IOException {
     this.id = id;
     this.service = service;
     this.zone = zone;
-    this.ledger = ledger;
+    this.runLog = runLog;
     this.server = HttpServer.create(new InetSocketAddress(ip, LoopbackNetwork.BACKEND_PORT), 0);
     server.createContext("/", this::handle);
     server.setExecutor(threads);
@@ -68,7 +69,7 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** Breaks off everything that is open, in the middle of events too. */
+  /** Stops at once; responses are cut off, even in the middle of an event. */
   void crash() {
     crashed = true;
     close();
@@ -87,11 +88,11 @@
       String attempt = exchange.getRequestHeaders().getFirst("X-Attempt-Id");
       String recipient = exchange.getRequestHeaders().getFirst("X-Deliver-To");
       if (kind == null || attempt == null) {
-        refuse(exchange, BAD_REQUEST);
+        reject(exchange, BAD_REQUEST);
       } else if (recipient != null && !recipient.equals(id)) {
-        refuse(exchange, MISDIRECTED);
+        reject(exchange, MISDIRECTED);
       } else if (!slots.tryAcquire()) {
-        refuse(exchange, UNAVAILABLE);
+        reject(exchange, UNAVAILABLE);
       } else {
         runInSlot(exchange, kind, attempt);
       }
@@ -100,7 +101,7 @@
     }
   }
 
-  private static void refuse(HttpExchange exchange, int status) throws IOException {
+  private static void reject(HttpExchange exchange, int status) throws IOException {
     exchange.getResponseHeaders().set("X-Not-Run", "1");
     exchange.sendResponseHeaders(status, -1);
   }
@@ -108,8 +109,8 @@
   private void runInSlot(HttpExchange exchange, RequestKind kind, String attempt)
       throws IOException, InterruptedException {
     try {
-      ledger.began(new RunLedger.Run(id, attempt, kind, System.nanoTime()));
-      Thread.sleep(FIRST_EVENT_MS);
+      runLog.record(new BackendRunLog.Run(id, attempt, kind, System.nanoTime()));
+      Thread.sleep(PREFILL_MS);
       Headers headers = exchange.getResponseHeaders();
       headers.set("X-Attempt-Id", attempt);
       headers.set("X-Backend-Seal", id + "." + attempt);
@@ -129,17 +130,17 @@
   private void stream(HttpExchange exchange, RequestKind kind)
       throws IOException, InterruptedException {
     String last = exchange.getRequestHeaders().getFirst("Last-Event-Id");
-    int next = last == null ? 1 : Integer.parseInt(last) + 1;
+    int first = last == null ? 1 : Integer.parseInt(last) + 1;
     exchange.sendResponseHeaders(OK, 0);
     OutputStream out = exchange.getResponseBody();
-    for (int event = next; event <= kind.events(); event++) {
+    for (int event = first; event <= kind.events(); event++) {
       if (crashed) {
         throw new IOException("the backend has crashed");
       }
       out.write(
           ("id: " + event + "\ndata: part " + event + "\n\n").getBytes(StandardCharsets.UTF_8));
       out.flush();
-      Thread.sleep(EVENT_MS);
+      Thread.sleep(EVENT_INTERVAL_MS);
     }
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/FleetProcesses.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/FleetProcesses.java
@@ -1,83 +1,79 @@
 package nettletrail.fleet.cli.demonstration;
 
 import java.io.IOException;
-import java.nio.file.FileVisitResult;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.SimpleFileVisitor;
-import java.nio.file.attribute.BasicFileAttributes;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.function.Predicate;
 
 /**
- * The processes of the emulated machines: started, killed, replaced and restarted. Used by one
- * thread but for the getters.
+ * Starts, kills, replaces and restarts the processes of the emulated machines. Used by one thread;
+ * only {@link #cores} and {@link #controlAddresses} may be called on any thread.
  */
 final class FleetProcesses {
   private final Path home;
-  private final Path folder;
+  private final Path directory;
   private final LoopbackNetwork network;
-  private final Map<Machine, ChildProcess> running = new LinkedHashMap<>();
-  private volatile List<Machine> cores = List.of();
+  private final Map<EmulatedMachine, ChildProcess> running = new LinkedHashMap<>();
+  private volatile List<EmulatedMachine> cores = List.of();
   private int lastCore;
 
   /**
-   * None yet.
+   * Starts nothing yet.
    *
    * @param home the repository
-   * @param folder where settings, disks and logs are put
+   * @param directory for settings, disks and logs
    */
-  FleetProcesses(Path home, Path folder, LoopbackNetwork network) {
+  FleetProcesses(Path home, Path directory, LoopbackNetwork network) {
     this.home = home;
-    this.folder = folder;
+    this.directory = directory;
     this.network = network;
   }
 
-  /** The core machines that are meant to run. */
-  List<Machine> cores() {
+  /** The current core machines. */
+  List<EmulatedMachine> cores() {
     return cores;
   }
 
-  /** Their control addresses. */
+  /** The control addresses of the current core machines. */
   List<String> controlAddresses() {
-    return cores.stream().map(Machine::controlAddress).toList();
+    return cores.stream().map(EmulatedMachine::controlAddress).toList();
   }
 
-  /** Starts the core of a new system. */
+  /** Starts the core machines of a new system. */
   void startCore(int count) throws IOException {
-    List<Machine> machines = new ArrayList<>();
+    List<EmulatedMachine> machines = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       machines.add(newCore());
     }
     cores = List.copyOf(machines);
-    for (Machine machine : machines) {
+    for (EmulatedMachine machine : machines) {
       launch(machine, true);
     }
   }
 
-  /** Starts the doors, spread over the zones. */
-  List<Machine> startDoors(int zoneCount, int doorsInZone) throws IOException {
-    List<Machine> doors = new ArrayList<>();
-    for (int i = 0; i < zoneCount * doorsInZone; i++) {
+  /** Starts the doors, in the zones in turn. */
+  List<EmulatedMachine> startDoors(int zoneCount, int doorsPerZone) throws IOException {
+    List<EmulatedMachine> doors = new ArrayList<>();
+    for (int i = 0; i < zoneCount * doorsPerZone; i++) {
       String zone = DemonstrationPlan.zone(i % zoneCount);
-      Machine door = machine("door-" + (i + 1), Machine.DOOR, zone);
+      EmulatedMachine door = machine("door-" + (i + 1), EmulatedMachine.DOOR, zone);
       doors.add(door);
       launch(door, true);
     }
     return doors;
   }
 
-  /**
-   * Kills a core machine and starts another one in its place, at a new address with an empty disk.
-   */
-  Machine replaceCore(Machine lost) throws IOException, InterruptedException {
+  /** Kills a core machine and starts another one at a new address, with an empty disk. */
+  EmulatedMachine replaceCore(EmulatedMachine lost) throws IOException, InterruptedException {
     running.remove(lost).kill();
-    deleteTree(lost.dataDirectory());
-    Machine added = newCore();
-    List<Machine> machines = new ArrayList<>(cores);
+    DirectoryTree.delete(lost.dataDirectory());
+    EmulatedMachine added = newCore();
+    List<EmulatedMachine> machines = new ArrayList<>(cores);
     machines.remove(lost);
     machines.add(added);
     cores = List.copyOf(machines);
@@ -86,39 +82,41 @@
   }
 
   /**
-   * Ends a process with SIGTERM and starts it again; returns what went wrong with its end, if
-   * anything.
+   * Terminates a process with SIGTERM and starts it again.
+   *
+   * @return why the termination was not graceful; empty if it was
    */
-  Optional<String> restart(Machine machine) throws IOException, InterruptedException {
+  Optional<String> restart(EmulatedMachine machine) throws IOException, InterruptedException {
     ChildProcess process = running.get(machine);
-    process.requestEnd();
-    Optional<String> fault = process.awaitEnd();
+    process.requestTermination();
+    Optional<String> failure = process.awaitTermination();
     launch(machine, false);
-    return fault;
+    return failure;
   }
 
   /**
-   * Ends all with SIGTERM, doors first; tells of those that did not end in time with exit code 0.
+   * Terminates all processes with SIGTERM, the doors first.
+   *
+   * @return one message for each process whose termination was not graceful
    */
   List<String> terminateAll() throws InterruptedException {
-    List<String> faults = new ArrayList<>(terminate(true));
-    faults.addAll(terminate(false));
-    return faults;
+    List<String> failures = new ArrayList<>(terminate(EmulatedMachine::isDoor));
+    failures.addAll(terminate(machine -> !machine.isDoor()));
+    return failures;
   }
 
-  private List<String> terminate(boolean doors) throws InterruptedException {
-    List<Machine> machines =
-        running.keySet().stream().filter(machine -> machine.isDoor() == doors).toList();
-    machines.forEach(machine -> running.get(machine).requestEnd());
-    List<String> faults = new ArrayList<>();
-    for (Machine machine : machines) {
-      Optional<String> fault = running.remove(machine).awaitEnd();
-      fault.ifPresent(what -> faults.add(machine.name() + " " + what));
+  private List<String> terminate(Predicate<EmulatedMachine> selected) throws InterruptedException {
+    List<EmulatedMachine> machines = running.keySet().stream().filter(selected).toList();
+    machines.forEach(machine -> running.get(machine).requestTermination());
+    List<String> failures = new ArrayList<>();
+    for (EmulatedMachine machine : machines) {
+      Optional<String> failure = running.remove(machine).awaitTermination();
+      failure.ifPresent(reason -> failures.add(machine.name() + " " + reason));
     }
-    return faults;
+    return failures;
   }
 
-  /** Kills what still runs. */
+  /** Kills all processes that still run. */
   void killAll() throws InterruptedException {
     for (ChildProcess process : running.values()) {
       process.kill();
@@ -126,48 +124,27 @@
     running.clear();
   }
 
-  /** The names of processes that ended by themselves. */
-  List<String> ended() {
+  /** The names of machines whose processes terminated although nothing requested it. */
+  List<String> terminatedProcesses() {
     return running.entrySet().stream()
         .filter(entry -> !entry.getValue().isAlive())
         .map(entry -> entry.getKey().name())
         .toList();
   }
 
-  private Machine newCore() {
+  private EmulatedMachine newCore() {
     lastCore++;
-    return machine("core-" + lastCore, Machine.CORE, DemonstrationPlan.zone(0));
+    return machine("core-" + lastCore, EmulatedMachine.CORE, DemonstrationPlan.zone(0));
   }
 
-  private Machine machine(String name, String role, String zone) {
-    return new Machine(name, role, network.nextAddress(), zone, folder.resolve(name));
+  private EmulatedMachine machine(String name, String role, String zone) {
+    return new EmulatedMachine(name, role, network.nextAddress(), zone, directory.resolve(name));
   }
 
-  private void launch(Machine machine, boolean firstRun) throws IOException {
-    Files.createDirectories(machine.folder());
+  private void launch(EmulatedMachine machine, boolean firstRun) throws IOException {
+    Files.createDirectories(machine.directory());
     Files.writeString(
-        machine.settingsFile(), SettingsText.of(machine, controlAddresses(), firstRun));
+        machine.settingsFile(), SettingsTemplate.of(machine, controlAddresses(), firstRun));
     running.put(machine, ChildProcess.start(home, machine));
   }
-
-  /** Removes a folder with all that it holds. */
-  static void deleteTree(Path root) throws IOException {
-    Files.walkFileTree(
-        root,
-        new SimpleFileVisitor<>() {
-          @Override
-          public FileVisitResult visitFile(Path file, BasicFileAttributes attributes)
-              throws IOException {
-            Files.delete(file);
-            return FileVisitResult.CONTINUE;
-          }
-
-          @Override
-          public FileVisitResult postVisitDirectory(Path directory, IOException failure)
-              throws IOException {
-            Files.delete(directory);
-            return FileVisitResult.CONTINUE;
-          }
-        });
-  }
 }
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/RequestKind.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/RequestKind.java
@@ -1,6 +1,6 @@
 package nettletrail.fleet.cli.demonstration;
 
-/** What the clients ask for: one row of the result each. */
+/** The kinds of requests that clients send; each is a row of the result. */
 enum RequestKind {
   SUMMARY("summary (stream, may be resumed)", "/summary/", Keys.NORTH, 10, true, true),
   LOOKUP("lookup (stream)", "/lookup/", Keys.SOUTH, 6, true, false),
@@ -22,34 +22,34 @@
   private final String key;
   private final int events;
   private final boolean stream;
-  private final boolean mayRunAgain;
+  private final boolean idempotent;
 
   RequestKind(
-      String title, String path, String key, int events, boolean stream, boolean mayRunAgain) {
+      String title, String path, String key, int events, boolean stream, boolean idempotent) {
     this.title = title;
     this.path = path;
     this.key = key;
     this.events = events;
     this.stream = stream;
-    this.mayRunAgain = mayRunAgain;
+    this.idempotent = idempotent;
   }
 
-  /** For the table. */
+  /** The name in the result's table. */
   String title() {
     return title;
   }
 
-  /** The path that it is sent to. */
+  /** The prefix of its path, which selects the route. */
   String path() {
     return path;
   }
 
-  /** The key that it is sent with. */
+  /** The tenant's key. */
   String key() {
     return key;
   }
 
-  /** How many events a whole stream has. */
+  /** The number of events in a complete stream; 0 if the response isn't one. */
   int events() {
     return events;
   }
@@ -59,11 +59,14 @@
   }
 
   /** Whether more than one backend may run it. */
-  boolean mayRunAgain() {
-    return mayRunAgain;
+  boolean isIdempotent() {
+    return idempotent;
   }
 
-  /** The kind that a path belongs to, as far as a backend is concerned; null if to none. */
+  /**
+   * The kind of a path, or null if there is none. Paths don't distinguish {@link #REVOKED} from
+   * {@link #LOOKUP}.
+   */
   static RequestKind ofPath(String path) {
     for (RequestKind kind : values()) {
       if (path.startsWith(kind.path)) {
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/SettingsText.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/SettingsTemplate.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 
-/** Writes the settings files of the emulated machines. */
-final class SettingsText {
-  /** How long a door that is cut off may use its keys; a revoked key must not work after it. */
+/** The settings files of the emulated machines. */
+final class SettingsTemplate {
+  /** Time after which a revoked key must not be accepted any more, even by a partitioned door. */
   static final long REVOKE_MS = 5_000;
 
-  /** How long after the acknowledgement of its drain a backend may still get requests. */
+  /** Time after the acknowledgement of its drain for which a backend may still receive requests. */
   static final long DRAIN_MS = 2_000;
 
-  /** How often backends call. */
+  /** Interval of the backends' heartbeats. */
   static final long HEARTBEAT_MS = 1_000;
 
-  private SettingsText() {}
+  private SettingsTemplate() {}
 
   /**
    * The settings of a machine.
    *
    * @param seeds control addresses of core machines
-   * @param firstRun whether the whole system starts for the first time
+   * @param firstRun whether the complete system starts for the first time
    */
-  static String of(Machine machine, List<String> seeds, boolean firstRun) {
+  static String of(EmulatedMachine machine, List<String> seeds, boolean firstRun) {
     return common(machine, seeds, firstRun) + (machine.isDoor() ? door(machine) : core(machine));
   }
 
-  private static String common(Machine machine, List<String> seeds, boolean firstRun) {
+  private static String common(EmulatedMachine machine, List<String> seeds, boolean firstRun) {
     return """
         node=%s
         role=%s
@@ -60,7 +60,7 @@
             DRAIN_MS);
   }
 
-  private static String door(Machine machine) {
+  private static String door(EmulatedMachine machine) {
     return """
         machine_class=counter
         serves=counter
@@ -72,7 +72,7 @@
         .formatted(machine.ip(), LoopbackNetwork.PUBLIC_PORT, LoopbackNetwork.READY_PORT);
   }
 
-  private static String core(Machine machine) {
+  private static String core(EmulatedMachine machine) {
     return """
         machine_class=sorting
         serves=dispatch_office
--- a/fleet/src/main/java/nettletrail/fleet/cli/demonstration/SupervisedMain.java
+++ b/fleet/src/main/java/nettletrail/fleet/cli/demonstration/SupervisedMain.java
@@ -5,30 +5,31 @@
 import nettletrail.fleet.Main;
 
 /**
- * Runs the fleet's binary as a child that ends with its parent: the parent holds the other end of
- * standard input, which the operating system closes however the parent ends.
+ * Runs a role of the fleet as a child process that terminates with its parent. The parent has the
+ * other end of standard input open, which the operating system closes however the parent
+ * terminates.
  */
 public final class SupervisedMain {
-  private static final int PARENT_ENDED = 70;
+  private static final int PARENT_TERMINATED = 70;
 
   private SupervisedMain() {}
 
   /** Starts a role, as {@link Main#main} does. */
   public static void main(String[] arguments) throws Exception {
-    Thread watcher = new Thread(() -> endWith(System.in), "parent-watcher");
+    Thread watcher = new Thread(() -> haltAtEndOf(System.in), "parent-watcher");
     watcher.setDaemon(true);
     watcher.start();
     Main.main(arguments);
   }
 
-  private static void endWith(InputStream parent) {
+  private static void haltAtEndOf(InputStream input) {
     try {
-      while (parent.read() >= 0) {
-        // What the parent writes has no meaning; only the end of the stream counts.
+      while (input.read() >= 0) {
+        // The content is ignored; only the end of the stream matters.
       }
     } catch (IOException closed) {
-      // As good as the end of the stream.
+      // Treated like the end of the stream.
     }
-    Runtime.getRuntime().halt(PARENT_ENDED);
+    Runtime.getRuntime().halt(PARENT_TERMINATED);
   }
 }
--- a/fleet/src/test/java/nettletrail/fleet/cli/demonstration/DemonstrationFormTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/cli/demonstration/DemonstrationFormTest.java
@@ -10,8 +10,8 @@
 class DemonstrationFormTest {
   @Test
   void resultHasItsKeys() throws IOException {
-    RuleResult rule = new RuleResult("a rule", true, "seen");
-    DemonstrationResult result = DemonstrationResult.of(List.of(), List.of(rule), 0);
+    InvariantResult invariant = new InvariantResult("a rule", true, "seen");
+    DemonstrationResult result = DemonstrationResult.of(List.of(), List.of(invariant), 0);
     ApprovedForm.verify("try-json.txt", JsonShape.of(result.toJson().toString()));
   }
 }
--- a/fleet/src/test/java/nettletrail/fleet/cli/demonstration/DemonstrationTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/cli/demonstration/DemonstrationTest.java
@@ -14,33 +14,30 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * The demonstration with three processes: it runs to its end, every rule holds, and nothing of it
- * is left.
- */
+/** A small demonstration completes, every guarantee is kept, and no process is left behind. */
 class DemonstrationTest {
   private static final int LOAD_SECONDS = 8;
   private static final Path HOME = Path.of("").toAbsolutePath().getParent();
 
   @Test
   @Timeout(value = 60, unit = TimeUnit.SECONDS)
-  void smallFleetKeepsEveryRule(@TempDir Path folder) throws Exception {
-    List<String> story = new CopyOnWriteArrayList<>();
+  void smallFleetKeepsEveryGuarantee(@TempDir Path directory) throws Exception {
+    List<String> events = new CopyOnWriteArrayList<>();
     Demonstration demonstration =
-        new Demonstration(DemonstrationPlan.small(LOAD_SECONDS), HOME, folder, story::add);
+        new Demonstration(DemonstrationPlan.small(LOAD_SECONDS), HOME, directory, events::add);
     DemonstrationResult result = demonstration.run();
     ByteArrayOutputStream printed = new ByteArrayOutputStream();
     result.print(new PrintStream(printed, true, StandardCharsets.UTF_8));
     String text = printed.toString(StandardCharsets.UTF_8);
     assertTrue(result.isPassed(), text);
-    assertEquals(RequestKind.values().length, result.routes().size());
+    assertEquals(RequestKind.values().length, result.requests().size());
     assertTrue(text.contains("held    no request ran twice"), text);
-    assertTrue(story.stream().anyMatch(line -> line.contains("crashes")), story.toString());
+    assertTrue(events.stream().anyMatch(line -> line.contains("crashes")), events.toString());
     List<ProcessHandle> left = ProcessHandle.current().children().toList();
-    assertTrue(left.stream().noneMatch(DemonstrationTest::isOfTheFleet), left.toString());
+    assertTrue(left.stream().noneMatch(DemonstrationTest::isFleetProcess), left.toString());
   }
 
-  private static boolean isOfTheFleet(ProcessHandle child) {
+  private static boolean isFleetProcess(ProcessHandle child) {
     return child.info().commandLine().orElse("").contains(SupervisedMain.class.getName());
   }
 }
--- a/fleet/src/test/java/nettletrail/fleet/cli/demonstration/SupervisedMainTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/cli/demonstration/SupervisedMainTest.java
@@ -14,11 +14,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A process of the demonstration ends when the one that started it is killed. */
+/** A process of the demonstration terminates when its parent is killed. */
 class SupervisedMainTest {
-  private static final long END_TIMEOUT_S = 20;
+  private static final long TERMINATION_TIMEOUT_S = 20;
 
-  /** Stands for the demonstration: starts a core, tells its process id, and waits to be killed. */
+  /**
+   * In place of the demonstration: starts a core, prints its process id, and waits to be killed.
+   */
   static final class Parent {
     private Parent() {}
 
@@ -43,11 +45,12 @@
 
   @Test
   @Timeout(value = 60, unit = TimeUnit.SECONDS)
-  void childEndsWhenItsParentIsKilled(@TempDir Path folder) throws Exception {
+  void childTerminatesWhenItsParentIsKilled(@TempDir Path folder) throws Exception {
     String ip = LoopbackNetwork.findFree().nextAddress();
-    Machine core = new Machine("core-1", Machine.CORE, ip, DemonstrationPlan.zone(0), folder);
+    EmulatedMachine core =
+        new EmulatedMachine("core-1", EmulatedMachine.CORE, ip, DemonstrationPlan.zone(0), folder);
     Files.writeString(
-        core.settingsFile(), SettingsText.of(core, List.of(core.controlAddress()), true));
+        core.settingsFile(), SettingsTemplate.of(core, List.of(core.controlAddress()), true));
     Process parent = java(List.of(Parent.class.getName(), core.settingsFile().toString())).start();
     try (BufferedReader output =
         new BufferedReader(
@@ -55,7 +58,7 @@
       ProcessHandle child = ProcessHandle.of(Long.parseLong(output.readLine())).orElseThrow();
       assertTrue(child.isAlive());
       parent.destroyForcibly().waitFor();
-      child.onExit().get(END_TIMEOUT_S, TimeUnit.SECONDS);
+      child.onExit().get(TERMINATION_TIMEOUT_S, TimeUnit.SECONDS);
     } finally {
       parent.destroyForcibly();
     }
