--- a/router/src/main/java/nettletrail/router/ExchangeCompletion.java
+++ b/router/src/main/java/nettletrail/router/ExchangeCompletion.java
@@ -10,7 +10,7 @@
  * releases what they use (quota, buffers, slot). On the event loop.
  *
  * <p>429 and 503 are sent only if no backend can have run the request. A request that may have run
- * and has no response gets 502, or 504 at its deadline.
+ * and has no response is answered with 502, or 504 at its deadline.
  */
 final class ExchangeCompletion {
   private final EventLoop loop;
--- a/router/src/main/java/nettletrail/router/PartialRequestTracker.java
+++ b/router/src/main/java/nettletrail/router/PartialRequestTracker.java
@@ -12,7 +12,7 @@
  * on unchanged.
  */
 final class PartialRequestTracker extends ChannelInboundHandlerAdapter {
-  /** Tells when a request must be answered; empty if the routing doesn't know its route. */
+  /** Looks up deadlines of requests; empty for one without a route. */
   interface DeadlineSource {
     /**
      * The deadline of a request, in ns of the steady clock.
--- a/router/src/main/java/nettletrail/router/QuotaEnforcer.java
+++ b/router/src/main/java/nettletrail/router/QuotaEnforcer.java
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Whether the tenant gets no grants at all. A tenant above its rate still acquires tokens for
+   * Whether the tenant receives no grants at all. A tenant above its rate still acquires tokens for
    * some of its requests.
    */
   boolean isStarved(Exchange exchange, long now) {
--- a/router/src/main/java/nettletrail/router/RequestSize.java
+++ b/router/src/main/java/nettletrail/router/RequestSize.java
@@ -25,7 +25,7 @@
     return tokens == null ? 0 : tokens.sum();
   }
 
-  /** Tokens of the prompt behind the shared prefix. */
+  /** Tokens of the prompt after the shared prefix. */
   long prefillTokens() {
     return Math.max(0, inputTokens() - prefix.tokens());
   }
--- a/router/src/main/java/nettletrail/router/balance/LatencyEstimate.java
+++ b/router/src/main/java/nettletrail/router/balance/LatencyEstimate.java
@@ -13,7 +13,7 @@
   private static final double MIN = 0.5;
   private static final double MAX = 8;
 
-  /** A lower ratio can't be told from noise. */
+  /** A lower ratio can't be distinguished from noise. */
   private static final double MIN_SLOWDOWN = 1.6;
 
   private double factor = 1;
