--- a/router/src/main/java/nettletrail/router/AttemptSender.java
+++ b/router/src/main/java/nettletrail/router/AttemptSender.java
@@ -72,7 +72,7 @@
 
   /** From its first attempt on, an exchange's only time limit is its deadline. */
   private void expireAtDeadline(Exchange exchange, long now) {
-    exchange.scheduleTimer(loop, exchange.deadline(), now, () -> deadlineReached(exchange));
+    exchange.timer().schedule(loop, exchange.deadline(), now, () -> deadlineReached(exchange));
   }
 
   private void deadlineReached(Exchange exchange) {
--- a/router/src/main/java/nettletrail/router/ClientConnection.java
+++ b/router/src/main/java/nettletrail/router/ClientConnection.java
@@ -23,23 +23,7 @@
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter
     implements ExpectContinueHandler.Connection, ClientResponder.Connection {
-  /** The router, as its connections see it. */
-  interface Owner extends PartialRequestTracker.DeadlineSource {
-    /** Creates the exchange of a request; its response is written by {@link #responder()}. */
-    Exchange createExchange(ClientConnection connection, ClientRequest request);
-
-    /** Starts an exchange; it may end before this returns. */
-    void start(Exchange exchange);
-
-    /** Whether responses should close their connections, since the process shuts down. */
-    boolean isDraining();
-
-    void opened(ClientConnection connection);
-
-    void closed(ClientConnection connection);
-  }
-
-  private final Owner owner;
+  private final ClientConnectionOwner owner;
   private final RequestDecoder decoder;
   private final ExpectContinueHandler expectations = new ExpectContinueHandler(this);
   private final PartialRequestTracker partial = new PartialRequestTracker();
@@ -63,13 +47,13 @@
   /** A complete request was read since the last {@link #channelReadComplete}. */
   private boolean requestRead;
 
-  private ClientConnection(Owner owner, Limits limits) {
+  private ClientConnection(ClientConnectionOwner owner, Limits limits) {
     this.owner = owner;
     decoder = new RequestDecoder(limits.headerBytes(), limits.headerBytes());
   }
 
   /** Adds all handlers of a client connection to a new channel's pipeline. */
-  static void addTo(ChannelPipeline pipeline, Owner owner, Limits limits) {
+  static void addTo(ChannelPipeline pipeline, ClientConnectionOwner owner, Limits limits) {
     ClientConnection connection = new ClientConnection(owner, limits);
     RequestAggregator aggregator =
         new RequestAggregator(
--- a/router/src/main/java/nettletrail/router/Exchange.java
+++ b/router/src/main/java/nettletrail/router/Exchange.java
@@ -1,7 +1,5 @@
 package nettletrail.router;
 
-import io.netty.channel.EventLoop;
-import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import nettletrail.configuration.Route;
 import nettletrail.configuration.RouteKind;
@@ -39,6 +37,7 @@
   private final ExchangeAttempts attempts;
   private final ExchangeAttempt attempt;
   private final ExchangeResponse response = new ExchangeResponse();
+  private final ExchangeTimer timer = new ExchangeTimer();
   private final QuotaReservation quota = new QuotaReservation();
   private State state = State.QUEUED;
   private Resolution resolution;
@@ -47,7 +46,6 @@
   private String tenantName = "";
   private int priority;
   private boolean charged;
-  private Future<?> timer;
 
   /**
    * @param draw from 0 to below 1
@@ -242,22 +240,8 @@
     state = State.ENDED;
   }
 
-  /** Replaces its timer. */
-  void scheduleTimer(EventLoop loop, long at, long now, Runnable task) {
-    cancelTimer();
-    long left = Math.max(0, at - now);
-    timer = loop.schedule(() -> timerFired(task), left, TimeUnit.NANOSECONDS);
-  }
-
-  private void timerFired(Runnable task) {
-    timer = null;
-    task.run();
-  }
-
-  void cancelTimer() {
-    if (timer != null) {
-      timer.cancel(false);
-      timer = null;
-    }
+  /** Its timer: the end of its time in the queue, or its deadline. */
+  ExchangeTimer timer() {
+    return timer;
   }
 }
--- a/router/src/main/java/nettletrail/router/ExchangeCompletion.java
+++ b/router/src/main/java/nettletrail/router/ExchangeCompletion.java
@@ -120,7 +120,7 @@
     }
     boolean hadSlot = exchange.state() == Exchange.State.SENDING;
     exchange.end();
-    exchange.cancelTimer();
+    exchange.timer().cancel();
     long now = System.nanoTime();
     if (!exchange.attempts().mayHaveRun()) {
       quota.refund(exchange, now);
--- a/router/src/main/java/nettletrail/router/RequestDispatcher.java
+++ b/router/src/main/java/nettletrail/router/RequestDispatcher.java
@@ -95,7 +95,7 @@
     dispatchQueued(service);
     if (exchange.state() == Exchange.State.QUEUED) {
       long until = Math.min(exchange.deadline(), queueTimeout.queuedUntil(exchange));
-      exchange.scheduleTimer(loop, until, now, () -> queueTimedOut(exchange));
+      exchange.timer().schedule(loop, until, now, () -> queueTimedOut(exchange));
     }
   }
 
--- a/router/src/main/java/nettletrail/router/Router.java
+++ b/router/src/main/java/nettletrail/router/Router.java
@@ -36,7 +36,7 @@
   private final RequestDispatcher dispatcher;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
   private final int maxClients;
-  private final Owner owner = new Owner();
+  private final ClientConnectionOwner owner = new ConnectionOwner();
   private Channel listener;
 
   /** Null unless the process shuts down. */
@@ -184,7 +184,7 @@
   }
 
   /** The router, as its connections see it. */
-  private final class Owner implements ClientConnection.Owner {
+  private final class ConnectionOwner implements ClientConnectionOwner {
     @Override
     public Exchange createExchange(ClientConnection connection, ClientRequest request) {
       return dispatcher.createExchange(connection, request);
