--- a/control/src/main/java/nettletrail/control/shard/CoreShards.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreShards.java
@@ -94,6 +94,7 @@
 
   private ShardReplica startReplica(int shard, CoreStart start, SplittableRandom random, long now) {
     boolean founding = start.firstRun() && start.storedShard(shard).isEmpty();
+    // a lease that an earlier incarnation of this process granted may still run
     long votingStartsAt = founding ? now : now + settings.lease();
     ShardReplica replica =
         new ShardReplica(
--- a/control/src/test/java/nettletrail/control/shard/FailoverTimeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/FailoverTimeTest.java
@@ -50,7 +50,7 @@
   void givenOwnerCrashes_whenOthersTakeOver_thenWithinTwoSeconds() {
     LongSummaryStatistics waits =
         measure(
-            "owner killed",
+            "owner crashed",
             cluster -> {
               SimulatedCore owner = cluster.owner(0);
               owner.crash();
@@ -63,7 +63,7 @@
   void givenOwnerShutsDownGracefully_whenOthersTakeOver_thenWithinAThirdOfALease() {
     LongSummaryStatistics waits =
         measure(
-            "owner ended in good order",
+            "owner shut down gracefully",
             cluster -> {
               SimulatedCore owner = cluster.owner(0);
               owner.terminate();
@@ -77,7 +77,7 @@
   void givenOwnerIsPartitioned_whenOthersTakeOver_thenWithinTwoSeconds() {
     LongSummaryStatistics waits =
         measure(
-            "owner cut off",
+            "owner partitioned",
             cluster -> {
               SimulatedCore owner = cluster.owner(0);
               cluster.isolate(owner);
@@ -90,7 +90,7 @@
   void givenAllCrash_whenTheyRestart_thenOwnedWithinThreeSeconds() {
     LongSummaryStatistics waits =
         measure(
-            "all killed, back within 1 s",
+            "all crashed, back within 1 s",
             cluster -> {
               for (SimulatedCore core : cluster.cores()) {
                 core.crash();
--- a/control/src/test/java/nettletrail/control/shard/RandomFaultsTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RandomFaultsTest.java
@@ -24,24 +24,24 @@
   /** What a run must show. */
   private enum Contract {
     /** One machine is lost at a time: everything is safe, and all shards recover. */
-    KEPT,
+    WITHIN,
     /** Machines are lost for good while others are faulty: everything is safe. */
-    BROKEN
+    EXCEEDED
   }
 
   @Test
   void givenToleratedFaults_whenTwoOperatorsRace_thenNothingIsLostAndAllRecovers() {
-    runAll(SEEDS, 3, Contract.KEPT);
+    runAll(SEEDS, 3, Contract.WITHIN);
   }
 
   @Test
   void givenMoreFaultsThanTolerated_whenTwoOperatorsRace_thenNothingIsLost() {
-    runAll(SEEDS, 3, Contract.BROKEN);
+    runAll(SEEDS, 3, Contract.EXCEEDED);
   }
 
   @Test
   void givenFiveMachines_whenTwoOperatorsRace_thenNothingIsLostAndAllRecovers() {
-    runAll(SEEDS / 5, 5, Contract.KEPT);
+    runAll(SEEDS / 5, 5, Contract.WITHIN);
   }
 
   private int losses;
@@ -67,7 +67,7 @@
     assertTrue(cluster.runUntil(cluster::groupIsComplete, RECOVERY_LIMIT), "no start");
     SimulatedOperator one = new SimulatedOperator(cluster, "one");
     SimulatedOperator other = new SimulatedOperator(cluster, "other");
-    RandomFaults faults = new RandomFaults(cluster, contract == Contract.KEPT);
+    RandomFaults faults = new RandomFaults(cluster, contract == Contract.WITHIN);
     one.start();
     other.start();
     faults.start();
@@ -75,7 +75,7 @@
     faults.stop();
     losses += faults.losses();
     boolean recovered = cluster.runUntil(() -> hasRecovered(cluster), RECOVERY_LIMIT);
-    if (!recovered && contract == Contract.BROKEN) {
+    if (!recovered && contract == Contract.EXCEEDED) {
       return false;
     }
     assertTrue(recovered, () -> "no recovery" + cluster.describe());
--- a/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
@@ -48,7 +48,7 @@
       waits.accept((cluster.now() - from) / millis(1));
     }
     System.out.printf(
-        "%s: whole after %.0f ms in the mean, %d ms at most%n",
+        "%s: complete after %.0f ms in the mean, %d ms at most%n",
         name, waits.getAverage(), waits.getMax());
     assertTrue(waits.getMax() * millis(1) <= limit - PROCESS_START, "at most " + waits.getMax());
   }
@@ -232,7 +232,7 @@
       assertTrue(complete, cluster::describe);
       waits.accept(cluster.now() / millis(1));
     }
-    System.out.printf("five started: whole after %d ms at most%n", waits.getMax());
+    System.out.printf("five started: complete after %d ms at most%n", waits.getMax());
     assertTrue(waits.getMax() <= 2_000, "at most " + waits.getMax());
   }
 
