--- a/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
@@ -101,8 +101,7 @@
   }
 
   @Test
-  void
-      givenSlowLinkToAReplica_whenLargeDocumentsChangeContinuously_thenNoVersionQueuesBehindAnother() {
+  void givenSlowLink_whenLargeDocumentsChangeContinuously_thenNoVersionQueuesBehindAnother() {
     SimulatedCluster cluster = OperatorClient.startedCluster(31, 3);
     OperatorClient operator = new OperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
--- a/control/src/test/java/nettletrail/control/shard/GroupChangesTest.java
+++ b/control/src/test/java/nettletrail/control/shard/GroupChangesTest.java
@@ -162,8 +162,7 @@
   }
 
   @Test
-  void
-      givenTwoReplacedMembers_whenBothSuccessorsRequestToJoin_thenFourStepsEndWithFiveRunningMembers() {
+  void givenTwoReplacedMembers_whenBothSuccessorsRequestToJoin_thenFourStepsReplaceBoth() {
     contacts.noContactSince(at(4), contacts.now);
     contacts.noContactSince(at(5), contacts.now + millis(1));
     pass(millis(2_600));
