--- a/control/src/main/java/nettletrail/control/registry/Feed.java
+++ b/control/src/main/java/nettletrail/control/registry/Feed.java
@@ -53,7 +53,7 @@
 
   /** Appends a backend's report. */
   public void append(Backend backend) {
-    append(new Reported(backend));
+    appendEntry(new Reported(backend));
     if (BackendOrdering.isWithdrawn(backend)) {
       lastWithdrawalOffset = endOffset;
     }
@@ -61,10 +61,10 @@
 
   /** Appends that a backend expired. */
   public void appendExpired(String backendId) {
-    append(new Expired(backendId));
+    appendEntry(new Expired(backendId));
   }
 
-  private void append(Entry entry) {
+  private void appendEntry(Entry entry) {
     log.addLast(entry);
     if (log.size() > MAX_ENTRIES) {
       log.removeFirst();
--- a/control/src/test/java/nettletrail/control/ControlFleet.java
+++ b/control/src/test/java/nettletrail/control/ControlFleet.java
@@ -1,18 +1,14 @@
 package nettletrail.control;
 
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.OptionalLong;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import nettletrail.control.door.DoorAction;
-import nettletrail.control.door.DoorControl;
-import nettletrail.control.door.DoorControlSettings;
 import nettletrail.control.grant.GrantTerms;
 import nettletrail.control.grant.QuotaLimit;
 import nettletrail.control.registry.RegistryAction;
@@ -29,11 +25,11 @@
   static final long REVOKE_MS = 5_000;
   static final long IN_FORCE_MS = 2_000;
   static final GrantTerms TERMS = new GrantTerms(8, 0.1, 190_000, GrantTerms.USUAL_VALID_MS);
-  private static final long TICK = 50 * MILLIS;
+  static final long TICK_NANOS = 50 * MILLIS;
   private final GrantTerms terms;
   private final Random random;
-  private final Map<String, Core> cores = new TreeMap<>();
-  private final Map<String, Door> doors = new TreeMap<>();
+  private final Map<String, SimulatedCoreProcess> cores = new TreeMap<>();
+  private final Map<String, SimulatedDoor> doors = new TreeMap<>();
   private final Set<String> partitions = new TreeSet<>();
   private final Set<String> links = new TreeSet<>();
   final Map<Long, Integer> answers = new LinkedHashMap<>();
@@ -42,126 +38,22 @@
   final Map<String, Integer> messagesFromDoors = new TreeMap<>();
 
   private final IncarnationNumbers incarnations = new IncarnationNumbers();
+  private final ArrivalOrder arrivals = new ArrivalOrder();
+  private Map<String, QuotaLimit> currentLimits = Map.of();
   private long calls;
-  long minDelay = MILLIS;
-  long maxDelay = 2 * MILLIS;
-
-  /** One core process. */
-  final class Core extends SimulatedOwnership {
-    CoreRegistry registry;
-    long incarnation;
-    boolean running = true;
-    boolean confirming;
-
-    Core(String address) {
-      super(address, ControlFleet.this::shardOwners, cores::keySet);
-      start();
-    }
-
-    void start() {
-      running = true;
-      incarnation = incarnations.next();
-      registry =
-          new CoreRegistry(
-              new CoreRegistrySettings(address, "zone", incarnation, HEARTBEAT_MS, terms),
-              this,
-              now);
-      schedule(random.nextInt(50) * MILLIS, () -> tick(incarnation));
-    }
-
-    private void tick(long ofIncarnation) {
-      if (!running || incarnation != ofIncarnation) {
-        return;
-      }
-      if (confirming) {
-        confirmedAt = OptionalLong.of(now - 20 * MILLIS);
-      }
-      perform(this, registry.tick(now));
-      schedule(TICK, () -> tick(ofIncarnation));
-    }
-  }
-
-  /** One door. */
-  final class Door {
-    final String name;
-    final List<Long> configurations = new ArrayList<>();
-    final Set<String> dialled = new TreeSet<>();
-    DoorControl control;
-    long incarnation;
-    boolean running = true;
-    Runnable afterMessage = () -> {};
-    private boolean pollScheduled;
-
-    Door(String name) {
-      this.name = name;
-      start();
-    }
-
-    void start() {
-      running = true;
-      incarnation = incarnations.next();
-      dialled.clear();
-      control =
-          new DoorControl(
-              new DoorControlSettings(
-                  name,
-                  "zone",
-                  incarnation,
-                  REVOKE_MS,
-                  IN_FORCE_MS,
-                  List.of(cores.keySet().iterator().next())),
-              now);
-      control.grants().limits(currentLimits);
-      schedule(random.nextInt(50) * MILLIS, () -> tick(incarnation));
-    }
-
-    private void tick(long ofIncarnation) {
-      if (!running || incarnation != ofIncarnation) {
-        return;
-      }
-      perform(this, control.tick(now));
-      afterMessage.run();
-      schedule(TICK, () -> tick(ofIncarnation));
-    }
-
-    /** Takes quota tokens as the data plane does; requests more if there are too few. */
-    boolean take(String tenant, long tokens) {
-      boolean taken = control.grants().take(tenant, tokens, now);
-      if (!taken) {
-        perform(this, control.poll(now));
-        schedulePoll();
-      }
-      return taken;
-    }
-
-    /** Polls before the next tick where the grant client asks for that. */
-    void schedulePoll() {
-      OptionalLong delay = control.nextPoll();
-      if (delay.isEmpty() || pollScheduled) {
-        return;
-      }
-      pollScheduled = true;
-      long ofIncarnation = incarnation;
-      ControlFleet.this.schedule(
-          delay.getAsLong(),
-          () -> {
-            pollScheduled = false;
-            if (running && incarnation == ofIncarnation) {
-              perform(this, control.poll(now));
-              schedulePoll();
-            }
-          });
-    }
-  }
 
+  /** The address of each shard's owner and the term of its proposal number. */
   final Map<Integer, String> owners = new TreeMap<>();
+
   final Map<Integer, Long> ownerTerms = new TreeMap<>();
+
+  /** Whether nobody owns any shard. */
   boolean ownersPaused;
-  private Map<String, QuotaLimit> currentLimits = Map.of();
 
-  private SimulatedOwnership.Owners shardOwners() {
-    return new SimulatedOwnership.Owners(owners, ownerTerms, ownersPaused);
-  }
+  /** Bounds of the random delay of each message, in nanoseconds. */
+  long minDelay = MILLIS;
+
+  long maxDelay = 2 * MILLIS;
 
   ControlFleet(int coreCount, int doorCount, long seed) {
     this(coreCount, doorCount, seed, TERMS);
@@ -174,22 +66,22 @@
       cores.put("core-" + index, null);
     }
     for (String address : List.copyOf(cores.keySet())) {
-      cores.put(address, new Core(address));
+      cores.put(address, new SimulatedCoreProcess(address, this, cores::keySet));
     }
     for (int shard = 0; shard < ShardMap.SHARD_COUNT; shard++) {
       own(shard, "core-" + shard % coreCount);
     }
     for (int index = 0; index < doorCount; index++) {
-      doors.put("door-" + index, new Door("door-" + index));
+      doors.put("door-" + index, new SimulatedDoor("door-" + index, this));
     }
     schedule(0, this::connect);
   }
 
-  Core core(int index) {
+  SimulatedCoreProcess core(int index) {
     return cores.get("core-" + index);
   }
 
-  Door door(int index) {
+  SimulatedDoor door(int index) {
     return doors.get("door-" + index);
   }
 
@@ -197,9 +89,35 @@
     return doors.size();
   }
 
+  SimulatedOwnership.Owners shardOwners() {
+    return new SimulatedOwnership.Owners(owners, ownerTerms, ownersPaused);
+  }
+
+  /** The address that doors dial first. */
+  String seedAddress() {
+    return cores.keySet().iterator().next();
+  }
+
+  GrantTerms terms() {
+    return terms;
+  }
+
+  Map<String, QuotaLimit> currentLimits() {
+    return currentLimits;
+  }
+
+  long nextIncarnation() {
+    return incarnations.next();
+  }
+
+  /** Ticks of processes that start at once are spread over an interval of them. */
+  long firstTickDelay() {
+    return random.nextInt(50) * MILLIS;
+  }
+
   /** Adds a door that starts now. */
-  Door addDoor(int index) {
-    Door door = new Door("door-" + index);
+  SimulatedDoor addDoor(int index) {
+    SimulatedDoor door = new SimulatedDoor("door-" + index, this);
     doors.put(door.name, door);
     return door;
   }
@@ -212,7 +130,7 @@
 
   /** All core processes learn of a committed configuration. */
   void commit(long configuration, Map<String, QuotaLimit> limits) {
-    for (Core core : cores.values()) {
+    for (SimulatedCoreProcess core : cores.values()) {
       core.configurationSequence = configuration;
       core.confirming = true;
       perform(
@@ -221,7 +139,7 @@
               configuration, configuration, ByteBuffer.wrap(new byte[] {1}), limits, now));
     }
     currentLimits = limits;
-    for (Door door : doors.values()) {
+    for (SimulatedDoor door : doors.values()) {
       door.control.grants().limits(limits);
     }
   }
@@ -282,7 +200,7 @@
    */
   long call(int core, String method, Backend backend) {
     long call = ++calls;
-    Core target = core(core);
+    SimulatedCoreProcess target = core(core);
     perform(target, target.registry.backendCall(call, method, backend, now));
     return call;
   }
@@ -300,7 +218,7 @@
           up(one, other);
         }
       }
-      for (Door door : doors.values()) {
+      for (SimulatedDoor door : doors.values()) {
         if (door.dialled.contains(one)) {
           up(one, door.name);
         }
@@ -315,7 +233,7 @@
       return;
     }
     links.add(link);
-    Core target = cores.get(core);
+    SimulatedCoreProcess target = cores.get(core);
     if (cores.get(other) != null) {
       perform(target, target.registry.coreUp(other, now));
       perform(cores.get(other), cores.get(other).registry.coreUp(core, now));
@@ -348,7 +266,7 @@
     return cores.get(name) != null ? cores.get(name).running : doors.get(name).running;
   }
 
-  private void perform(Core core, List<RegistryAction> actions) {
+  void perform(SimulatedCoreProcess core, List<RegistryAction> actions) {
     for (RegistryAction action : actions) {
       if (action instanceof RegistryAction.SendToCore send) {
         send(core.address, send.address(), send.message());
@@ -360,7 +278,7 @@
     }
   }
 
-  private void perform(Door door, List<DoorAction> actions) {
+  void perform(SimulatedDoor door, List<DoorAction> actions) {
     for (DoorAction action : actions) {
       if (action instanceof DoorAction.SendToCore send) {
         messagesFromDoors.merge(send.message().getClass().getSimpleName(), 1, Integer::sum);
@@ -375,8 +293,6 @@
     }
   }
 
-  private final ArrivalOrder arrivals = new ArrivalOrder();
-
   /**
    * Delivers in order on each link, each message after a random delay; messages in flight are lost
    * when the link goes down.
