--- a/control/src/main/java/nettletrail/control/BackendManager.java
+++ b/control/src/main/java/nettletrail/control/BackendManager.java
@@ -17,8 +17,8 @@
  * Takes reports of backends, from them and from other processes, into the registry, and publishes
  * what they change. Not thread-safe; instants are steady nanoseconds.
  *
- * <p>A call without news is answered at once and reaches other core processes only in the periodic
- * digests. A change is replicated to them and appended to the feed.
+ * <p>A call without a change is answered at once and reaches other core processes only in the
+ * periodic digests. A change is replicated to them and appended to the feed.
  */
 final class BackendManager {
   private static final long DIGEST_INTERVAL_NANOS = 700_000_000L;
--- a/control/src/main/java/nettletrail/control/DirectoryPublisher.java
+++ b/control/src/main/java/nettletrail/control/DirectoryPublisher.java
@@ -10,7 +10,7 @@
  * thread-safe; instants are steady nanoseconds.
  */
 final class DirectoryPublisher {
-  /** Doors learn of a new owner later by this at most. */
+  /** Upper bound of what caching adds to the time until doors learn of a new owner. */
   private static final long REFRESH_INTERVAL_NANOS = 50_000_000L;
 
   /** An odd factor, so that multiplying loses no bit of the names before. */
@@ -21,7 +21,7 @@
   private Directory directory;
   private long refreshedAt;
 
-  /** {@code address}: this process's address, which stands for it as an owner. */
+  /** {@code address}: this process's address, listed where it owns a shard. */
   DirectoryPublisher(String address, ShardOwnership ownership) {
     this.address = address;
     this.ownership = ownership;
@@ -38,7 +38,7 @@
     return directory;
   }
 
-  /** Above 0, which stands for no directory. */
+  /** Above 0: doors send 0 while they have no directory. */
   private static long digest(List<Member> members, List<String> owners) {
     long digest = 1;
     for (Member member : members) {
--- a/control/src/main/java/nettletrail/control/HeartbeatResponder.java
+++ b/control/src/main/java/nettletrail/control/HeartbeatResponder.java
@@ -26,7 +26,7 @@
     this.directories = new DirectoryPublisher(settings.address(), ownership);
   }
 
-  /** The reply; it holds the directory only if the door has another one. */
+  /** The reply; the directory is null if the door already has this one. */
   DoorHeartbeatReply reply(DoorHeartbeat heartbeat, long now) {
     OptionalLong confirmedAt = ownership.confirmedAt();
     long ageMs = confirmedAt.isPresent() ? ageMsRoundedUp(now - confirmedAt.getAsLong()) : 0;
--- a/control/src/main/java/nettletrail/control/grant/Demand.java
+++ b/control/src/main/java/nettletrail/control/grant/Demand.java
@@ -1,7 +1,7 @@
 package nettletrail.control.grant;
 
 /**
- * What all doors with a recent request ask for, gathered in one pass over the accounts: with many
+ * What all doors with a recent request want, gathered in one pass over the accounts: with many
  * doors this pass is most of the cost of a request. Tokens.
  */
 final class Demand {
--- a/control/src/main/java/nettletrail/control/grant/DoorAccount.java
+++ b/control/src/main/java/nettletrail/control/grant/DoorAccount.java
@@ -45,7 +45,7 @@
   }
 
   /**
-   * Takes over what the door asks for. It waits while what it has doesn't cover its queued
+   * Replaces the door's demand. It waits while its {@code available} tokens don't cover its queued
    * requests.
    */
   void updateDemand(TenantUse use, double available, long now) {
@@ -58,7 +58,7 @@
     waiting = waits;
   }
 
-  /** A grant of so many tokens is on its way to the door. */
+  /** The door was granted so many tokens; it no longer waits if they cover its queued requests. */
   void granted(long tokens) {
     waiting = waiting && tokens < required;
   }
@@ -67,7 +67,7 @@
     return lastRequestAt;
   }
 
-  /** Whether the door asks for anything. */
+  /** Whether the door wants any tokens. */
   boolean hasDemand() {
     return wanted > 0;
   }
--- a/control/src/main/java/nettletrail/control/grant/TokenAllocation.java
+++ b/control/src/main/java/nettletrail/control/grant/TokenAllocation.java
@@ -58,7 +58,7 @@
       available = unused + level * LEVEL_FRACTION_BESIDE_LONGEST_WAITING;
     }
     double granted = Math.min(available, requiredFor(account) + prefetchFor(account, unused));
-    // The door can't serve a request with this and would only keep the tokens from others.
+    // The door can't serve a request with these tokens, but others couldn't use them meanwhile.
     boolean insufficient = account.isWaiting() && granted < account.required();
     return insufficient && isNearlyFull() ? 0 : granted;
   }
