--- a/control/src/main/java/nettletrail/control/door/DoorControl.java
+++ b/control/src/main/java/nettletrail/control/door/DoorControl.java
@@ -25,12 +25,7 @@
  * thread, with instants that don't decrease.
  */
 public final class DoorControl {
-  private static final long NANOS_PER_MILLI = 1_000_000L;
-
-  /** For the drift between clocks, and for a request that was admitted and isn't sent yet. */
-  private static final long IN_FORCE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
-
-  /** A core process that replied this long ago counts as reachable. */
+  /** A core process counts as reachable for so long after a reply. */
   private static final long REACHABLE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final CoreLinks links;
@@ -44,7 +39,7 @@
   private final ConfigurationActivation activation;
   private final ConfigurationFollower follower;
   private final GrantClient grants;
-  private final long maxRoutingAgeNanos;
+  private final RoutingFreshness routing;
   private long lastTickAt;
 
   /** Dials nothing before {@link #settingsChanged} or {@link #tick}. */
@@ -56,9 +51,10 @@
     this.keys = new KeyLease(settings.revokeMs());
     this.activation = new ConfigurationActivation(keys);
     this.follower = new ConfigurationFollower(door, settings.zone(), activation);
-    this.grants = new GrantClient(door, settings.incarnation(), new LinkedOwnerLookup());
+    this.grants =
+        new GrantClient(door, settings.incarnation(), new LinkedOwnerLookup(owners, links));
     this.heartbeats = new CoreHeartbeats(settings, activation, follower, grants);
-    this.maxRoutingAgeNanos = settings.inForceMs() * NANOS_PER_MILLI - IN_FORCE_MARGIN_NANOS;
+    this.routing = new RoutingFreshness(follower, activation, keys, settings.inForceMs());
     this.lastTickAt = now;
   }
 
@@ -225,14 +221,11 @@
   }
 
   /**
-   * Whether requests may be routed by the active configuration. Not so when a newer one is known to
-   * be committed and may have been acknowledged for as long as the time within which it has to be
-   * active. What is newer was acknowledged after the last instant at which a majority confirmed the
-   * active one; so this holds whenever the newer one arrives, and however late.
+   * Whether requests may be routed by the active configuration; false once a newer one may be
+   * active at other doors.
    */
   public boolean routingIsCurrent(long now) {
-    boolean isNewest = follower.newestCommitted() <= activation.activeSequence();
-    return isNewest || keys.confirmedWithin(maxRoutingAgeNanos, now);
+    return routing.isCurrent(now);
   }
 
   /** An immutable list of a service's backends that aren't gone: the ready and the closing ones. */
@@ -254,17 +247,4 @@
   public GrantClient grants() {
     return grants;
   }
-
-  /** Returns owners only while the link to them is up. */
-  private final class LinkedOwnerLookup implements GrantClient.OwnerLookup {
-    @Override
-    public Optional<String> owner(int shard, long now) {
-      return owners.owner(shard, links::isUp, now);
-    }
-
-    @Override
-    public void denied(int shard, String address, long now) {
-      owners.denied(shard, address, now);
-    }
-  }
 }
