--- a/control/src/main/java/nettletrail/control/grant/TokenAllocation.java
+++ b/control/src/main/java/nettletrail/control/grant/TokenAllocation.java
@@ -58,7 +58,7 @@
       available = unused + level * LEVEL_FRACTION_BESIDE_LONGEST_WAITING;
     }
     double granted = Math.min(available, requiredFor(account) + prefetchFor(account, unused));
-    // The door can't serve a request with these tokens, but others couldn't use them meanwhile.
+    // Tokens that don't cover the door's request would only be withheld from the other doors.
     boolean insufficient = account.isWaiting() && granted < account.required();
     return insufficient && isNearlyFull() ? 0 : granted;
   }
