--- a/control/src/main/java/nettletrail/control/host/DoorHost.java
+++ b/control/src/main/java/nettletrail/control/host/DoorHost.java
@@ -51,7 +51,7 @@
 
   @Override
   public void received(Peer peer, SpecificRecord message) {
-    received(peer.key(), message);
+    receivedFromCore(peer.key(), message);
   }
 
   /** A link to a core process is up. */
@@ -65,7 +65,7 @@
   }
 
   /** A core process sent a message. */
-  public void received(String address, SpecificRecord message) {
+  public void receivedFromCore(String address, SpecificRecord message) {
     perform(control.received(address, message, now()));
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ConfigurationCost.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ConfigurationCost.java
@@ -111,12 +111,13 @@
     Fit fit = Fit.of(sizes, values);
     double measured = figure.applyAsDouble(costs.get(fitted));
     double predicted = fit.at(costs.get(fitted).tenants());
-    Map<String, Object> told = fit.told();
-    told.put("values", costs.stream().map(cost -> Rounded.of(figure.applyAsDouble(cost))).toList());
-    told.put("predicted", Rounded.of(predicted));
-    told.put("measured", Rounded.of(measured));
-    told.put("error_pct", Rounded.of(Fit.errorPct(predicted, measured)));
-    figures.put(name, told);
+    Map<String, Object> fitFigures = fit.told();
+    fitFigures.put(
+        "values", costs.stream().map(cost -> Rounded.of(figure.applyAsDouble(cost))).toList());
+    fitFigures.put("predicted", Rounded.of(predicted));
+    fitFigures.put("measured", Rounded.of(measured));
+    fitFigures.put("error_pct", Rounded.of(Fit.errorPct(predicted, measured)));
+    figures.put(name, fitFigures);
   }
 
   /** Prints the figures. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Fit.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Fit.java
@@ -66,11 +66,11 @@
 
   /** As it is printed. */
   public Map<String, Object> told() {
-    Map<String, Object> told = new LinkedHashMap<>();
-    told.put("slope", Rounded.of(slope));
-    told.put("intercept", Rounded.of(intercept));
-    told.put("worst_pct", Rounded.of(worstPct));
-    told.put("points", points);
-    return told;
+    Map<String, Object> fitFigures = new LinkedHashMap<>();
+    fitFigures.put("slope", Rounded.of(slope));
+    fitFigures.put("intercept", Rounded.of(intercept));
+    fitFigures.put("worst_pct", Rounded.of(worstPct));
+    fitFigures.put("points", points);
+    return fitFigures;
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetEvents.java
@@ -42,16 +42,16 @@
   /** What happens, and how long it takes. */
   private record Event(String name, Runnable begin, int seconds) {}
 
-  /** All events, one after the other; {@code progress} is told each. */
+  /** All events, one after the other; {@code progress} is notified of each. */
   Map<String, Object> playAll(Consumer<Map<String, Object>> progress) {
     FleetMeter meter = new FleetMeter(fleet);
     time.runFor(CALM_SECONDS * SECOND);
     calm = meter.read();
     Map<String, Object> events = new LinkedHashMap<>();
     for (Event event : all()) {
-      Map<String, Object> told = play(event);
-      events.put(event.name(), told);
-      progress.accept(Map.of(event.name(), told));
+      Map<String, Object> figures = play(event);
+      events.put(event.name(), figures);
+      progress.accept(Map.of(event.name(), figures));
     }
     return events;
   }
@@ -89,44 +89,44 @@
               reading.coreCpuPct(),
               reading.coreBytesPerSecond()));
     }
-    Map<String, Object> told = describe(samples);
-    told.put("refused_pct", Rounded.of(complete.read().requests().refusedPct()));
-    told.put("lease_failovers", health.failovers());
-    told.put("false_expiries", health.falseExpiries());
-    inForce(told, firstEdition);
-    return told;
+    Map<String, Object> figures = describe(samples);
+    figures.put("refused_pct", Rounded.of(complete.read().requests().refusedPct()));
+    figures.put("lease_failovers", health.failovers());
+    figures.put("false_expiries", health.falseExpiries());
+    inForce(figures, firstEdition);
+    return figures;
   }
 
   private Map<String, Object> describe(List<Sample> samples) {
-    Map<String, Object> told = new LinkedHashMap<>();
-    told.put("seconds", samples.size());
-    told.put("door_cpu_pct_peak", max(samples.stream().map(Sample::doorCpuPct).toList()));
-    told.put("door_bytes_per_s_peak", max(samples.stream().map(Sample::doorBytes).toList()));
-    told.put("core_cpu_pct_peak", max(samples.stream().map(Sample::coreCpuPct).toList()));
-    told.put("core_bytes_per_s_peak", max(samples.stream().map(Sample::coreBytes).toList()));
+    Map<String, Object> figures = new LinkedHashMap<>();
+    figures.put("seconds", samples.size());
+    figures.put("door_cpu_pct_peak", max(samples.stream().map(Sample::doorCpuPct).toList()));
+    figures.put("door_bytes_per_s_peak", max(samples.stream().map(Sample::doorBytes).toList()));
+    figures.put("core_cpu_pct_peak", max(samples.stream().map(Sample::coreCpuPct).toList()));
+    figures.put("core_bytes_per_s_peak", max(samples.stream().map(Sample::coreBytes).toList()));
     long raised =
         samples.stream()
             .filter(sample -> sample.coreBytes() > RAISED * calm.coreBytesPerSecond())
             .count();
-    told.put("core_raised_s", raised);
+    figures.put("core_raised_s", raised);
     long queued =
         fleet.cores().stream()
             .mapToLong(core -> core.process().takeMaxQueuedBytes())
             .max()
             .orElse(0);
-    told.put("core_queued_mb_max", Rounded.of(queued / MEGABYTE));
-    return told;
+    figures.put("core_queued_mb_max", Rounded.of(queued / MEGABYTE));
+    return figures;
   }
 
-  private void inForce(Map<String, Object> told, long firstEdition) {
+  private void inForce(Map<String, Object> figures, long firstEdition) {
     long last = fleet.operator().edition();
     if (last >= firstEdition) {
       List<Double> seconds = fleet.configurations().secondsUntilInForce(firstEdition, last);
       double[] sorted = seconds.stream().mapToDouble(Double::doubleValue).toArray();
-      told.put("in_force_p99_s", Rounded.of(Gauge.quantile(sorted, Gauge.P99)));
-      told.put("in_force_max_s", Rounded.of(Gauge.quantile(sorted, 1)));
+      figures.put("in_force_p99_s", Rounded.of(Gauge.quantile(sorted, Gauge.P99)));
+      figures.put("in_force_max_s", Rounded.of(Gauge.quantile(sorted, 1)));
       long wanted = (last - firstEdition + 1) * fleet.doors().size();
-      told.put("changes_missing_at_doors", wanted - seconds.size());
+      figures.put("changes_missing_at_doors", wanted - seconds.size());
     }
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredDoor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredDoor.java
@@ -130,7 +130,7 @@
 
   @Override
   public void received(String peer, boolean peerIsDoor, SpecificRecord message) {
-    host.received(peer, message);
+    host.receivedFromCore(peer, message);
     retryRequests();
   }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ScaleFigure.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ScaleFigure.java
@@ -38,12 +38,12 @@
     double[] values = runs.stream().mapToDouble(this::value).toArray();
     Fit fit = Fit.of(sizes, values);
     double predicted = fit.at(driver(largest));
-    Map<String, Object> told = fit.told();
-    told.put("doors_to_the_power", power);
-    told.put("predicted", Rounded.of(predicted));
-    told.put("measured", Rounded.of(value(largest)));
-    told.put("error_pct", Rounded.of(Fit.errorPct(predicted, value(largest))));
-    return told;
+    Map<String, Object> fitFigures = fit.told();
+    fitFigures.put("doors_to_the_power", power);
+    fitFigures.put("predicted", Rounded.of(predicted));
+    fitFigures.put("measured", Rounded.of(value(largest)));
+    fitFigures.put("error_pct", Rounded.of(Fit.errorPct(predicted, value(largest))));
+    return fitFigures;
   }
 
   private double driver(Map<String, Object> run) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/package-info.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The scale run over sockets: the fleet's own core processes, before hollow doors that share a
- * process and hollow backends.
+ * The scale run over sockets: the fleet's own core processes, with simulated doors that share a
+ * process and simulated backends. {@link nettletrail.emulator.capacity.sockets.SocketRun} is its
+ * entry.
  */
 package nettletrail.emulator.capacity.sockets;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/ControlResponse.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/ControlResponse.java
@@ -5,7 +5,7 @@
 
 /** A core process's answer: an HTTP status and a body. */
 public record ControlResponse(int status, String body) implements Payload {
-  /** The call was taken. */
+  /** The call was accepted. */
   public static final int OK = 200;
 
   /** Another edition is current. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreObserver.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreObserver.java
@@ -8,7 +8,7 @@
   /** The process has finished a step. */
   void stepped(CoreProcess process);
 
-  /** The process asks a replica to store a version. */
+  /** The process sends a replica an accept request. */
   void accepting(CoreProcess process, Accept message);
 
   /** The process grants quota. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
@@ -93,21 +93,21 @@
     return table;
   }
 
-  /** True while keys may be taken and refused. */
+  /** True while keys may be accepted and rejected. */
   public boolean keysValid() {
     return control.keysValid(now());
   }
 
   /** Takes quota for a request. */
   public boolean takeQuota(String tenant, long tokens) {
-    boolean taken = control.grants().take(tenant, tokens, now());
-    if (!taken) {
+    boolean granted = control.grants().take(tenant, tokens, now());
+    if (!granted) {
       host.poll();
     }
-    return taken;
+    return granted;
   }
 
-  /** The backends of a service that are not gone. */
+  /** The backends of a service that are not deregistered. */
   public List<Backend> backends(String service) {
     return control.backends(service);
   }
--- a/fleet/src/main/java/nettletrail/fleet/CoreProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/CoreProcess.java
@@ -122,7 +122,8 @@
       links.listen(settings.internalAddress()).sync();
       server.listen(FleetSettings.socketAddress(control)).sync();
     } catch (ProtocolException | InterruptedException | RuntimeException failure) {
-      throw new StartException("listen", settings.internalAddress() + " " + control, failure);
+      throw new StartException(
+          StartStep.LISTEN, settings.internalAddress() + " " + control, failure);
     }
     ticks =
         loop.scheduleAtFixedRate(
@@ -200,7 +201,7 @@
     Path path = settings.dataDirectory().orElse(null);
     if (path == null) {
       throw new StartException(
-          "open the disk", "data_dir is missing: the role core keeps state", null);
+          StartStep.OPEN_DISK, "data_dir is missing: the role core keeps state", null);
     }
     try {
       return CoreStore.open(
@@ -210,7 +211,7 @@
           ShardMap.SHARD_COUNT,
           random);
     } catch (StorageException failure) {
-      throw new StartException("open the disk", failure.getMessage(), failure);
+      throw new StartException(StartStep.OPEN_DISK, failure.getMessage(), failure);
     }
   }
 
--- a/fleet/src/main/java/nettletrail/fleet/CoreStatus.java
+++ b/fleet/src/main/java/nettletrail/fleet/CoreStatus.java
@@ -1,12 +1,8 @@
 package nettletrail.fleet;
 
-import com.jsoniter.output.JsonStream;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import nettletrail.control.CoreRegistry;
 import nettletrail.control.ShardMap;
@@ -14,13 +10,27 @@
 import nettletrail.control.shard.CoreShards;
 import nettletrail.control.shard.ShardStatus;
 import nettletrail.control.shard.StoredConfiguration;
+import nettletrail.fleet.CoreStatusView.Backend;
+import nettletrail.fleet.CoreStatusView.Backends;
+import nettletrail.fleet.CoreStatusView.Door;
+import nettletrail.fleet.CoreStatusView.Doors;
+import nettletrail.fleet.CoreStatusView.Failure;
+import nettletrail.fleet.CoreStatusView.History;
+import nettletrail.fleet.CoreStatusView.Lease;
+import nettletrail.fleet.CoreStatusView.Leases;
+import nettletrail.fleet.CoreStatusView.Quota;
+import nettletrail.fleet.CoreStatusView.Shard;
+import nettletrail.fleet.CoreStatusView.Shards;
+import nettletrail.fleet.CoreStatusView.Version;
+import nettletrail.fleet.CoreStatusView.Versions;
 import nettletrail.fleet.http.ControlServer;
 import nettletrail.fleet.settings.FleetSettings;
 import nettletrail.protocol.ShardVersion;
 
 /**
- * Answers operators' questions about the state of a core process, as JSON. Changes nothing, and no
- * daemon asks. On the event loop; what has to be read from the disk is read on the storage thread.
+ * Answers operators' requests for the state of a core process, as JSON. Changes nothing, and no
+ * daemon calls it. On the event loop; what has to be read from the disk is read on the storage
+ * thread.
  *
  * <p>Everything is what this process knows; another one may know more. {@code quota} alone is
  * answered by the owner of the tenant's shard, and redirected there by the others.
@@ -67,33 +77,42 @@
       return;
     }
     switch (resource) {
-      case DOORS -> list(call, DOORS, CoreStatusJson.doors(registry.doorStatus(now)));
-      case BACKENDS -> list(call, BACKENDS, CoreStatusJson.backends(registry.backendStatus(now)));
-      case SHARDS -> list(call, SHARDS, shards(now));
-      case LEASES -> list(call, LEASES, leases(now));
+      case DOORS -> respond(call, doors(now));
+      case BACKENDS -> respond(call, backends(now));
+      case SHARDS -> respond(call, shards(now));
+      case LEASES -> respond(call, leases(now));
       case HISTORY -> history(call);
       case VERSIONS -> versions(call);
       default -> error(call, HttpResponseStatus.NOT_FOUND, "no such status");
     }
   }
 
-  private List<Map<String, Object>> shards(long now) {
-    List<Map<String, Object>> list = new ArrayList<>();
+  private Doors doors(long now) {
+    return new Doors(settings.node(), registry.doorStatus(now).stream().map(Door::of).toList());
+  }
+
+  private Backends backends(long now) {
+    return new Backends(
+        settings.node(), registry.backendStatus(now).stream().map(Backend::of).toList());
+  }
+
+  private Shards shards(long now) {
+    List<Shard> list = new ArrayList<>();
     for (ShardStatus shard : shards.status(now)) {
-      list.add(CoreStatusJson.shard(shard, controlAddress(shard.ownerAddress())));
+      list.add(Shard.of(shard, controlAddress(shard.ownerAddress())));
     }
-    return list;
+    return new Shards(settings.node(), list);
   }
 
-  private List<Map<String, Object>> leases(long now) {
-    List<Map<String, Object>> list = new ArrayList<>();
+  private Leases leases(long now) {
+    List<Lease> list = new ArrayList<>();
     for (ShardStatus shard : shards.status(now)) {
       if (shard.owned()) {
-        list.add(CoreStatusJson.ownerLease(settings.node(), shard));
+        list.add(Lease.ofOwner(settings.node(), shard));
       }
     }
-    list.addAll(CoreStatusJson.doorLeases(registry.doorStatus(now)));
-    return list;
+    registry.doorStatus(now).forEach(door -> list.add(Lease.ofDoor(door)));
+    return new Leases(settings.node(), list);
   }
 
   private void quota(long call, String tenant, long now) {
@@ -101,7 +120,7 @@
     if (shards.owns(shard, now)) {
       Optional<QuotaStatus> quota = registry.quotaStatus(tenant, now);
       if (quota.isPresent()) {
-        respond(call, CoreStatusJson.quota(settings.node(), tenant, shard, quota.get()));
+        respond(call, Quota.of(settings.node(), tenant, shard, quota.get()));
       } else {
         error(
             call,
@@ -123,14 +142,14 @@
     if (configuration == null) {
       error(call, HttpResponseStatus.SERVICE_UNAVAILABLE, "no committed version is known here yet");
     } else {
-      respond(call, CoreStatusJson.history(settings.node(), configuration));
+      respond(call, History.of(settings.node(), configuration));
     }
   }
 
   private void versions(long call) {
     storage.readVersions(
         CoreShards.CONFIGURATION_SHARD,
-        versions -> list(call, "versions", CoreStatusJson.versions(stored(versions))),
+        versions -> respond(call, versionsView(stored(versions))),
         failure -> diskFailed(call, failure));
   }
 
@@ -141,6 +160,10 @@
         failure -> diskFailed(call, failure));
   }
 
+  private Versions versionsView(List<StoredConfiguration> versions) {
+    return new Versions(settings.node(), versions.stream().map(Version::of).toList());
+  }
+
   private static List<StoredConfiguration> stored(List<ShardVersion> versions) {
     return versions.stream()
         .map(StoredConfiguration::of)
@@ -165,21 +188,12 @@
     error(call, HttpResponseStatus.INTERNAL_SERVER_ERROR, failure);
   }
 
-  private void list(long call, String name, List<Map<String, Object>> entries) {
-    Map<String, Object> json = new LinkedHashMap<>();
-    json.put("core", settings.node());
-    json.put(name, entries);
-    respond(call, json);
-  }
-
-  private void respond(long call, Map<String, Object> json) {
-    byte[] bytes = JsonStream.serialize(json).getBytes(StandardCharsets.UTF_8);
-    server.answer(call, HttpResponseStatus.OK.code(), bytes);
+  private void respond(long call, Record view) {
+    server.answer(call, HttpResponseStatus.OK.code(), StatusJson.write(view));
   }
 
   private void error(long call, HttpResponseStatus status, String reason) {
-    byte[] bytes = JsonStream.serialize(Map.of("error", reason)).getBytes(StandardCharsets.UTF_8);
-    server.answer(call, status.code(), bytes);
+    server.answer(call, status.code(), StatusJson.write(new Failure(reason)));
   }
 
   /** All machines of the core use the same ports. */
--- a/fleet/src/main/java/nettletrail/fleet/DoorControlView.java
+++ b/fleet/src/main/java/nettletrail/fleet/DoorControlView.java
@@ -109,11 +109,11 @@
 
   @Override
   public boolean take(String tenant, long tokens, long now) {
-    boolean taken = control.grants().take(tenant, tokens, now);
-    if (!taken) {
+    boolean granted = control.grants().take(tenant, tokens, now);
+    if (!granted) {
       quotaShort.run();
     }
-    return taken;
+    return granted;
   }
 
   @Override
--- a/fleet/src/main/java/nettletrail/fleet/DoorProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/DoorProcess.java
@@ -98,7 +98,7 @@
     try {
       router.listenForProbes(settings.ip(), port(ready)).sync();
     } catch (InterruptedException | RuntimeException failure) {
-      throw new StartException("listen", ready, failure);
+      throw new StartException(StartStep.LISTEN, ready, failure);
     }
     ticks =
         loop.scheduleAtFixedRate(
--- a/fleet/src/main/java/nettletrail/fleet/MetricsPort.java
+++ b/fleet/src/main/java/nettletrail/fleet/MetricsPort.java
@@ -14,7 +14,7 @@
    * Reads the arguments of a role, the first of which is the role's name.
    *
    * @return empty if the option isn't given
-   * @throws StartException if an argument is unknown, or the port is none
+   * @throws StartException if an argument is unknown, or the port is not one
    */
   static OptionalInt of(String[] arguments) throws StartException {
     if (arguments.length == 1) {
@@ -24,7 +24,7 @@
       return OptionalInt.of(port(arguments[2]));
     }
     throw new StartException(
-        "read the arguments", "usage: " + arguments[0] + " [" + OPTION + " PORT]", null);
+        StartStep.READ_ARGUMENTS, "usage: " + arguments[0] + " [" + OPTION + " PORT]", null);
   }
 
   private static int port(String text) throws StartException {
@@ -34,9 +34,9 @@
         return port;
       }
     } catch (NumberFormatException notANumber) {
-      // Told below, as a number that is out of range is.
+      // Reported below, as a number out of range is.
     }
     throw new StartException(
-        "read the arguments", OPTION + " " + text + ": a port from 1 to " + MAX_PORT, null);
+        StartStep.READ_ARGUMENTS, OPTION + " " + text + ": a port from 1 to " + MAX_PORT, null);
   }
 }
--- a/fleet/src/main/java/nettletrail/fleet/ProcessSeed.java
+++ b/fleet/src/main/java/nettletrail/fleet/ProcessSeed.java
@@ -8,7 +8,7 @@
  * here has to be kept secret.
  */
 final class ProcessSeed {
-  /** Spreads the clock's low bits over the whole word. */
+  /** Spreads the clock's low bits over all bits. */
   private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L;
 
   /** Keeps the node's hash apart from the process id. */
@@ -16,7 +16,7 @@
 
   private ProcessSeed() {}
 
-  /** A generator for this life of the node. */
+  /** A generator for this incarnation of the node. */
   static SplittableRandom random(String node) {
     long clocks =
         System.nanoTime() * GOLDEN_RATIO
--- a/fleet/src/main/java/nettletrail/fleet/WarmUp.java
+++ b/fleet/src/main/java/nettletrail/fleet/WarmUp.java
@@ -18,7 +18,7 @@
  */
 final class WarmUp {
   private static final int ATTEMPTS = 100;
-  private static final long PAUSE_MS = 50;
+  private static final long POLL_MS = 50;
   private static final int REQUESTS = 20;
   private static final int READ_TIMEOUT_MS = 2_000;
   private static final int MAX_PORT = 60_000;
@@ -78,7 +78,7 @@
       if (check.holds()) {
         return;
       }
-      Thread.sleep(PAUSE_MS);
+      Thread.sleep(POLL_MS);
     }
     throw new IOException("the fleet of one does not serve");
   }
