--- a/configuration/src/main/java/nettletrail/configuration/RouteReader.java
+++ b/configuration/src/main/java/nettletrail/configuration/RouteReader.java
@@ -34,7 +34,7 @@
   private static RouteKind readKind(FieldReader reader) throws ConfigurationException {
     String kind = reader.requiredText("kind");
     return switch (kind) {
-      case "resendable" -> RouteKind.REPEATABLE;
+      case "resendable" -> RouteKind.IDEMPOTENT;
       case "single_send" -> RouteKind.SINGLE_SEND;
       case "serial" -> RouteKind.STREAM;
       default ->
--- a/configuration/src/test/java/nettletrail/configuration/RoutingTableTest.java
+++ b/configuration/src/test/java/nettletrail/configuration/RoutingTableTest.java
@@ -47,7 +47,7 @@
             "split",
             "one.example",
             "/chat/split/",
-            RouteKind.REPEATABLE,
+            RouteKind.IDEMPOTENT,
             6000,
             6000,
             5,
--- a/control/src/main/java/nettletrail/control/CoreRegistry.java
+++ b/control/src/main/java/nettletrail/control/CoreRegistry.java
@@ -146,7 +146,7 @@
    * @param document as it is stored and sent; not to be changed
    * @param limits the limits of all its tenants, {@link QuotaLimit#NONE} of those without one
    */
-  public List<RegistryAction> configuration(
+  public List<RegistryAction> configurationCommitted(
       long sequence, long edition, ByteBuffer document, Map<String, QuotaLimit> limits, long now) {
     if (sequence <= configurationSequence) {
       return List.of();
--- a/control/src/main/java/nettletrail/control/door/BackendView.java
+++ b/control/src/main/java/nettletrail/control/door/BackendView.java
@@ -70,7 +70,7 @@
       return;
     }
     backend.replace(core, reported, now);
-    if (earlier == null ? !BackendOrdering.isGone(reported) : differs(earlier, reported)) {
+    if (earlier == null ? !BackendOrdering.isDeregistered(reported) : differs(earlier, reported)) {
       serviceChanged(reported);
       if (earlier != null) {
         serviceChanged(earlier);
--- a/control/src/main/java/nettletrail/control/door/DoorControl.java
+++ b/control/src/main/java/nettletrail/control/door/DoorControl.java
@@ -42,7 +42,7 @@
   private final RoutingFreshness routing;
   private long lastTickAt;
 
-  /** Dials nothing before {@link #settingsChanged} or {@link #tick}. */
+  /** Dials nothing before {@link #seedsChanged} or {@link #tick}. */
   public DoorControl(DoorControlSettings settings, long now) {
     String door = settings.door();
     this.links = new CoreLinks(settings.seeds());
@@ -54,12 +54,13 @@
     this.grants =
         new GrantClient(door, settings.incarnation(), new LinkedOwnerLookup(owners, links));
     this.heartbeats = new CoreHeartbeats(settings, activation, follower, grants);
-    this.routing = new RoutingFreshness(follower, activation, keys, settings.inForceMs());
+    this.routing =
+        new RoutingFreshness(follower, activation, keys, settings.activationDeadlineMs());
     this.lastTickAt = now;
   }
 
   /** The settings list these seeds from now on. */
-  public List<DoorAction> settingsChanged(List<String> seedAddresses, long now) {
+  public List<DoorAction> seedsChanged(List<String> seedAddresses, long now) {
     links.seedsChanged(seedAddresses);
     return links.dialSeeds(now);
   }
@@ -198,7 +199,7 @@
    *
    * @param took how long that occupied the thread, in nanoseconds; delays the next activation
    */
-  public void configurationInForce(long took, long now) {
+  public void configurationActivated(long took, long now) {
     activation.activated(took, now);
   }
 
@@ -216,7 +217,7 @@
   }
 
   /** Whether API keys may be accepted and rejected at this instant. */
-  public boolean keysValid(long now) {
+  public boolean areKeysValid(long now) {
     return keys.isValid(now);
   }
 
@@ -224,7 +225,7 @@
    * Whether requests may be routed by the active configuration; false once a newer one may be
    * active at other doors.
    */
-  public boolean routingIsCurrent(long now) {
+  public boolean isRoutingCurrent(long now) {
     return routing.isCurrent(now);
   }
 
@@ -239,7 +240,7 @@
   }
 
   /** Whether a core process replied shortly before the last tick. */
-  public boolean coreReachable() {
+  public boolean isCoreReachable() {
     return links.all().stream().anyMatch(link -> link.repliedWithin(REACHABLE_NANOS, lastTickAt));
   }
 
--- a/control/src/main/java/nettletrail/control/door/DoorControlSettings.java
+++ b/control/src/main/java/nettletrail/control/door/DoorControlSettings.java
@@ -9,11 +9,17 @@
  * @param zone the zone that the door runs in
  * @param incarnation a number that no earlier incarnation of the door had, above 0
  * @param revokeMs how long keys may be used after the last confirmation, in milliseconds
- * @param inForceMs within which an acknowledged configuration has to be active, in milliseconds
+ * @param activationDeadlineMs within which an acknowledged configuration has to be active, in
+ *     milliseconds
  * @param seeds addresses of core processes to dial first
  */
 public record DoorControlSettings(
-    String door, String zone, long incarnation, long revokeMs, long inForceMs, List<String> seeds) {
+    String door,
+    String zone,
+    long incarnation,
+    long revokeMs,
+    long activationDeadlineMs,
+    List<String> seeds) {
   /** Copies the list. */
   public DoorControlSettings {
     seeds = List.copyOf(seeds);
--- a/control/src/main/java/nettletrail/control/door/GrantClient.java
+++ b/control/src/main/java/nettletrail/control/door/GrantClient.java
@@ -33,7 +33,7 @@
   private final Map<Integer, ShardGrantRequests> requestsByShard = new HashMap<>();
   private final Map<String, TenantTokens> tenants = new LinkedHashMap<>();
   private final Set<String> replenished = new LinkedHashSet<>();
-  private Map<String, QuotaLimit> limits = Map.of();
+  private Map<String, QuotaLimit> limitsChanged = Map.of();
   private long lastRequest;
   private boolean ownerMissing;
   private boolean shortOfTokens;
@@ -64,8 +64,8 @@
    * Replaces the limits by those of the active configuration, by tenant. The tokens of tenants
    * without a limit are dropped.
    */
-  public void limits(Map<String, QuotaLimit> newLimits) {
-    limits = Map.copyOf(newLimits);
+  public void limitsChanged(Map<String, QuotaLimit> newLimits) {
+    limitsChanged = Map.copyOf(newLimits);
     tenants.keySet().removeIf(tenant -> !isLimited(tenant));
   }
 
@@ -74,7 +74,7 @@
    * without a limit. After false, {@link DoorControl#poll} should be called, so that the owner is
    * asked at once.
    */
-  public boolean take(String tenant, long tokens, long now) {
+  public boolean tryAcquire(String tenant, long tokens, long now) {
     return !isLimited(tenant) || tokensOf(tenant, now).take(tokens, now);
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** How many tokens all requests together need that wait for this tenant's quota. */
-  public void queued(String tenant, long tokens, long now) {
+  public void queuedTokensChanged(String tenant, long tokens, long now) {
     if (isLimited(tenant)) {
       tokensOf(tenant, now).queued(tokens);
     }
@@ -106,12 +106,12 @@
   }
 
   /** How many tokens can be taken now; {@link Long#MAX_VALUE} for tenants without a limit. */
-  public long usable(String tenant, long now) {
+  public long usableTokens(String tenant, long now) {
     return isLimited(tenant) ? tokensOf(tenant, now).usable(now) : Long.MAX_VALUE;
   }
 
   /** The tenants that got more usable tokens since the last call, in the order of the grants. */
-  public List<String> takeGrownTenants() {
+  public List<String> drainReplenishedTenants() {
     List<String> drained = List.copyOf(replenished);
     replenished.clear();
     return drained;
@@ -202,7 +202,7 @@
   }
 
   private boolean isLimited(String tenant) {
-    QuotaLimit limit = limits.get(tenant);
+    QuotaLimit limit = limitsChanged.get(tenant);
     return limit != null && limit.limited();
   }
 
--- a/control/src/main/java/nettletrail/control/door/KnownBackend.java
+++ b/control/src/main/java/nettletrail/control/door/KnownBackend.java
@@ -26,7 +26,7 @@
 
   /** Whether the backend deregistered. */
   boolean isGone() {
-    return BackendOrdering.isGone(registration);
+    return BackendOrdering.isDeregistered(registration);
   }
 
   /** Whether the backend is closing or gone. */
--- a/control/src/main/java/nettletrail/control/host/CoreHost.java
+++ b/control/src/main/java/nettletrail/control/host/CoreHost.java
@@ -25,7 +25,7 @@
   private final CoreShards shards;
   private final CoreRegistry registry;
   private final LongSupplier steadyClock;
-  private final CoreLinks links;
+  private final CoreHostLinks links;
   private final CoreStorage storage;
   private final CoreCallers callers;
   private final CommittedConfigurations configurations;
@@ -39,7 +39,7 @@
       CoreShards shards,
       CoreRegistry registry,
       LongSupplier steadyClock,
-      CoreLinks links,
+      CoreHostLinks links,
       CoreStorage storage,
       CoreCallers callers,
       CommittedConfigurations configurations) {
@@ -186,7 +186,7 @@
         .ifPresent(
             limits ->
                 perform(
-                    registry.configuration(
+                    registry.configurationCommitted(
                         committed.sequence(),
                         committed.edition(),
                         committed.storedDocument(),
--- a/control/src/main/java/nettletrail/control/host/CoreLinks.java
+++ b/control/src/main/java/nettletrail/control/host/CoreHostLinks.java
@@ -5,7 +5,7 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /** The links of a core process. A message to a peer without a link is lost silently. */
-public interface CoreLinks {
+public interface CoreHostLinks {
   /**
    * Sends a message to another core process.
    *
--- a/control/src/main/java/nettletrail/control/host/DoorHost.java
+++ b/control/src/main/java/nettletrail/control/host/DoorHost.java
@@ -18,7 +18,7 @@
 
   private final DoorControl control;
   private final LongSupplier steadyClock;
-  private final DoorLinks links;
+  private final DoorHostLinks links;
   private final DoorDataPlane dataPlane;
 
   /**
@@ -27,7 +27,7 @@
    * @param steadyClock in nanoseconds; read anew at each event
    */
   public DoorHost(
-      DoorControl control, LongSupplier steadyClock, DoorLinks links, DoorDataPlane dataPlane) {
+      DoorControl control, LongSupplier steadyClock, DoorHostLinks links, DoorDataPlane dataPlane) {
     this.control = control;
     this.steadyClock = steadyClock;
     this.links = links;
@@ -83,7 +83,7 @@
 
   /** The settings name these seeds from here on. */
   public void settingsChanged(List<String> seedAddresses) {
-    perform(control.settingsChanged(seedAddresses, now()));
+    perform(control.seedsChanged(seedAddresses, now()));
   }
 
   // Actions
--- a/control/src/main/java/nettletrail/control/host/DoorLinks.java
+++ b/control/src/main/java/nettletrail/control/host/DoorHostLinks.java
@@ -3,7 +3,7 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /** The links of a door to core processes. */
-public interface DoorLinks {
+public interface DoorHostLinks {
   /** Keeps a link to this address, dialling again whenever it is lost, until {@link #undial}. */
   void dial(String address);
 
--- a/control/src/main/java/nettletrail/control/host/NetworkDoorLinks.java
+++ b/control/src/main/java/nettletrail/control/host/NetworkDoorLinks.java
@@ -4,7 +4,7 @@
 import org.apache.avro.specific.SpecificRecord;
 
 /** A door's links over sockets. On the event loop of the links. */
-public final class NetworkDoorLinks implements DoorLinks {
+public final class NetworkDoorLinks implements DoorHostLinks {
   private final Links links;
 
   /** The links stay the caller's, who closes them. */
@@ -19,7 +19,7 @@
 
   @Override
   public void undial(String address) {
-    links.undial(address);
+    links.stopDialling(address);
   }
 
   @Override
--- a/control/src/main/java/nettletrail/control/registry/BackendOrdering.java
+++ b/control/src/main/java/nettletrail/control/registry/BackendOrdering.java
@@ -16,8 +16,8 @@
     if (current == null) {
       return true;
     }
-    if (isGone(current) || isGone(candidate)) {
-      return isGone(candidate) && !isGone(current);
+    if (isDeregistered(current) || isDeregistered(candidate)) {
+      return isDeregistered(candidate) && !isDeregistered(current);
     }
     if (candidate.getCallSequence() != current.getCallSequence()) {
       return candidate.getCallSequence() > current.getCallSequence();
@@ -49,7 +49,7 @@
   }
 
   /** Whether the backend has deregistered itself; its record is a tombstone. */
-  public static boolean isGone(Backend backend) {
+  public static boolean isDeregistered(Backend backend) {
     return backend.getState() == BackendState.GONE;
   }
 
--- a/control/src/main/java/nettletrail/control/registry/BackendRegistry.java
+++ b/control/src/main/java/nettletrail/control/registry/BackendRegistry.java
@@ -34,7 +34,7 @@
     boolean expired;
 
     boolean isTombstone() {
-      return BackendOrdering.isGone(backend);
+      return BackendOrdering.isDeregistered(backend);
     }
 
     boolean isLive() {
--- a/control/src/main/java/nettletrail/control/shard/Acceptor.java
+++ b/control/src/main/java/nettletrail/control/shard/Acceptor.java
@@ -167,7 +167,7 @@
     boolean granted = !ProposalNumbers.isAbove(promised, heartbeat.getProposal());
     if (granted) {
       leaseProposal = heartbeat.getProposal();
-      leaseUntil = Math.max(leaseUntil, now + settings.lease());
+      leaseUntil = Math.max(leaseUntil, now + settings.leaseNanos());
     }
     return new ShardHeartbeatReply(
         shard,
--- a/control/src/main/java/nettletrail/control/shard/ConfigurationRegister.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfigurationRegister.java
@@ -127,7 +127,7 @@
     } else if (!inFlight.proposal.equals(replica.token())) {
       answerWrite(unknownOutcome(inFlight.queued));
       inFlight = null;
-    } else if (now - inFlight.queued.receivedAt() >= settings.requestTimeout()) {
+    } else if (now - inFlight.queued.receivedAt() >= settings.requestTimeoutNanos()) {
       answerWrite(unknownOutcome(inFlight.queued));
     }
   }
@@ -164,7 +164,7 @@
     Iterator<QueuedRequest> requests = queue.iterator();
     while (requests.hasNext()) {
       QueuedRequest queued = requests.next();
-      if (now - queued.receivedAt() >= settings.requestTimeout()) {
+      if (now - queued.receivedAt() >= settings.requestTimeoutNanos()) {
         requests.remove();
         actionQueue.send(
             queued.address(),
--- a/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
+++ b/control/src/main/java/nettletrail/control/shard/ConfirmationRounds.java
@@ -50,7 +50,7 @@
     if (now < nextRoundAt) {
       return;
     }
-    nextRoundAt = now + settings.confirm();
+    nextRoundAt = now + settings.confirmationIntervalNanos();
     ConfirmQuery query = new ConfirmQuery(self.getId(), CoreShards.CONFIGURATION_SHARD, now);
     ShardVersion committed = replica.committed();
     if (committed == null) {
--- a/control/src/main/java/nettletrail/control/shard/CoreShards.java
+++ b/control/src/main/java/nettletrail/control/shard/CoreShards.java
@@ -95,7 +95,7 @@
   private ShardReplica startReplica(int shard, CoreStart start, SplittableRandom random, long now) {
     boolean founding = start.firstRun() && start.storedShard(shard).isEmpty();
     // a lease that an earlier incarnation of this process granted may still run
-    long votingStartsAt = founding ? now : now + settings.lease();
+    long votingStartsAt = founding ? now : now + settings.leaseNanos();
     ShardReplica replica =
         new ShardReplica(
             shard, self, settings, start.storedShard(shard), actionQueue, random, votingStartsAt);
@@ -176,7 +176,7 @@
   public String ownerAddress(int shard, long now) {
     String owner = replicas.get(shard).ownerAddress(now);
     boolean mayBeReported = owner.isEmpty() && shard == CONFIGURATION_SHARD;
-    return mayBeReported ? peerDirectory.reportedOwner(now, settings.lease()) : owner;
+    return mayBeReported ? peerDirectory.reportedOwner(now, settings.leaseNanos()) : owner;
   }
 
   /** The newest known group of the configuration shard: all core processes that have joined. */
--- a/control/src/main/java/nettletrail/control/shard/ElectionTimer.java
+++ b/control/src/main/java/nettletrail/control/shard/ElectionTimer.java
@@ -28,14 +28,14 @@
 
   /** Sets the timer to this replica's turn after an instant, plus a random delay. */
   void postpone(ReplicaGroup group, long from) {
-    dueAt = from + stagger(group) + random.nextLong(settings.electionStagger() / 2);
+    dueAt = from + stagger(group) + random.nextLong(settings.electionStaggerNanos() / 2);
   }
 
   /**
    * Sets the timer as {@link #postpone} does, after a lost election: with a further random backoff.
    */
   void retry(ReplicaGroup group, long now) {
-    postpone(group, now + random.nextLong(2 * settings.electionStagger()));
+    postpone(group, now + random.nextLong(2 * settings.electionStaggerNanos()));
   }
 
   /** Sets the timer to this replica's turn, without a random delay: the lease was released. */
@@ -45,10 +45,10 @@
 
   /** Delays the timer so that a candidate with this replica's promise has the time to win. */
   void deferToCandidate(ReplicaGroup group, long now) {
-    dueAt = Math.max(dueAt, now + settings.electionTimeout() + stagger(group));
+    dueAt = Math.max(dueAt, now + settings.electionTimeoutNanos() + stagger(group));
   }
 
   private long stagger(ReplicaGroup group) {
-    return group.rendezvousRank(shard, address) * settings.electionStagger();
+    return group.rendezvousRank(shard, address) * settings.electionStaggerNanos();
   }
 }
--- a/control/src/main/java/nettletrail/control/shard/GroupChanges.java
+++ b/control/src/main/java/nettletrail/control/shard/GroupChanges.java
@@ -63,7 +63,9 @@
 
   /** The next group, or null if the group should stay. */
   ReplicaGroup next(ReplicaGroup group, Member self, MemberContacts contacts, long now) {
-    joiners.values().removeIf(joiner -> now - joiner.lastRequestAt() > settings.joinerFresh());
+    joiners
+        .values()
+        .removeIf(joiner -> now - joiner.lastRequestAt() > settings.joinRequestValidityNanos());
     joiners.values().removeIf(joiner -> group.contains(joiner.member().getId()));
     Situation situation = new Situation(group, self, contacts, now);
     ReplicaGroup proposed = proposedGroup(situation);
@@ -77,7 +79,8 @@
    * version that names it.
    */
   private boolean hasResponsiveMajority(ReplicaGroup proposed, Situation situation) {
-    long oldestGrant = situation.now() - MAX_HEARTBEATS_SINCE_GRANT * settings.heartbeat();
+    long oldestGrant =
+        situation.now() - MAX_HEARTBEATS_SINCE_GRANT * settings.heartbeatIntervalNanos();
     Set<String> responsive = new HashSet<>();
     for (Member member : situation.group().members()) {
       boolean granted = situation.contacts().grantRequestedAt(member.getId()) >= oldestGrant;
@@ -125,7 +128,7 @@
   }
 
   private ReplicaGroup withoutUnresponsive(Situation situation) {
-    Member unresponsive = longestUnresponsive(situation, member -> settings.removeAfter());
+    Member unresponsive = longestUnresponsive(situation, member -> settings.removeAfterNanos());
     return unresponsive == null ? null : situation.group().without(unresponsive.getId());
   }
 
@@ -146,7 +149,7 @@
    */
   private long replaceAfter(Member member, Situation situation) {
     boolean responded = situation.contacts().hasContact(member.getId());
-    return responded ? settings.replaceAfter() : settings.replaceUnheardAfter();
+    return responded ? settings.replaceAfterNanos() : settings.replaceUnseenAfterNanos();
   }
 
   /**
@@ -157,14 +160,14 @@
   private boolean mayGrow(Joiner joiner, Situation situation) {
     boolean firstStart = joiner.isFounding() && isFounding(situation.group());
     long waited = situation.now() - joiner.firstRequestAt();
-    boolean waitedLongEnough = firstStart || waited >= settings.replaceAfter();
+    boolean waitedLongEnough = firstStart || waited >= settings.replaceAfterNanos();
     return waitedLongEnough && allResponsive(situation);
   }
 
   private boolean allResponsive(Situation situation) {
     for (Member member : situation.group().members()) {
       boolean responded = situation.contacts().hasContact(member.getId());
-      boolean recent = situation.sinceLastContact(member) <= settings.joinerFresh();
+      boolean recent = situation.sinceLastContact(member) <= settings.joinRequestValidityNanos();
       if (!situation.isSelf(member) && !(responded && recent)) {
         return false;
       }
--- a/control/src/main/java/nettletrail/control/shard/JoinRequests.java
+++ b/control/src/main/java/nettletrail/control/shard/JoinRequests.java
@@ -32,7 +32,7 @@
     this.peerDirectory = peerDirectory;
     this.settings = settings;
     this.actionQueue = actionQueue;
-    this.nextRequestAt = now + settings.join();
+    this.nextRequestAt = now + settings.joinRequestIntervalNanos();
   }
 
   /** Sends the requests when they are due. */
@@ -40,7 +40,7 @@
     if (now < nextRequestAt) {
       return;
     }
-    nextRequestAt = now + settings.join();
+    nextRequestAt = now + settings.joinRequestIntervalNanos();
     for (int shard = 0; shard < replicas.size(); shard++) {
       if (!isMemberWithOwner(replicas.get(shard), now)) {
         request(shard);
@@ -51,7 +51,7 @@
   private boolean isMemberWithOwner(ShardReplica replica, long now) {
     boolean member = replica.group().contains(self.getId());
     long sinceOwnerSeen = now - replica.ownerLastSeenAt();
-    return member && sinceOwnerSeen <= MAX_LEASES_WITHOUT_OWNER * settings.lease();
+    return member && sinceOwnerSeen <= MAX_LEASES_WITHOUT_OWNER * settings.leaseNanos();
   }
 
   private void request(int shard) {
--- a/control/src/main/java/nettletrail/control/shard/OperatorRequestRouter.java
+++ b/control/src/main/java/nettletrail/control/shard/OperatorRequestRouter.java
@@ -107,7 +107,7 @@
     long validUntil =
         applied
             ? CoreAction.ALWAYS
-            : Math.min(sentUntil, call.receivedAt + settings.requestTimeout());
+            : Math.min(sentUntil, call.receivedAt + settings.requestTimeoutNanos());
     respond(call.call, reply.getStatus(), reply.getEdition(), reply.getBody(), validUntil);
   }
 
@@ -116,9 +116,9 @@
     List<PendingCall> calls = new ArrayList<>(pending.values());
     for (PendingCall call : calls) {
       long age = now - call.receivedAt;
-      if (age >= settings.requestTimeout()) {
+      if (age >= settings.requestTimeoutNanos()) {
         timeOut(call, "the owner does not answer");
-      } else if (call.forwardedTo.isEmpty() && age >= settings.ownerWait()) {
+      } else if (call.forwardedTo.isEmpty() && age >= settings.ownerDiscoveryTimeoutNanos()) {
         timeOut(call, "no owner is known");
       } else if (call.forwardedTo.isEmpty()) {
         forward(call, ownerAddress);
--- a/control/src/main/java/nettletrail/control/shard/OwnerHeartbeats.java
+++ b/control/src/main/java/nettletrail/control/shard/OwnerHeartbeats.java
@@ -40,7 +40,7 @@
   /** Sends the periodic heartbeats when they are due. */
   void tick(long now) {
     if (now >= nextHeartbeatAt) {
-      nextHeartbeatAt = now + settings.heartbeat();
+      nextHeartbeatAt = now + settings.heartbeatIntervalNanos();
       send(replicas, now);
     }
   }
--- a/control/src/main/java/nettletrail/control/shard/OwnerState.java
+++ b/control/src/main/java/nettletrail/control/shard/OwnerState.java
@@ -208,7 +208,7 @@
     if (requestedAt == ReplicaGroup.NEVER) {
       return ReplicaGroup.NEVER;
     }
-    return requestedAt + settings.lease() - settings.leaseMargin();
+    return requestedAt + settings.leaseNanos() - settings.leaseMarginNanos();
   }
 
   private long majorityGrantRequestedAt(ShardVersion version) {
--- a/control/src/main/java/nettletrail/control/shard/OwnerWrites.java
+++ b/control/src/main/java/nettletrail/control/shard/OwnerWrites.java
@@ -22,7 +22,7 @@
 
   /** Delays values until the group is full, for a limited time from now on. */
   void awaitFullGroup(long now) {
-    awaitFullGroupUntil = now + settings.bootstrapWait();
+    awaitFullGroupUntil = now + settings.bootstrapTimeoutNanos();
   }
 
   /**
@@ -35,7 +35,7 @@
   }
 
   private boolean hasFullGroup() {
-    return stateMachine.owner().committedGroup().size() >= settings.fullGroup();
+    return stateMachine.owner().committedGroup().size() >= settings.fullGroupSize();
   }
 
   private boolean isReady(long now) {
--- a/control/src/main/java/nettletrail/control/shard/ReplicaStateMachine.java
+++ b/control/src/main/java/nettletrail/control/shard/ReplicaStateMachine.java
@@ -52,7 +52,7 @@
     this.acceptor = acceptor;
     this.electionTimer = electionTimer;
     this.follower = new FollowerState(electionTimer);
-    this.ownerContact = new OwnerContact(votingStartsAt - settings.lease());
+    this.ownerContact = new OwnerContact(votingStartsAt - settings.leaseNanos());
     this.state = follower;
     electionTimer.postpone(acceptor.group(), votingStartsAt);
   }
@@ -102,7 +102,7 @@
   private void startElection(CandidateState.Phase phase, long now) {
     ProposalNumber above = ProposalNumbers.max(highestSeen, acceptor.promised());
     ProposalNumber proposal = ProposalNumbers.next(above, self.getId());
-    long deadline = now + settings.electionTimeout();
+    long deadline = now + settings.electionTimeoutNanos();
     CandidateState candidate =
         new CandidateState(shard, phase, proposal, acceptor.accepted(), deadline);
     state = candidate;
@@ -122,7 +122,7 @@
     }
     candidate.onPreVoteReply(reply);
     if (candidate.phase() == CandidateState.Phase.PRE_VOTE && candidate.hasMajority()) {
-      candidate.startPrepare(now + settings.electionTimeout());
+      candidate.startPrepare(now + settings.electionTimeoutNanos());
       candidate.sendRequests(actionQueue);
     } else if (candidate.isLost()) {
       endElection(candidate, now);
@@ -167,7 +167,7 @@
   /** This replica has granted the heartbeat of an owner. */
   void onOwnerHeartbeat(ProposalNumber proposal, long now) {
     ownerContact.onHeartbeat(proposal.getNode(), now);
-    electionTimer.postpone(acceptor.group(), now + settings.lease());
+    electionTimer.postpone(acceptor.group(), now + settings.leaseNanos());
     onProposalSeen(proposal, now);
   }
 
@@ -193,7 +193,7 @@
     if (leaseRuns) {
       startElection(CandidateState.Phase.PREPARE, now);
     } else {
-      electionTimer.postpone(acceptor.group(), now + settings.electionStagger());
+      electionTimer.postpone(acceptor.group(), now + settings.electionStaggerNanos());
     }
   }
 
--- a/control/src/main/java/nettletrail/control/shard/ShardReplica.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardReplica.java
@@ -89,7 +89,7 @@
       return self.getAddress();
     }
     OwnerContact contact = stateMachine.ownerContact();
-    boolean recent = now - contact.lastSeenAt() <= settings.lease();
+    boolean recent = now - contact.lastSeenAt() <= settings.leaseNanos();
     Member owner = recent ? group().find(contact.ownerId()) : null;
     return owner == null || owner.getId().equals(self.getId()) ? "" : owner.getAddress();
   }
--- a/control/src/main/java/nettletrail/control/shard/ShardSettings.java
+++ b/control/src/main/java/nettletrail/control/shard/ShardSettings.java
@@ -5,42 +5,44 @@
 /**
  * Times and bounds of the replicated shards. All times are nanoseconds.
  *
- * @param lease how long a replica that granted a heartbeat promises nothing to other candidates
- * @param leaseMargin by how much the owner shortens its lease, for clocks of different rates
- * @param heartbeat period of the owner's heartbeats
- * @param electionStagger delay between the elections of replicas of successive ranks
- * @param electionTimeout how long a candidate waits for a majority in each phase
- * @param resend after what time an owner may first send a version to a replica again
- * @param confirm period of the confirmation rounds
- * @param join period of the join requests of a process that is no member
- * @param joinerFresh how long a join request is valid
- * @param replaceAfter time without contact after which a joiner replaces a member
- * @param replaceUnheardAfter as replaceAfter, for a member that has never answered this owner
- * @param removeAfter time without contact after which a member leaves an even group
- * @param fullGroup how many members a group needs to tolerate the configured losses
- * @param bootstrapWait how long after the first start of the system the owner delays writes while
- *     the group is not full
- * @param ownerWait how long an operator's call is kept while no owner is known
- * @param requestTimeout time-out of an operator's call; its outcome is unknown afterwards
+ * @param leaseNanos how long a replica that granted a heartbeat promises nothing to other
+ *     candidates
+ * @param leaseMarginNanos by how much the owner shortens its lease, for clocks of different rates
+ * @param heartbeatIntervalNanos period of the owner's heartbeats
+ * @param electionStaggerNanos delay between the elections of replicas of successive ranks
+ * @param electionTimeoutNanos how long a candidate waits for a majority in each phase
+ * @param initialResendIntervalNanos after what time an owner may first send a version to a replica
+ *     again
+ * @param confirmationIntervalNanos period of the confirmation rounds
+ * @param joinRequestIntervalNanos period of the join requests of a process that is no member
+ * @param joinRequestValidityNanos how long a join request is valid
+ * @param replaceAfterNanos time without contact after which a joiner replaces a member
+ * @param replaceUnseenAfterNanos as replaceAfter, for a member that has never answered this owner
+ * @param removeAfterNanos time without contact after which a member leaves an even group
+ * @param fullGroupSize how many members a group needs to tolerate the configured losses
+ * @param bootstrapTimeoutNanos how long after the first start of the system the owner delays writes
+ *     while the group is not full
+ * @param ownerDiscoveryTimeoutNanos how long an operator's call is kept while no owner is known
+ * @param requestTimeoutNanos time-out of an operator's call; its outcome is unknown afterwards
  * @param requestQueueCapacity how many calls may be queued behind the write in flight
  */
 public record ShardSettings(
-    long lease,
-    long leaseMargin,
-    long heartbeat,
-    long electionStagger,
-    long electionTimeout,
-    long resend,
-    long confirm,
-    long join,
-    long joinerFresh,
-    long replaceAfter,
-    long replaceUnheardAfter,
-    long removeAfter,
-    int fullGroup,
-    long bootstrapWait,
-    long ownerWait,
-    long requestTimeout,
+    long leaseNanos,
+    long leaseMarginNanos,
+    long heartbeatIntervalNanos,
+    long electionStaggerNanos,
+    long electionTimeoutNanos,
+    long initialResendIntervalNanos,
+    long confirmationIntervalNanos,
+    long joinRequestIntervalNanos,
+    long joinRequestValidityNanos,
+    long replaceAfterNanos,
+    long replaceUnseenAfterNanos,
+    long removeAfterNanos,
+    int fullGroupSize,
+    long bootstrapTimeoutNanos,
+    long ownerDiscoveryTimeoutNanos,
+    long requestTimeoutNanos,
     int requestQueueCapacity) {
 
   private static final long LEASE_MS = 1_200;
@@ -68,10 +70,13 @@
    *     or ownerWait exceeds requestTimeout
    */
   public ShardSettings {
-    if (heartbeat <= 0 || lease < 2 * heartbeat || leaseMargin < 0 || leaseMargin >= lease / 2) {
+    if (heartbeatIntervalNanos <= 0
+        || leaseNanos < 2 * heartbeatIntervalNanos
+        || leaseMarginNanos < 0
+        || leaseMarginNanos >= leaseNanos / 2) {
       throw new IllegalArgumentException("lease must outlast two heartbeats and its margin");
     }
-    if (ownerWait > requestTimeout) {
+    if (ownerDiscoveryTimeoutNanos > requestTimeoutNanos) {
       throw new IllegalArgumentException("ownerWait must not exceed requestTimeout");
     }
   }
@@ -99,24 +104,24 @@
   }
 
   /** These settings for a system that tolerates the loss of so many core machines at once. */
-  public ShardSettings withstanding(int machines) {
+  public ShardSettings tolerating(int machines) {
     return new ShardSettings(
-        lease,
-        leaseMargin,
-        heartbeat,
-        electionStagger,
-        electionTimeout,
-        resend,
-        confirm,
-        join,
-        joinerFresh,
-        replaceAfter,
-        replaceUnheardAfter,
-        removeAfter,
+        leaseNanos,
+        leaseMarginNanos,
+        heartbeatIntervalNanos,
+        electionStaggerNanos,
+        electionTimeoutNanos,
+        initialResendIntervalNanos,
+        confirmationIntervalNanos,
+        joinRequestIntervalNanos,
+        joinRequestValidityNanos,
+        replaceAfterNanos,
+        replaceUnseenAfterNanos,
+        removeAfterNanos,
         2 * machines + 1,
-        bootstrapWait,
-        ownerWait,
-        requestTimeout,
+        bootstrapTimeoutNanos,
+        ownerDiscoveryTimeoutNanos,
+        requestTimeoutNanos,
         requestQueueCapacity);
   }
 
--- a/control/src/main/java/nettletrail/control/shard/VersionFetches.java
+++ b/control/src/main/java/nettletrail/control/shard/VersionFetches.java
@@ -39,7 +39,7 @@
     }
     boolean pendingElsewhere = !pendingPeer.isEmpty() && !pendingPeer.equals(peer);
     int rounds = pendingElsewhere ? ROUNDS_UNTIL_SLOW : 1;
-    return now - lastRequestedAt >= rounds * settings.confirm();
+    return now - lastRequestedAt >= rounds * settings.confirmationIntervalNanos();
   }
 
   /** A request is sent to the peer. */
--- a/control/src/main/java/nettletrail/control/shard/VersionTransfer.java
+++ b/control/src/main/java/nettletrail/control/shard/VersionTransfer.java
@@ -22,7 +22,7 @@
   private long resendInterval;
 
   VersionTransfer(ShardSettings settings) {
-    this.initialResendInterval = settings.resend();
+    this.initialResendInterval = settings.initialResendIntervalNanos();
     this.resendInterval = initialResendInterval;
   }
 
--- a/control/src/test/java/nettletrail/control/ControlFleet.java
+++ b/control/src/test/java/nettletrail/control/ControlFleet.java
@@ -135,12 +135,12 @@
       core.confirming = true;
       perform(
           core,
-          core.registry.configuration(
+          core.registry.configurationCommitted(
               configuration, configuration, ByteBuffer.wrap(new byte[] {1}), limits, now));
     }
     currentLimits = limits;
     for (SimulatedDoor door : doors.values()) {
-      door.control.grants().limits(limits);
+      door.control.grants().limitsChanged(limits);
     }
   }
 
--- a/control/src/test/java/nettletrail/control/QuotaTraffic.java
+++ b/control/src/test/java/nettletrail/control/QuotaTraffic.java
@@ -109,7 +109,7 @@
         return;
       }
       if (reportsQueue) {
-        fleet.door(door).control.grants().queued(tenant, queued(queue), fleet.now);
+        fleet.door(door).control.grants().queuedTokensChanged(tenant, queued(queue), fleet.now);
       }
       if (!fleet.door(door).take(tenant, first.tokens())) {
         return;
@@ -120,22 +120,22 @@
       used(door, first.tokens());
     }
     long hoarded = hoards.getOrDefault(door, 0L);
-    fleet.door(door).control.grants().queued(tenant, hoarded, fleet.now);
+    fleet.door(door).control.grants().queuedTokensChanged(tenant, hoarded, fleet.now);
   }
 
   /** The door requests this much, as for a queued request, and doesn't use it. */
   void hoard(int door, long tokens) {
     hoards.put(door, tokens);
-    if (fleet.door(door).control.grants().usable(tenant, fleet.now) < tokens) {
+    if (fleet.door(door).control.grants().usableTokens(tenant, fleet.now) < tokens) {
       fleet.door(door).take(tenant, tokens);
     }
-    fleet.door(door).control.grants().queued(tenant, tokens, fleet.now);
+    fleet.door(door).control.grants().queuedTokensChanged(tenant, tokens, fleet.now);
   }
 
   /** The door uses all its tokens at once. */
   void release(int door) {
     if (fleet.door(door).running) {
-      long usable = fleet.door(door).control.grants().usable(tenant, fleet.now);
+      long usable = fleet.door(door).control.grants().usableTokens(tenant, fleet.now);
       if (usable > 0 && fleet.door(door).take(tenant, usable)) {
         used(door, usable);
       }
--- a/control/src/test/java/nettletrail/control/RegistryScenarioTest.java
+++ b/control/src/test/java/nettletrail/control/RegistryScenarioTest.java
@@ -22,7 +22,7 @@
     fleet.run(2_000);
     for (int door = 0; door < 3; door++) {
       assertEquals(3, fleet.door(door).dialled.size());
-      assertTrue(fleet.door(door).control.coreReachable());
+      assertTrue(fleet.door(door).control.isCoreReachable());
       assertEquals(3, fleet.door(door).control.doorCount());
     }
   }
@@ -277,24 +277,24 @@
   @Test
   void committedConfigurationIsUsedOnceConfirmedAndKeysAreValidWhileConfirmed() {
     fleet.run(1_000);
-    assertFalse(fleet.door(0).control.keysValid(fleet.now));
+    assertFalse(fleet.door(0).control.areKeysValid(fleet.now));
     fleet.commit(3, Map.of());
     fleet.run(10);
     assertEquals(List.of(), fleet.door(0).configurations);
     fleet.run(150);
     assertEquals(List.of(3L), fleet.door(0).configurations);
     fleet.run(1_000);
-    assertTrue(fleet.door(0).control.keysValid(fleet.now));
+    assertTrue(fleet.door(0).control.areKeysValid(fleet.now));
     fleet.isolate("door-0");
     fleet.run(4_000);
-    assertTrue(fleet.door(0).control.keysValid(fleet.now));
+    assertTrue(fleet.door(0).control.areKeysValid(fleet.now));
     fleet.run(1_000);
-    assertFalse(fleet.door(0).control.keysValid(fleet.now));
+    assertFalse(fleet.door(0).control.areKeysValid(fleet.now));
     fleet.commit(4, Map.of());
     fleet.heal();
     fleet.run(1_000);
     assertEquals(List.of(3L, 4L), fleet.door(0).configurations);
-    assertTrue(fleet.door(0).control.keysValid(fleet.now));
+    assertTrue(fleet.door(0).control.areKeysValid(fleet.now));
     fleet.commit(5, Map.of());
     fleet.run(10);
     assertEquals(List.of(3L, 4L, 5L), fleet.door(0).configurations);
--- a/control/src/test/java/nettletrail/control/SimulatedDoor.java
+++ b/control/src/test/java/nettletrail/control/SimulatedDoor.java
@@ -44,7 +44,7 @@
                 ControlFleet.IN_FORCE_MS,
                 List.of(fleet.seedAddress())),
             fleet.now);
-    control.grants().limits(fleet.currentLimits());
+    control.grants().limitsChanged(fleet.currentLimits());
     fleet.schedule(fleet.firstTickDelay(), () -> tick(incarnation));
   }
 
@@ -59,7 +59,7 @@
 
   /** Takes quota tokens as the data plane does; requests more if there are too few. */
   boolean take(String tenant, long tokens) {
-    boolean taken = control.grants().take(tenant, tokens, fleet.now);
+    boolean taken = control.grants().tryAcquire(tenant, tokens, fleet.now);
     if (!taken) {
       fleet.perform(this, control.poll(fleet.now));
       schedulePoll();
--- a/control/src/test/java/nettletrail/control/StatusViewsTest.java
+++ b/control/src/test/java/nettletrail/control/StatusViewsTest.java
@@ -105,7 +105,7 @@
   void quotaIsShownForTenantsOfTheConfiguration() {
     Map<String, QuotaLimit> limits = Map.of("north", new QuotaLimit(100, 50));
     registry.tick(START);
-    registry.configuration(1, 1, ByteBuffer.allocate(0), limits, START);
+    registry.configurationCommitted(1, 1, ByteBuffer.allocate(0), limits, START);
     QuotaStatus quota = registry.quotaStatus("north", START + MILLIS).orElseThrow();
     assertEquals(new QuotaLimit(100, 50), quota.limit());
     assertEquals(0, quota.outstanding());
--- a/control/src/test/java/nettletrail/control/TestMessages.java
+++ b/control/src/test/java/nettletrail/control/TestMessages.java
@@ -14,11 +14,11 @@
 
   /** A complete configuration in one chunk; its edition is its sequence. */
   public static ConfigurationChunk configuration(long sequence) {
-    return piece(sequence, 1, 0, new byte[] {1});
+    return chunk(sequence, 1, 0, new byte[] {1});
   }
 
   /** A chunk of a configuration of {@code size} bytes; its edition is its sequence. */
-  public static ConfigurationChunk piece(long sequence, int size, int offset, byte[] content) {
+  public static ConfigurationChunk chunk(long sequence, int size, int offset, byte[] content) {
     return new ConfigurationChunk(sequence, sequence, size, offset, ByteBuffer.wrap(content));
   }
 
--- a/control/src/test/java/nettletrail/control/door/ConfigurationFollowerTest.java
+++ b/control/src/test/java/nettletrail/control/door/ConfigurationFollowerTest.java
@@ -93,7 +93,7 @@
   void anotherCoreProcessContinuesWhereTheSourceStopped() {
     String stopped = source();
     commit(2);
-    receive(stopped, TestMessages.piece(2, 3, 0, new byte[] {1, 2}));
+    receive(stopped, TestMessages.chunk(2, 3, 0, new byte[] {1, 2}));
     assertEquals(List.of(stopped + " 2+2"), fetches);
     advance(500);
     assertEquals(1, fetches.size());
@@ -101,7 +101,7 @@
     assertEquals(2, fetches.size());
     assertTrue(fetches.get(1).endsWith(" 2+2"));
     assertFalse(lastFetchAddress().equals(stopped));
-    receive(lastFetchAddress(), TestMessages.piece(2, 3, 2, new byte[] {3}));
+    receive(lastFetchAddress(), TestMessages.chunk(2, 3, 2, new byte[] {3}));
     assertEquals(List.of(1L, 2L), activated);
   }
 
@@ -110,7 +110,7 @@
     String slow = source();
     commit(2);
     for (int offset = 0; offset < 20; offset++) {
-      receive(slow, TestMessages.piece(2, 20, offset, new byte[] {1}));
+      receive(slow, TestMessages.chunk(2, 20, offset, new byte[] {1}));
       advance(500);
     }
     assertEquals(List.of(1L, 2L), activated);
@@ -129,13 +129,13 @@
   void chunksOutOfOrderRepeatedOrOfOlderSequencesAreDropped() {
     commit(3);
     String source = source();
-    receive(source, TestMessages.piece(3, 4, 2, new byte[] {9, 9}));
-    receive(source, TestMessages.piece(3, 4, 0, new byte[] {1, 2}));
-    receive(source, TestMessages.piece(3, 4, 0, new byte[] {1, 2}));
-    receive(source, TestMessages.piece(2, 1, 0, new byte[] {7}));
-    receive(source, TestMessages.piece(3, 4, 2, new byte[] {3, 4, 5}));
+    receive(source, TestMessages.chunk(3, 4, 2, new byte[] {9, 9}));
+    receive(source, TestMessages.chunk(3, 4, 0, new byte[] {1, 2}));
+    receive(source, TestMessages.chunk(3, 4, 0, new byte[] {1, 2}));
+    receive(source, TestMessages.chunk(2, 1, 0, new byte[] {7}));
+    receive(source, TestMessages.chunk(3, 4, 2, new byte[] {3, 4, 5}));
     assertEquals(List.of(1L), activated);
-    receive(source, TestMessages.piece(3, 4, 2, new byte[] {3, 4}));
+    receive(source, TestMessages.chunk(3, 4, 2, new byte[] {3, 4}));
     assertEquals(List.of(1L, 3L), activated);
   }
 
@@ -153,15 +153,15 @@
   @Test
   void routingStopsOnceANewerConfigurationMayBeActiveElsewhere() {
     commit(2);
-    assertTrue(door.routingIsCurrent(now));
+    assertTrue(door.isRoutingCurrent(now));
     advance(400);
     long announcedAt = now;
     advance(IN_FORCE_MS - 1_200);
-    assertTrue(door.routingIsCurrent(now));
+    assertTrue(door.isRoutingCurrent(now));
     now = announcedAt + IN_FORCE_MS * MILLIS;
-    assertFalse(door.routingIsCurrent(now));
+    assertFalse(door.isRoutingCurrent(now));
     receive(source(), TestMessages.configuration(2));
-    assertTrue(door.routingIsCurrent(now));
+    assertTrue(door.isRoutingCurrent(now));
   }
 
   @Test
@@ -169,7 +169,7 @@
     CORES.forEach(core -> perform(door.linkDown(core, now)));
     now += 30_000 * MILLIS;
     perform(door.tick(now));
-    assertTrue(door.routingIsCurrent(now));
+    assertTrue(door.isRoutingCurrent(now));
   }
 
   private void lose(String core) {
--- a/control/src/test/java/nettletrail/control/door/DoorControlFirstConfigurationTest.java
+++ b/control/src/test/java/nettletrail/control/door/DoorControlFirstConfigurationTest.java
@@ -85,7 +85,7 @@
   void pendingConfigurationIsActivatedThoughAllLinksAreDown() {
     receive(CORE, push(OLD));
     receive(CORE, confirmation(OLD, FRESH_MS));
-    door.configurationInForce(MILLIS, now);
+    door.configurationActivated(MILLIS, now);
     receive(CORE, push(NEW));
     assertEquals(List.of(OLD), activated);
     perform(door.linkDown(CORE, now));
--- a/control/src/test/java/nettletrail/control/door/DoorControlTest.java
+++ b/control/src/test/java/nettletrail/control/door/DoorControlTest.java
@@ -59,11 +59,11 @@
   void confirmationOfANewerSequenceCountsOnceThatIsReached() {
     receive(TestMessages.configuration(3L));
     receive(confirmation(5, 0, now));
-    assertFalse(control.keysValid(now));
+    assertFalse(control.areKeysValid(now));
     receive(TestMessages.configuration(4L));
-    assertFalse(control.keysValid(now));
+    assertFalse(control.areKeysValid(now));
     receive(TestMessages.configuration(5L));
-    assertTrue(control.keysValid(now));
+    assertTrue(control.areKeysValid(now));
   }
 
   @Test
@@ -73,7 +73,7 @@
     now += 4_000 * MILLIS;
     receive(confirmation(4, 0, now));
     now += 1_000 * MILLIS;
-    assertFalse(control.keysValid(now));
+    assertFalse(control.areKeysValid(now));
   }
 
   @Test
@@ -83,9 +83,9 @@
     now += 300 * MILLIS;
     receive(confirmation(3, 2_000, sentAt));
     now = sentAt + (REVOKE_MS - 2_000 - 200) * MILLIS;
-    assertTrue(control.keysValid(now));
+    assertTrue(control.areKeysValid(now));
     now += 200 * MILLIS;
-    assertFalse(control.keysValid(now));
+    assertFalse(control.areKeysValid(now));
   }
 
   private DoorHeartbeatReply confirmation(long sequence, long ageMs, long sentAt) {
--- a/control/src/test/java/nettletrail/control/door/GrantClientTest.java
+++ b/control/src/test/java/nettletrail/control/door/GrantClientTest.java
@@ -38,19 +38,19 @@
   private long now = 5_000 * MILLIS;
 
   GrantClientTest() {
-    client.limits(Map.of(TENANT, new QuotaLimit(100, 100)));
+    client.limitsChanged(Map.of(TENANT, new QuotaLimit(100, 100)));
   }
 
   @Test
   void ownerIsAskedAtOnceForAWholeRequestWhenTokensAreMissing() {
-    assertFalse(client.take(TENANT, 90_000, now));
+    assertFalse(client.tryAcquire(TENANT, 90_000, now));
     GrantRequest request = poll();
     assertEquals(90_000, request.getTenants().get(0).getWantedTokens());
     assertEquals(90_000, request.getTenants().get(0).getMinTokens());
     reply(request, 1, 90_000);
-    assertEquals(List.of(TENANT), client.takeGrownTenants());
-    assertTrue(client.take(TENANT, 90_000, now));
-    assertFalse(client.take(TENANT, 1, now));
+    assertEquals(List.of(TENANT), client.drainReplenishedTenants());
+    assertTrue(client.tryAcquire(TENANT, 90_000, now));
+    assertFalse(client.tryAcquire(TENANT, 1, now));
   }
 
   @Test
@@ -59,9 +59,9 @@
     advance(290);
     reply(request, 1, 100);
     advance(700);
-    assertEquals(100, client.usable(TENANT, now));
+    assertEquals(100, client.usableTokens(TENANT, now));
     advance(10);
-    assertEquals(0, client.usable(TENANT, now));
+    assertEquals(0, client.usableTokens(TENANT, now));
   }
 
   @Test
@@ -70,25 +70,25 @@
     advance(350);
     GrantRequest second = poll();
     reply(request, 1, 100);
-    assertEquals(0, client.usable(TENANT, now));
+    assertEquals(0, client.usableTokens(TENANT, now));
     reply(second, 1, 100);
-    assertEquals(100, client.usable(TENANT, now));
+    assertEquals(100, client.usableTokens(TENANT, now));
   }
 
   @Test
   void useDuringARequestIsDeductedFromItsGrant() {
     reply(requestFor(100), 1, 100);
     GrantRequest renewal = requestFor(1_000);
-    assertTrue(client.take(TENANT, 40, now));
+    assertTrue(client.tryAcquire(TENANT, 40, now));
     reply(renewal, 1, 100);
-    assertEquals(60, client.usable(TENANT, now));
+    assertEquals(60, client.usableTokens(TENANT, now));
   }
 
   @Test
   void replyWithAnOlderFencingTokenIsDropped() {
     reply(requestFor(100), 7, 50);
     reply(requestFor(1_000), 6, 1_000);
-    assertEquals(50, client.usable(TENANT, now));
+    assertEquals(50, client.usableTokens(TENANT, now));
     assertEquals(1, denials);
   }
 
@@ -97,24 +97,24 @@
     reply(requestFor(100), 1, 80);
     advance(500);
     reply(requestFor(1_000), 2, 10);
-    assertEquals(80, client.usable(TENANT, now));
-    assertTrue(client.take(TENANT, 75, now));
-    assertEquals(5, client.usable(TENANT, now));
+    assertEquals(80, client.usableTokens(TENANT, now));
+    assertTrue(client.tryAcquire(TENANT, 75, now));
+    assertEquals(5, client.usableTokens(TENANT, now));
     advance(501);
-    assertEquals(0, client.usable(TENANT, now));
+    assertEquals(0, client.usableTokens(TENANT, now));
   }
 
   @Test
   void refundedTokensAreUsableUnlessReportedAsUsed() {
     reply(requestFor(100), 1, 100);
-    assertTrue(client.take(TENANT, 100, now));
+    assertTrue(client.tryAcquire(TENANT, 100, now));
     client.refund(TENANT, 100);
-    assertTrue(client.take(TENANT, 100, now));
+    assertTrue(client.tryAcquire(TENANT, 100, now));
     GrantRequest renewal = requestFor(50);
     client.refund(TENANT, 100);
-    assertEquals(0, client.usable(TENANT, now), "they were reported to the owner as used");
+    assertEquals(0, client.usableTokens(TENANT, now), "they were reported to the owner as used");
     reply(renewal, 1, 0);
-    assertEquals(0, client.usable(TENANT, now));
+    assertEquals(0, client.usableTokens(TENANT, now));
   }
 
   @Test
@@ -122,34 +122,34 @@
     reply(requestFor(100), 1, 100);
     advance(350);
     GrantRequest request = requestFor(100);
-    assertTrue(client.take(TENANT, 40, now));
+    assertTrue(client.tryAcquire(TENANT, 40, now));
     reply(request, 2, 10);
     client.refund(TENANT, 40);
-    assertEquals(60, client.usable(TENANT, now));
+    assertEquals(60, client.usableTokens(TENANT, now));
     advance(401);
-    assertEquals(10, client.usable(TENANT, now));
+    assertEquals(10, client.usableTokens(TENANT, now));
   }
 
   @Test
   void replyToAFormerIncarnationIsDropped() {
     client = new GrantClient("door", 1_000_000, owners);
-    client.limits(Map.of(TENANT, new QuotaLimit(100, 100)));
+    client.limitsChanged(Map.of(TENANT, new QuotaLimit(100, 100)));
     GrantRequest formerRequest = requestFor(100);
     client = new GrantClient("door", 2_000_000, owners);
-    client.limits(Map.of(TENANT, new QuotaLimit(100, 100)));
+    client.limitsChanged(Map.of(TENANT, new QuotaLimit(100, 100)));
     GrantRequest request = requestFor(50);
     reply(formerRequest, 1, 100);
-    assertEquals(0, client.usable(TENANT, now));
+    assertEquals(0, client.usableTokens(TENANT, now));
     reply(request, 1, 50);
-    assertEquals(50, client.usable(TENANT, now));
+    assertEquals(50, client.usableTokens(TENANT, now));
   }
 
   @Test
   void tokensAreRequestedAheadOfSteadyDemand() {
     reply(requestFor(10_000), 1, 10_000);
-    client.queued(TENANT, 0, now);
+    client.queuedTokensChanged(TENANT, 0, now);
     for (int step = 0; step < 20; step++) {
-      assertTrue(client.take(TENANT, 100, now));
+      assertTrue(client.tryAcquire(TENANT, 100, now));
       advance(50);
     }
     GrantRequest request = nextRequest();
@@ -159,14 +159,14 @@
 
   @Test
   void unknownAndUnlimitedTenantsAlwaysGetTokens() {
-    client.limits(Map.of(TENANT, QuotaLimit.NONE));
-    assertTrue(client.take(TENANT, Long.MAX_VALUE / 8, now));
-    assertTrue(client.take("other", 5, now));
+    client.limitsChanged(Map.of(TENANT, QuotaLimit.NONE));
+    assertTrue(client.tryAcquire(TENANT, Long.MAX_VALUE / 8, now));
+    assertTrue(client.tryAcquire("other", 5, now));
     assertTrue(client.poll(now).isEmpty());
   }
 
   private GrantRequest requestFor(long tokens) {
-    client.queued(TENANT, tokens, now);
+    client.queuedTokensChanged(TENANT, tokens, now);
     return nextRequest();
   }
 
--- a/control/src/test/java/nettletrail/control/host/CoreHostTest.java
+++ b/control/src/test/java/nettletrail/control/host/CoreHostTest.java
@@ -223,7 +223,7 @@
     assertFalse(shards.owns(0, clock.get()));
   }
 
-  private final class RecordedLinks implements CoreLinks {
+  private final class RecordedLinks implements CoreHostLinks {
     @Override
     public void sendToCore(String address, SpecificRecord message, long validUntil) {
       events.add("send " + address);
--- a/control/src/test/java/nettletrail/control/host/DoorHostTest.java
+++ b/control/src/test/java/nettletrail/control/host/DoorHostTest.java
@@ -82,7 +82,7 @@
         events);
   }
 
-  private final class RecordedLinks implements DoorLinks {
+  private final class RecordedLinks implements DoorHostLinks {
     @Override
     public void dial(String address) {
       events.add("dial " + address);
--- a/control/src/test/java/nettletrail/control/shard/AcceptorTest.java
+++ b/control/src/test/java/nettletrail/control/shard/AcceptorTest.java
@@ -30,7 +30,7 @@
   private static final Member SELF = new Member("a:1#0", "a:1");
   private static final Member OWNER = new Member("b:1#0", "b:1");
   private static final Member CANDIDATE = new Member("c:1#0", "c:1");
-  private static final long LEASE = SETTINGS.lease();
+  private static final long LEASE = SETTINGS.leaseNanos();
 
   private final ActionQueue actionQueue = new ActionQueue(SELF.getAddress());
 
@@ -68,7 +68,7 @@
   private long onlyStored() {
     List<CoreAction> actions = actionQueue.drain();
     assertEquals(1, actions.size(), actions.toString());
-    return SimulatedDisk.ticket(actions.get(0));
+    return SimulatedStorage.ticket(actions.get(0));
   }
 
   @Test
--- a/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CatchUpTest.java
@@ -41,7 +41,7 @@
    */
   private static final class SteadyChanges {
     private final SimulatedCluster cluster;
-    private final OperatorClient operator;
+    private final SimulatedOperatorClient operator;
     private final SimulatedCore core;
     private final int changes;
     private long edition;
@@ -49,7 +49,7 @@
 
     SteadyChanges(SimulatedCluster cluster, SimulatedCore core, int changes) {
       this.cluster = cluster;
-      this.operator = new OperatorClient(cluster);
+      this.operator = new SimulatedOperatorClient(cluster);
       this.core = core;
       this.changes = changes;
     }
@@ -102,8 +102,8 @@
 
   @Test
   void givenSlowLink_whenLargeDocumentsChangeContinuously_thenNoVersionQueuesBehindAnother() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(31, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(31, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore slow = operator.followers().get(0);
     limitLinksTo(cluster, slow);
@@ -123,8 +123,8 @@
   }
 
   private static long bytesOfCatchUp(int changeCount) {
-    SimulatedCluster cluster = OperatorClient.startedCluster(32, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(32, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore away = operator.followers().get(0);
     away.crash();
@@ -141,8 +141,8 @@
 
   @Test
   void givenFullDiskDuringAllChanges_whenItHasSpaceAgain_thenTheReplicaStoresTheNewestVersion() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(33, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(33, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore full = operator.followers().get(0);
     full.storageFails = true;
@@ -157,8 +157,8 @@
 
   @Test
   void givenStaleReplicaAsOnlyCandidate_whenItWins_thenItOwnsTheNewestVersion() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(35, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(35, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore stale = operator.followers().get(0);
     stale.crash();
--- a/control/src/test/java/nettletrail/control/shard/CoreShardsTest.java
+++ b/control/src/test/java/nettletrail/control/shard/CoreShardsTest.java
@@ -30,7 +30,7 @@
 
   private static int call(
       SimulatedCluster cluster, int core, String method, String ifMatch, String body) {
-    return new OperatorClient(cluster).call(cluster.core(core), method, ifMatch, body);
+    return new SimulatedOperatorClient(cluster).call(cluster.core(core), method, ifMatch, body);
   }
 
   private static int put(SimulatedCluster cluster, int core, String ifMatch, String body) {
@@ -38,11 +38,11 @@
   }
 
   private static String read(SimulatedCluster cluster, int core) {
-    return new OperatorClient(cluster).read(cluster.core(core));
+    return new SimulatedOperatorClient(cluster).read(cluster.core(core));
   }
 
   private static SimulatedCluster startedCluster(long seed) {
-    return OperatorClient.startedCluster(seed, 3);
+    return SimulatedOperatorClient.startedCluster(seed, 3);
   }
 
   private static int indexOf(SimulatedCluster cluster, SimulatedCore core) {
--- a/control/src/test/java/nettletrail/control/shard/ExploredShard.java
+++ b/control/src/test/java/nettletrail/control/shard/ExploredShard.java
@@ -48,12 +48,12 @@
   private final List<Member> members = new ArrayList<>();
   private final ShardReplica[] replicas = new ShardReplica[REPLICAS];
   private final ActionQueue[] actionQueues = new ActionQueue[REPLICAS];
-  private final SimulatedDisk[] disks = new SimulatedDisk[REPLICAS];
+  private final SimulatedStorage[] disks = new SimulatedStorage[REPLICAS];
   private final int[] incarnations = new int[REPLICAS];
   private final boolean[] wrote = new boolean[REPLICAS];
   private final List<Pending> pending = new ArrayList<>();
   private final Map<Long, String> committed = new TreeMap<>();
-  private long now = SETTINGS.lease();
+  private long now = SETTINGS.leaseNanos();
 
   /** In each period, an election and the writes after it, one replica may be partitioned. */
   ExploredShard(ChoiceSequence choices, List<Integer> partitionedByPeriod) {
@@ -65,7 +65,7 @@
     ShardVersion initial =
         new ShardVersion(ProposalNumbers.ZERO, 0L, members, ByteBuffer.allocate(0));
     for (int index = 0; index < REPLICAS; index++) {
-      disks[index] = new SimulatedDisk();
+      disks[index] = new SimulatedStorage();
       disks[index].apply(new CoreAction.StoreVersion(0, SHARD, initial));
       start(index, now);
     }
@@ -100,7 +100,7 @@
   }
 
   private void passTime() {
-    now += 2 * SETTINGS.lease();
+    now += 2 * SETTINGS.leaseNanos();
     for (int index = 0; index < REPLICAS; index++) {
       wrote[index] = false;
       replicas[index].tick(now);
@@ -130,13 +130,13 @@
   private void lose(Pending lost) {
     if (lost.storage() != null && incarnations[lost.to()] == lost.incarnation()) {
       replicas[lost.to()].onStored(
-          SimulatedDisk.ticket(lost.storage()), StoreOutcome.failed("lost"));
+          SimulatedStorage.ticket(lost.storage()), StoreOutcome.failed("lost"));
       afterEvent(lost.to());
     }
   }
 
   private void crash(int index) {
-    start(index, now + SETTINGS.lease());
+    start(index, now + SETTINGS.leaseNanos());
     wrote[index] = true;
   }
 
@@ -145,7 +145,7 @@
     if (next.storage() != null) {
       if (incarnations[index] == next.incarnation()) {
         disks[index].apply(next.storage());
-        replicas[index].onStored(SimulatedDisk.ticket(next.storage()), StoreOutcome.STORED);
+        replicas[index].onStored(SimulatedStorage.ticket(next.storage()), StoreOutcome.STORED);
       }
     } else if (carries(next.from(), index)) {
       receive(members.get(next.from()), replicas[index], next.message());
--- a/control/src/test/java/nettletrail/control/shard/OperatorRequestOutcomeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorRequestOutcomeTest.java
@@ -30,8 +30,8 @@
   void givenWriteOfAFormerOwner_whenItLearnsTheNextOwnersVersion_thenItIsNotAcknowledged() {
     int cases = 0;
     for (long seed = 1; seed <= 40; seed++) {
-      SimulatedCluster cluster = OperatorClient.startedCluster(seed, 3);
-      OperatorClient operator = new OperatorClient(cluster);
+      SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(seed, 3);
+      SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
       SimulatedCore former = operator.awaitOwner();
       SimulatedCore follower = operator.followers().get(0);
       assertEquals(200, operator.put(follower, 0, "3 first"));
@@ -56,7 +56,8 @@
   /**
    * Applies that many changes after edition 3, each at another machine; returns the last edition.
    */
-  private static long applyChanges(SimulatedCluster cluster, OperatorClient operator, int orders) {
+  private static long applyChanges(
+      SimulatedCluster cluster, SimulatedOperatorClient operator, int orders) {
     for (long edition = 4; edition < 4 + orders; edition++) {
       SimulatedCore core = cluster.core((int) (edition % cluster.cores().size()));
       assertEquals(200, operator.put(core, edition - 1, edition + " later"));
@@ -66,8 +67,8 @@
 
   @Test
   void givenHundredsOfLaterChanges_whenRequestsAreRetried_thenOnlyTheWinnerIsAcknowledged() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(21, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(21, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     assertEquals(200, operator.put(cluster.core(0), 0, "3 winner"));
     assertEquals(412, operator.put(cluster.core(1), 0, "3 loser"));
     long last = applyChanges(cluster, operator, 600);
@@ -84,8 +85,8 @@
 
   @Test
   void givenTwoOperatorsSendTheSameChange_whenConcurrent_thenBothAreAcknowledgedForOneChange() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(22, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(22, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     AtomicReference<CoreAction.AnswerOperator> one =
         operator.send(cluster.core(0), "PUT", "0", "3 a");
     AtomicReference<CoreAction.AnswerOperator> two =
@@ -99,8 +100,8 @@
 
   @Test
   void givenPatchAndPutOfTheSameDocument_whenOneIsApplied_thenTheOtherIsRejected() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(23, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(23, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     assertEquals(200, operator.put(cluster.core(0), 0, "3 first"));
     assertEquals(200, operator.patch(cluster.core(1), 3, "4 more"));
     assertEquals(412, operator.put(cluster.core(2), 3, "4 first more"));
@@ -111,8 +112,8 @@
 
   @Test
   void givenRetryThatOvertakesTheFirstAttempt_whenBothArrive_thenTheChangeIsAppliedOnce() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(24, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(24, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore slow = operator.followers().get(0);
     SimulatedCore fast = operator.followers().get(1);
@@ -127,8 +128,8 @@
 
   @Test
   void givenOwnerCrashBetweenCommitAndAnswer_whenTheChangeIsRetried_thenItIsAcknowledged() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(25, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(25, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     SimulatedCore other = operator.followers().get(0);
     cluster.lose(message -> message instanceof OrderForwardReply);
@@ -147,8 +148,8 @@
 
   @Test
   void givenAnswersLostRepeatedly_whenOneArrives_thenTheChangeWasAppliedOnce() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(26, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(26, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     List<SimulatedCore> followers = operator.followers();
     cluster.lose(message -> message instanceof OrderForwardReply);
     for (int repeat = 0; repeat < 10; repeat++) {
@@ -161,8 +162,8 @@
 
   @Test
   void givenRequestsQueuedBehindAWrite_whenItCommits_thenEachIsEvaluatedAfterIt() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(27, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(27, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     SimulatedCore owner = operator.awaitOwner();
     List<AtomicReference<CoreAction.AnswerOperator>> answers = new ArrayList<>();
     answers.add(operator.send(owner, "PUT", "0", "3 first"));
@@ -181,8 +182,8 @@
 
   @Test
   void givenEightLargeConcurrentChanges_whenRepeatedAHundredTimes_thenOneIsAppliedEachTime() {
-    SimulatedCluster cluster = OperatorClient.startedCluster(28, 3);
-    OperatorClient operator = new OperatorClient(cluster);
+    SimulatedCluster cluster = SimulatedOperatorClient.startedCluster(28, 3);
+    SimulatedOperatorClient operator = new SimulatedOperatorClient(cluster);
     String text = "x".repeat(100_000);
     for (long edition = 1; edition <= 100; edition++) {
       List<AtomicReference<CoreAction.AnswerOperator>> answers = new ArrayList<>();
--- a/control/src/test/java/nettletrail/control/shard/OperatorRequestRouterTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OperatorRequestRouterTest.java
@@ -60,7 +60,7 @@
   @Test
   void givenCallThatTimedOut_whenItsAnswerArrives_thenTheAnswerIsIgnored() {
     long number = forward(1, OWNER);
-    router.tick(OWNER, settings.requestTimeout());
+    router.tick(OWNER, settings.requestTimeoutNanos());
     assertEquals(503, answers().get(0).status());
     long next = forward(2, OWNER);
     router.onReply(OWNER, OperatorResponses.applied(number, EDITION), CoreAction.ALWAYS);
--- a/control/src/test/java/nettletrail/control/shard/OwnerFencingTest.java
+++ b/control/src/test/java/nettletrail/control/shard/OwnerFencingTest.java
@@ -80,12 +80,12 @@
   void givenExpiredLease_whenRequestsArrive_thenNoneIsRejectedAppliedOrRead() {
     ScriptedOwner owner = ownerWithFirstConfiguration();
     owner.connected = false;
-    owner.pass(ShardSettings.defaults().lease());
+    owner.pass(ShardSettings.defaults().leaseNanos());
     long read = owner.get();
     long stale = owner.put(2, "5 on another edition");
     long invalid = owner.put(3, "1 not above");
     long valid = owner.put(3, "5 next");
-    owner.pass(ShardSettings.defaults().requestTimeout());
+    owner.pass(ShardSettings.defaults().requestTimeoutNanos());
     for (long call : List.of(read, stale, invalid, valid)) {
       assertEquals(UNAVAILABLE, owner.status(call));
     }
@@ -98,7 +98,7 @@
     long call = process.get();
     CoreAction.Send forwarded = process.sent.get(process.sent.size() - 1);
     OrderForward change = assertInstanceOf(OrderForward.class, forwarded.message());
-    process.now += ShardSettings.defaults().requestTimeout();
+    process.now += ShardSettings.defaults().requestTimeoutNanos();
     process.receive(
         ScriptedOwner.PEER,
         OperatorResponses.rejected(change.getCall(), PRECONDITION_FAILED, 3, "another edition"));
--- a/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
+++ b/control/src/test/java/nettletrail/control/shard/RepairTimeTest.java
@@ -240,7 +240,7 @@
   void givenFirstStartOfFive_whenTheFirstChangeIsAcknowledged_thenTwoLostDisksDoNotLoseIt() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       SimulatedCluster cluster =
-          SimulatedCluster.started(seed, 5, ShardSettings.defaults().withstanding(2));
+          SimulatedCluster.started(seed, 5, ShardSettings.defaults().tolerating(2));
       cluster.runUntil(cluster::allRun, TIMEOUT);
       sendUntilAcknowledged(cluster);
       for (SimulatedCore seedMachine : List.of(cluster.core(0), cluster.core(1))) {
@@ -258,7 +258,7 @@
   @Test
   void givenFewerMachinesThanAFullGroup_whenTheFirstChangeIsSent_thenItIsAcknowledgedSoon() {
     SimulatedCluster cluster =
-        SimulatedCluster.started(1, 3, ShardSettings.defaults().withstanding(2));
+        SimulatedCluster.started(1, 3, ShardSettings.defaults().tolerating(2));
     cluster.runUntil(cluster::allRun, TIMEOUT);
     sendUntilAcknowledged(cluster);
     assertTrue(cluster.now() < millis(4_000), "after " + cluster.now() / millis(1));
--- a/control/src/test/java/nettletrail/control/shard/SimulatedCore.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedCore.java
@@ -19,7 +19,7 @@
 
   final String address;
   final SimulatedClock clock;
-  SimulatedDisk disk = new SimulatedDisk();
+  SimulatedStorage disk = new SimulatedStorage();
   CoreShards shards;
 
   /** The committed configuration that the process announced last. */
@@ -97,7 +97,7 @@
   }
 
   void loseDisk() {
-    disk = new SimulatedDisk();
+    disk = new SimulatedStorage();
   }
 
   void receive(String from, SpecificRecord message) {
@@ -191,7 +191,7 @@
       disk.apply(action);
     }
     StoreOutcome outcome = storageFails ? StoreOutcome.failed("disk full") : StoreOutcome.STORED;
-    whenRunning(now -> shards.stored(SimulatedDisk.ticket(action), outcome, now));
+    whenRunning(now -> shards.stored(SimulatedStorage.ticket(action), outcome, now));
     storeNext();
   }
 }
--- a/control/src/test/java/nettletrail/control/shard/OperatorClient.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedOperatorClient.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /** Sends operators' calls to the machines of a {@link SimulatedCluster}. */
-final class OperatorClient {
+final class SimulatedOperatorClient {
 
   /** Longer than the core takes to answer any call. */
   private static final long CALL_TIMEOUT = millis(1_500);
 
   private final SimulatedCluster cluster;
 
-  OperatorClient(SimulatedCluster cluster) {
+  SimulatedOperatorClient(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
--- a/control/src/test/java/nettletrail/control/shard/SimulatedDisk.java
+++ b/control/src/test/java/nettletrail/control/shard/SimulatedStorage.java
@@ -7,7 +7,7 @@
 import nettletrail.store.StoredShard;
 
 /** The durable state of one machine. */
-final class SimulatedDisk {
+final class SimulatedStorage {
 
   Member identity;
   private final Map<Integer, StoredShard> shards = new HashMap<>();
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/BackendActor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/BackendActor.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 import nettletrail.emulator.host.ControlRequest;
 import nettletrail.emulator.host.ControlResponse;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
@@ -39,7 +39,7 @@
   private static final int SLOTS = 32;
   private static final int MAX_DELETE_ATTEMPTS = 5;
 
-  private final Machine.Incarnation incarnation;
+  private final SimulatedMachine.Incarnation incarnation;
   private final Identity identity;
   private final Schedule schedule;
   private final Supplier<List<String>> addresses;
@@ -77,7 +77,7 @@
    */
   public BackendActor(
       Simulation simulation,
-      Machine machine,
+      SimulatedMachine machine,
       Identity identity,
       Schedule schedule,
       Supplier<List<String>> addresses,
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/ControlCaller.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/ControlCaller.java
@@ -4,9 +4,9 @@
 import nettletrail.emulator.host.ControlRequest;
 import nettletrail.emulator.host.ControlResponse;
 import nettletrail.emulator.simulation.Connection;
-import nettletrail.emulator.simulation.Machine;
 import nettletrail.emulator.simulation.Network;
 import nettletrail.emulator.simulation.Payload;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.VirtualTime;
 
 /** Makes calls to core processes, each on a connection of its own. */
@@ -14,13 +14,13 @@
   private static final long CONNECT_TIMEOUT = VirtualTime.SECOND;
 
   private final Network network;
-  private final Machine.Incarnation incarnation;
+  private final SimulatedMachine.Incarnation incarnation;
   private final long timeout;
 
   /**
    * @param timeout the response timeout, in nanoseconds
    */
-  ControlCaller(Network network, Machine.Incarnation incarnation, long timeout) {
+  ControlCaller(Network network, SimulatedMachine.Incarnation incarnation, long timeout) {
     this.network = network;
     this.incarnation = incarnation;
     this.timeout = timeout;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/DoorTraffic.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/DoorTraffic.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
-import nettletrail.emulator.host.DoorProcess;
+import nettletrail.emulator.host.EmulatedDoorProcess;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.BackendState;
@@ -17,7 +17,7 @@
 public final class DoorTraffic {
   private static final long PERIOD = 20 * VirtualTime.MILLISECOND;
 
-  private final DoorProcess door;
+  private final EmulatedDoorProcess door;
   private final BooleanSupplier stable;
   private final ClientObserver observer;
   private final SplittableRandom random;
@@ -34,7 +34,7 @@
    * @param tokensPerRequest the mean size of a request
    */
   public DoorTraffic(
-      DoorProcess door,
+      EmulatedDoorProcess door,
       BooleanSupplier stable,
       ClientObserver observer,
       SplittableRandom random,
--- a/fleet-emulator/src/main/java/nettletrail/emulator/actors/OperatorActor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/actors/OperatorActor.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 import nettletrail.emulator.host.ControlRequest;
 import nettletrail.emulator.host.ControlResponse;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 
@@ -22,7 +22,7 @@
   private static final int NO_RESPONSE = 0;
 
   private final VirtualTime time;
-  private final Machine.Incarnation incarnation;
+  private final SimulatedMachine.Incarnation incarnation;
   private final Supplier<List<String>> addresses;
   private final ChangeRequests changes;
   private final ClientObserver observer;
@@ -36,7 +36,7 @@
    */
   public OperatorActor(
       Simulation simulation,
-      Machine machine,
+      SimulatedMachine machine,
       Supplier<List<String>> addresses,
       ChangeRequests changes,
       ClientObserver observer) {
@@ -155,7 +155,7 @@
     }
 
     private void requireRetryable(int status) {
-      if (ControlResponse.refusesForGood(status)) {
+      if (ControlResponse.isPermanentRejection(status)) {
         throw new IllegalStateException("valid change answered with " + status + ": " + document);
       }
     }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CapacityOperator.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/CapacityOperator.java
@@ -16,7 +16,7 @@
   private final VirtualTime time;
   private final List<MeasuredCore> cores;
   private final CompiledConfigurations configurations;
-  private final Demand demand;
+  private final ControlDemand demand;
   private final int tenants;
   private final Map<Long, Long> editionOfCall = new HashMap<>();
   private long lastCall;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ChoiceCost.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ChoiceCost.java
@@ -66,14 +66,14 @@
           new BackendChoice(
               new PromptPrefix(key, PROMPT_TOKENS / 2), PROMPT_TOKENS, PROMPT_TOKENS, List.of());
       BackendLoad chosen = service.choose(choice, ENGINE, FleetPlan.TARGET.doors(), now);
-      chosen.sent(PROMPT_TOKENS, PROMPT_TOKENS, PROMPT_TOKENS, now);
-      chosen.heard(now);
+      chosen.requestSent(PROMPT_TOKENS, PROMPT_TOKENS, PROMPT_TOKENS, now);
+      chosen.bytesReceived(now);
       open.add(chosen);
       if (open.size() > OUTSTANDING) {
         BackendLoad over = open.remove(0);
-        over.prefilled(PROMPT_TOKENS, PROMPT_TOKENS);
-        over.over(PROMPT_TOKENS);
-        over.heard(now);
+        over.prefillCompleted(PROMPT_TOKENS, PROMPT_TOKENS);
+        over.requestEnded(PROMPT_TOKENS);
+        over.bytesReceived(now);
       }
     }
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/Demand.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/ControlDemand.java
@@ -5,7 +5,7 @@
 /**
  * Who asks for what: tenants by Zipf's law with exponent 1, requests of exponentially spread size.
  */
-public final class Demand {
+public final class ControlDemand {
   private static final double NANOS_PER_SECOND = 1e9;
 
   /** Tokens of a request, prompt and answer, on the mean. */
@@ -18,7 +18,7 @@
   private final double requestsPerSecond;
 
   /** {@code requestsPerSecond}: of all tenants together. */
-  public Demand(int tenants, double requestsPerSecond) {
+  public ControlDemand(int tenants, double requestsPerSecond) {
     this.requestsPerSecond = requestsPerSecond;
     cumulative = new double[tenants];
     double sum = 0;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetParts.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/FleetParts.java
@@ -8,6 +8,6 @@
     VirtualTime time,
     MeasuredNetwork network,
     CompiledConfigurations configurations,
-    Demand demand,
+    ControlDemand demand,
     RequestCounts counts,
     List<String> seeds) {}
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredCore.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredCore.java
@@ -18,7 +18,7 @@
 import nettletrail.control.host.ConfigurationReader;
 import nettletrail.control.host.CoreCallers;
 import nettletrail.control.host.CoreHost;
-import nettletrail.control.host.CoreLinks;
+import nettletrail.control.host.CoreHostLinks;
 import nettletrail.control.host.CoreStorage;
 import nettletrail.control.host.QuotaLimits;
 import nettletrail.control.host.ShardLeases;
@@ -222,7 +222,7 @@
   }
 
   /** Links to the seeds, which are the members throughout a measurement. */
-  private final class MeasuredLinks implements CoreLinks {
+  private final class MeasuredLinks implements CoreHostLinks {
     /** Sends also what is not valid any more: no time passes between a decision and its sending. */
     @Override
     public void sendToCore(String peer, SpecificRecord message, long validUntil) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredDoor.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredDoor.java
@@ -9,7 +9,7 @@
 import nettletrail.control.door.DoorControlSettings;
 import nettletrail.control.host.DoorDataPlane;
 import nettletrail.control.host.DoorHost;
-import nettletrail.control.host.DoorLinks;
+import nettletrail.control.host.DoorHostLinks;
 import nettletrail.emulator.simulation.VirtualTime;
 import org.apache.avro.specific.SpecificRecord;
 
@@ -76,7 +76,7 @@
   /** Lets the door have served every tenant once, as after some days of service. */
   void age(int tenants) {
     for (int tenant = 0; tenant < tenants; tenant++) {
-      control.grants().usable(FleetNames.tenant(tenant), time.now());
+      control.grants().usableTokens(FleetNames.tenant(tenant), time.now());
     }
   }
 
@@ -144,7 +144,7 @@
     return dialled;
   }
 
-  private final class MeasuredLinks implements DoorLinks {
+  private final class MeasuredLinks implements DoorHostLinks {
     @Override
     public void dial(String address) {
       dialled.add(address);
@@ -173,7 +173,7 @@
     public void activate(ConfigurationChanged changed) {
       CompiledConfigurations.Compiled compiled = configurations.of(changed);
       process.charge(compiled.cpuNs());
-      control.grants().limits(compiled.limits());
+      control.grants().limitsChanged(compiled.limits());
       configurations.inForce(name, changed.edition(), time.now());
     }
 
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/MeasuredFleet.java
@@ -41,7 +41,7 @@
   MeasuredFleet(FleetPlan plan, long seed) {
     this.plan = plan;
     SplittableRandom random = new SplittableRandom(seed);
-    Demand demand = new Demand(plan.tenants(), plan.requestsPerSecond());
+    ControlDemand demand = new ControlDemand(plan.tenants(), plan.requestsPerSecond());
     List<String> seeds =
         IntStream.range(0, FleetPlan.CORE_PROCESSES).mapToObj(FleetNames::coreAddress).toList();
     FleetParts parts = new FleetParts(time, network, configurations, demand, counts, seeds);
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SimulatedRequests.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/SimulatedRequests.java
@@ -17,7 +17,7 @@
   /** A request that got no quota for so long is refused. */
   private static final long LONGEST_WAIT = 1_700_000_000L;
 
-  private final Demand demand;
+  private final ControlDemand demand;
   private final double perSecond;
   private final SplittableRandom random;
   private final RequestCounts counts;
@@ -30,7 +30,7 @@
    * {@code perSecond}: requests of this door; {@code counts} is shared by the doors of one thread.
    */
   public SimulatedRequests(
-      Demand demand, double perSecond, SplittableRandom random, RequestCounts counts) {
+      ControlDemand demand, double perSecond, SplittableRandom random, RequestCounts counts) {
     this.demand = demand;
     this.perSecond = perSecond;
     this.random = random;
@@ -39,7 +39,7 @@
 
   /** Nanoseconds until the next request. */
   public long gap() {
-    return Demand.gap(random, perSecond);
+    return ControlDemand.gap(random, perSecond);
   }
 
   /** A request comes; returns what the control plane does about it. */
@@ -48,9 +48,9 @@
       return List.of();
     }
     String tenant = FleetNames.tenant(demand.tenant(random));
-    long tokens = Demand.tokens(random);
+    long tokens = ControlDemand.tokens(random);
     counts.asked();
-    if (control.grants().take(tenant, tokens, now)) {
+    if (control.grants().tryAcquire(tenant, tokens, now)) {
       counts.letIn(0);
       return List.of();
     }
@@ -61,10 +61,10 @@
 
   /** Lets in what waits for tenants of which there is more to take. */
   public void retryGrown(DoorControl control, long now) {
-    for (String tenant : control.grants().takeGrownTenants()) {
+    for (String tenant : control.grants().drainReplenishedTenants()) {
       Deque<Waiting> queue = waiting.get(tenant);
       while (queue != null && !queue.isEmpty()) {
-        if (!control.grants().take(tenant, queue.peek().tokens(), now)) {
+        if (!control.grants().tryAcquire(tenant, queue.peek().tokens(), now)) {
           break;
         }
         counts.letIn(now - queue.poll().since());
@@ -101,6 +101,6 @@
 
   private void tellQueued(DoorControl control, String tenant, long now) {
     long tokens = waiting.get(tenant).stream().mapToLong(Waiting::tokens).sum();
-    control.grants().queued(tenant, tokens, now);
+    control.grants().queuedTokensChanged(tenant, tokens, now);
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/capacity/sockets/SocketRun.java
@@ -21,7 +21,7 @@
 import nettletrail.control.grant.QuotaLimit;
 import nettletrail.control.host.ConfigurationReader;
 import nettletrail.control.host.QuotaLimits;
-import nettletrail.emulator.capacity.Demand;
+import nettletrail.emulator.capacity.ControlDemand;
 import nettletrail.emulator.capacity.FleetNames;
 import nettletrail.emulator.capacity.FleetPlan;
 import nettletrail.emulator.capacity.Gauge;
@@ -103,7 +103,7 @@
     figures.put("hollow_doors", plan.doors());
     figures.put("backends", plan.backends());
     figures.put("tenants", plan.tenants());
-    Demand demand = new Demand(plan.tenants(), plan.requestsPerSecond());
+    ControlDemand demand = new ControlDemand(plan.tenants(), plan.requestsPerSecond());
     List<RequestCounts> counts = startDoors(cores, group, demand);
     try (SocketBackends backends = new SocketBackends(cores, plan.backends())) {
       put("first_configuration_s", first(cores, demand));
@@ -122,7 +122,8 @@
     put("this_process_peak_mb", ProcessUse.peakMb(ProcessHandle.current().pid()));
   }
 
-  private List<RequestCounts> startDoors(CoreProcesses cores, EventLoopGroup group, Demand demand) {
+  private List<RequestCounts> startDoors(
+      CoreProcesses cores, EventLoopGroup group, ControlDemand demand) {
     SplittableRandom random = new SplittableRandom(1);
     List<RequestCounts> counts = new ArrayList<>();
     Map<EventLoop, RequestCounts> ofLoop = new HashMap<>();
@@ -146,7 +147,7 @@
   private void inForce(SocketDoor door, long ofEdition, ByteBuffer document) {
     Map<String, QuotaLimit> compiled =
         limits.computeIfAbsent(ofEdition, unseen -> compile(document));
-    door.control().grants().limits(compiled);
+    door.control().grants().limitsChanged(compiled);
     inForceAt
         .computeIfAbsent(ofEdition, unseen -> new ConcurrentHashMap<>())
         .putIfAbsent(door, System.nanoTime());
@@ -160,7 +161,7 @@
     }
   }
 
-  private double first(CoreProcesses cores, Demand demand) throws InterruptedException {
+  private double first(CoreProcesses cores, ControlDemand demand) throws InterruptedException {
     byte[] complete = SampleDocument.complete(1, plan.tenants(), demand::limit);
     return order(cores, "PUT", complete);
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaGroupFactory.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaGroupFactory.java
@@ -42,22 +42,22 @@
   static ShardSettings settings() {
     ShardSettings defaults = ShardSettings.defaults();
     return new ShardSettings(
-        defaults.lease(),
-        defaults.leaseMargin(),
-        defaults.heartbeat(),
-        defaults.electionStagger(),
-        defaults.electionTimeout(),
-        defaults.resend(),
+        defaults.leaseNanos(),
+        defaults.leaseMarginNanos(),
+        defaults.heartbeatIntervalNanos(),
+        defaults.electionStaggerNanos(),
+        defaults.electionTimeoutNanos(),
+        defaults.initialResendIntervalNanos(),
         NEVER_DUE,
-        defaults.join(),
-        defaults.joinerFresh(),
-        defaults.replaceAfter(),
-        defaults.replaceUnheardAfter(),
-        defaults.removeAfter(),
-        defaults.fullGroup(),
-        defaults.bootstrapWait(),
-        defaults.ownerWait(),
-        defaults.requestTimeout(),
+        defaults.joinRequestIntervalNanos(),
+        defaults.joinRequestValidityNanos(),
+        defaults.replaceAfterNanos(),
+        defaults.replaceUnseenAfterNanos(),
+        defaults.removeAfterNanos(),
+        defaults.fullGroupSize(),
+        defaults.bootstrapTimeoutNanos(),
+        defaults.ownerDiscoveryTimeoutNanos(),
+        defaults.requestTimeoutNanos(),
         defaults.requestQueueCapacity());
   }
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaSystem.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/explore/ReplicaSystem.java
@@ -142,8 +142,8 @@
     ticked.clear();
     network.advance(
         step == Transition.TimeStep.HEARTBEAT
-            ? settings.heartbeat()
-            : settings.lease() + HEARTBEATS_AFTER_LEASE * settings.heartbeat());
+            ? settings.heartbeatIntervalNanos()
+            : settings.leaseNanos() + HEARTBEATS_AFTER_LEASE * settings.heartbeatIntervalNanos());
   }
 
   private void checkOwners() {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/CoreMachine.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/CoreMachine.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import nettletrail.emulator.host.CoreObserver;
-import nettletrail.emulator.host.CoreProcess;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.host.EmulatedCoreProcess;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.store.StorageException;
@@ -16,15 +16,15 @@
   private static final long RESTART_DELAY = 500 * VirtualTime.MILLISECOND;
 
   private final Simulation simulation;
-  private final Machine machine;
+  private final SimulatedMachine machine;
   private final GuaranteeLimits limits;
   private final CoreObserver observer;
   private List<String> seeds;
-  private CoreProcess process;
+  private EmulatedCoreProcess process;
 
   CoreMachine(
       Simulation simulation,
-      Machine machine,
+      SimulatedMachine machine,
       GuaranteeLimits limits,
       CoreObserver observer,
       List<String> seeds) {
@@ -36,23 +36,23 @@
   }
 
   /** The machine. */
-  public Machine machine() {
+  public SimulatedMachine machine() {
     return machine;
   }
 
   /** The present or else the last process; null before the first start. */
-  public CoreProcess process() {
+  public EmulatedCoreProcess process() {
     return process;
   }
 
   /** The address for calls of operators and backends. */
   public String controlAddress() {
-    return machine.host() + CoreProcess.CONTROL_PORT;
+    return machine.host() + EmulatedCoreProcess.CONTROL_PORT;
   }
 
   /** The address that other processes dial. */
   public String linkAddress() {
-    return machine.host() + CoreProcess.LINK_PORT;
+    return machine.host() + EmulatedCoreProcess.LINK_PORT;
   }
 
   void setSeeds(List<String> addresses) {
@@ -60,10 +60,10 @@
   }
 
   void start(boolean firstRun) {
-    Machine.Incarnation incarnation = machine.start();
+    SimulatedMachine.Incarnation incarnation = machine.start();
     try {
       process =
-          new CoreProcess(
+          new EmulatedCoreProcess(
               simulation,
               incarnation,
               seeds,
@@ -72,7 +72,7 @@
               limits.grantTerms(),
               observer);
     } catch (StorageException unusable) {
-      machine.end(Machine.End.KILL);
+      machine.end(SimulatedMachine.End.KILL);
       simulation.time().after(RESTART_DELAY, this::startIfDown);
     }
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/DoorMachine.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/DoorMachine.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import nettletrail.emulator.actors.ClientObserver;
 import nettletrail.emulator.actors.DoorTraffic;
-import nettletrail.emulator.host.DoorProcess;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.host.EmulatedDoorProcess;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 
@@ -13,18 +13,18 @@
   private static final long TOKENS_PER_REQUEST = 1_500;
 
   private final Simulation simulation;
-  private final Machine machine;
+  private final SimulatedMachine machine;
   private final GuaranteeLimits limits;
   private final StabilityTracker stability;
   private final ClientObserver observations;
   private final double tokensPerSecond;
   private List<String> seeds;
-  private DoorProcess process;
+  private EmulatedDoorProcess process;
   private DoorTraffic traffic;
 
   DoorMachine(
       Simulation simulation,
-      Machine machine,
+      SimulatedMachine machine,
       GuaranteeLimits limits,
       StabilityTracker stability,
       ClientObserver observations,
@@ -40,12 +40,12 @@
   }
 
   /** The machine. */
-  public Machine machine() {
+  public SimulatedMachine machine() {
     return machine;
   }
 
   /** The present or else the last process; null before the first start. */
-  public DoorProcess process() {
+  public EmulatedDoorProcess process() {
     return process;
   }
 
@@ -62,11 +62,11 @@
   }
 
   void start() {
-    DoorProcess.Promises processLimits =
-        new DoorProcess.Promises(
+    EmulatedDoorProcess.DoorLimits processLimits =
+        new EmulatedDoorProcess.DoorLimits(
             limits.keyRevocationNanos() / VirtualTime.MILLISECOND,
             limits.activationNanos() / VirtualTime.MILLISECOND);
-    process = new DoorProcess(simulation, machine.start(), seeds, processLimits);
+    process = new EmulatedDoorProcess(simulation, machine.start(), seeds, processLimits);
     traffic =
         new DoorTraffic(
             process,
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/EmulatedFleet.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/EmulatedFleet.java
@@ -8,8 +8,8 @@
 import nettletrail.emulator.actors.ChangeDocument;
 import nettletrail.emulator.actors.ChangeRequests;
 import nettletrail.emulator.actors.OperatorActor;
-import nettletrail.emulator.host.CoreProcess;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.host.EmulatedCoreProcess;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 
@@ -76,7 +76,7 @@
   }
 
   /** The start is recorded as a fault: a new machine counts as lost until it has caught up. */
-  private void startSoon(Machine machine, Runnable start) {
+  private void startSoon(SimulatedMachine machine, Runnable start) {
     simulation
         .time()
         .after(
@@ -154,7 +154,7 @@
 
   /** Adds an operator, which is idle until it is called. */
   public OperatorActor addOperator() {
-    Machine machine = newMachine("operator-" + (operators.size() + 1), false);
+    SimulatedMachine machine = newMachine("operator-" + (operators.size() + 1), false);
     OperatorActor operator =
         new OperatorActor(simulation, machine, this::controlAddresses, changes, checker);
     operators.add(operator);
@@ -163,12 +163,12 @@
 
   /** Adds a backend at a new address. */
   public BackendActor addBackend() {
-    Machine machine = newMachine("backend-" + (backends.size() + 1), false);
+    SimulatedMachine machine = newMachine("backend-" + (backends.size() + 1), false);
     return addBackend(machine, ChangeDocument.SERVICE);
   }
 
   /** Adds a backend of a service at a machine, whose address another backend may have had. */
-  public BackendActor addBackend(Machine machine, String service) {
+  public BackendActor addBackend(SimulatedMachine machine, String service) {
     long drain = options.checkedLimits().drainNanos();
     String id = "i-" + (backends.size() + 1);
     BackendActor backend =
@@ -186,7 +186,7 @@
   }
 
   /** Adds a machine without a process. */
-  public Machine newMachine(String name, boolean withDisk) {
+  public SimulatedMachine newMachine(String name, boolean withDisk) {
     return machines.allocate(name, withDisk);
   }
 
@@ -209,7 +209,7 @@
   }
 
   CoreMachine addCore() {
-    Machine machine = newMachine("core-" + (machines.count() + 1), true);
+    SimulatedMachine machine = newMachine("core-" + (machines.count() + 1), true);
     CoreMachine core =
         new CoreMachine(
             simulation, machine, options.configuredLimits(), ownership, seedsForNewMachine());
@@ -227,7 +227,7 @@
   }
 
   private void addDoor(List<String> seeds) {
-    Machine machine = newMachine("door-" + (doors.size() + 1), false);
+    SimulatedMachine machine = newMachine("door-" + (doors.size() + 1), false);
     doors.add(
         new DoorMachine(
             simulation,
@@ -245,7 +245,7 @@
         .anyMatch(core -> stability.isStable(core.machine()));
   }
 
-  private List<CoreProcess> processes() {
+  private List<EmulatedCoreProcess> processes() {
     return cores.stream()
         .map(CoreMachine::process)
         .filter(process -> process != null && process.incarnation().isAlive())
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FaultInjector.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/FaultInjector.java
@@ -1,8 +1,8 @@
 package nettletrail.emulator.fleet;
 
 import java.util.List;
-import nettletrail.emulator.simulation.Machine;
 import nettletrail.emulator.simulation.SimulatedDisk;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 
@@ -26,17 +26,17 @@
   // Processes
 
   /** Kills the process of a machine, if there is one. */
-  public void kill(Machine machine) {
+  public void kill(SimulatedMachine machine) {
     log("kill %s", machine);
     stability.recordFault(machine);
-    machine.end(Machine.End.KILL);
+    machine.end(SimulatedMachine.End.KILL);
   }
 
   /** A machine loses power. */
-  public void losePower(Machine machine) {
+  public void losePower(SimulatedMachine machine) {
     log("power loss at %s", machine);
     stability.recordFault(machine);
-    machine.end(Machine.End.POWER_LOSS);
+    machine.end(SimulatedMachine.End.POWER_LOSS);
   }
 
   /** Starts a core process, unless it runs. */
@@ -69,20 +69,20 @@
     stability.recordFault(core.machine());
     if (core.machine().isUp()) {
       core.machine().incarnation().run(core.process()::release);
-      Machine.Incarnation incarnation = core.machine().incarnation();
+      SimulatedMachine.Incarnation incarnation = core.machine().incarnation();
       incarnation.after(SHUTDOWN_GRACE, () -> kill(core.machine()));
     }
   }
 
   /** Suspends a process between two steps. */
-  public void freeze(Machine machine) {
+  public void freeze(SimulatedMachine machine) {
     log("freeze %s", machine);
     stability.recordFault(machine);
     machine.freeze();
   }
 
   /** Resumes a frozen process. */
-  public void thaw(Machine machine) {
+  public void thaw(SimulatedMachine machine) {
     log("thaw %s", machine);
     stability.recordFault(machine);
     machine.thaw();
@@ -94,7 +94,7 @@
   public void wipe(CoreMachine core) {
     log("wipe %s", core);
     stability.recordFault(core.machine());
-    core.machine().end(Machine.End.POWER_LOSS);
+    core.machine().end(SimulatedMachine.End.POWER_LOSS);
     core.machine().disk().wipe();
   }
 
@@ -105,7 +105,7 @@
   public CoreMachine replace(CoreMachine core) {
     log("replace %s", core);
     stability.recordFault(core.machine());
-    core.machine().end(Machine.End.POWER_LOSS);
+    core.machine().end(SimulatedMachine.End.POWER_LOSS);
     fleet.removeCore(core);
     CoreMachine successor = fleet.addCore();
     stability.recordFault(successor.machine());
@@ -122,7 +122,7 @@
   }
 
   /** The time of day of a machine jumps by a span in nanoseconds, which may be negative. */
-  public void stepClock(Machine machine, long spanNanos) {
+  public void stepClock(SimulatedMachine machine, long spanNanos) {
     log("time of day of %s jumps by %d ns", machine, spanNanos);
     stability.recordFault(machine);
     machine.clock().stepTimeOfDay(spanNanos);
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/MachineAllocator.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/MachineAllocator.java
@@ -1,6 +1,6 @@
 package nettletrail.emulator.fleet;
 
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 
 /** Adds machines to a simulation, each with an IP address of its own. */
@@ -19,7 +19,7 @@
     return count;
   }
 
-  Machine allocate(String name, boolean withDisk) {
+  SimulatedMachine allocate(String name, boolean withDisk) {
     count++;
     int network = count / HOSTS_PER_NETWORK;
     int host = 1 + count % HOSTS_PER_NETWORK;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/NetworkFaults.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/NetworkFaults.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 
 /** Injects faults of the network into a fleet: partitions, connection resets and latency. */
@@ -11,7 +11,7 @@
   private final Simulation simulation;
   private final EmulatedFleet fleet;
   private final StabilityTracker stability;
-  private final Set<Machine> partitionedMachines = new LinkedHashSet<>();
+  private final Set<SimulatedMachine> partitionedMachines = new LinkedHashSet<>();
 
   NetworkFaults(Simulation simulation, EmulatedFleet fleet, StabilityTracker stability) {
     this.simulation = simulation;
@@ -20,10 +20,10 @@
   }
 
   /** Partitions each machine of one group from each machine of another, in both directions. */
-  public void partition(List<Machine> group, List<Machine> others) {
+  public void partition(List<SimulatedMachine> group, List<SimulatedMachine> others) {
     log("partition %s from %s", group, others);
-    for (Machine machine : group) {
-      for (Machine other : others) {
+    for (SimulatedMachine machine : group) {
+      for (SimulatedMachine other : others) {
         recordPartition(machine, other);
         simulation.network().partition(machine, other);
       }
@@ -31,7 +31,7 @@
   }
 
   /** Lets nothing through from one machine to another; the other direction stays as it is. */
-  public void partitionOneWay(Machine from, Machine to) {
+  public void partitionOneWay(SimulatedMachine from, SimulatedMachine to) {
     log("partition one way from %s to %s", from, to);
     recordPartition(from, to);
     simulation.network().partitionOneWay(from, to);
@@ -49,9 +49,9 @@
    * A partition within the core is a fault of both core machines; any other is a fault of the
    * machine outside the core only.
    */
-  private void recordPartition(Machine one, Machine other) {
+  private void recordPartition(SimulatedMachine one, SimulatedMachine other) {
     boolean withinCore = isCore(one) && isCore(other);
-    for (Machine machine : List.of(one, other)) {
+    for (SimulatedMachine machine : List.of(one, other)) {
       if (withinCore || !isCore(machine)) {
         stability.recordFault(machine);
         partitionedMachines.add(machine);
@@ -59,12 +59,12 @@
     }
   }
 
-  private boolean isCore(Machine machine) {
+  private boolean isCore(SimulatedMachine machine) {
     return fleet.cores().stream().anyMatch(core -> core.machine() == machine);
   }
 
   /** Resets all connections of a machine. */
-  public void resetConnections(Machine machine) {
+  public void resetConnections(SimulatedMachine machine) {
     log("reset connections of %s", machine);
     stability.recordFault(machine);
     simulation.network().resetConnections(machine);
@@ -75,7 +75,7 @@
    *
    * @param extraNanos the latency to add, in nanoseconds; 0 ends the fault
    */
-  public void slowLinks(Machine machine, long extraNanos) {
+  public void slowLinks(SimulatedMachine machine, long extraNanos) {
     log("links of %s take %d ns more", machine, extraNanos);
     stability.setLastingFault(machine, extraNanos > 0);
     for (CoreMachine core : fleet.cores()) {
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/OwnershipObserver.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/OwnershipObserver.java
@@ -10,7 +10,7 @@
 import nettletrail.emulator.checker.OwnershipChecker;
 import nettletrail.emulator.checker.Violation;
 import nettletrail.emulator.host.CoreObserver;
-import nettletrail.emulator.host.CoreProcess;
+import nettletrail.emulator.host.EmulatedCoreProcess;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Accept;
 import nettletrail.protocol.GrantReply;
@@ -19,21 +19,23 @@
 /** Reports what core processes do with leases and fencing tokens to an {@link OwnershipChecker}. */
 final class OwnershipObserver implements CoreObserver {
   private final VirtualTime time;
-  private final Supplier<List<CoreProcess>> processes;
+  private final Supplier<List<EmulatedCoreProcess>> processes;
   private final OwnershipChecker checker;
 
   /**
    * @param processes all core processes that have not ended, frozen ones included
    */
   OwnershipObserver(
-      VirtualTime time, Supplier<List<CoreProcess>> processes, Consumer<Violation> violations) {
+      VirtualTime time,
+      Supplier<List<EmulatedCoreProcess>> processes,
+      Consumer<Violation> violations) {
     this.time = time;
     this.processes = processes;
     this.checker = new OwnershipChecker(violations);
   }
 
   @Override
-  public void stepped(CoreProcess process) {
+  public void stepped(EmulatedCoreProcess process) {
     for (int shard = 0; shard < ShardMap.SHARD_COUNT; shard++) {
       if (process.ownsNow(shard)) {
         checkSingleOwner(shard);
@@ -43,7 +45,7 @@
 
   private void checkSingleOwner(int shard) {
     List<String> owners = new ArrayList<>();
-    for (CoreProcess process : processes.get()) {
+    for (EmulatedCoreProcess process : processes.get()) {
       if (process.ownsNow(shard)) {
         owners.add(process.name());
       }
@@ -52,7 +54,7 @@
   }
 
   @Override
-  public void accepting(CoreProcess process, Accept message) {
+  public void accepting(EmulatedCoreProcess process, Accept message) {
     String token = text(message.getProposal());
     String content =
         digest(message.getVersion().getValue()) + " " + message.getVersion().getMembers();
@@ -62,7 +64,7 @@
   }
 
   @Override
-  public void granting(CoreProcess process, GrantReply message) {
+  public void granting(EmulatedCoreProcess process, GrantReply message) {
     if (message.getOwner()) {
       String token = text(message.getToken());
       checker.tokenUsed(time.now(), message.getShard(), token, process.name());
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomFaultContext.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomFaultContext.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.VirtualTime;
 
 /**
@@ -56,12 +56,12 @@
     return fleet.doors().get(random.nextInt(fleet.doors().size()));
   }
 
-  Machine anyMachine() {
+  SimulatedMachine anyMachine() {
     return random.nextBoolean() ? anyCore().machine() : anyDoor().machine();
   }
 
-  List<Machine> coreAndDoors() {
-    List<Machine> machines = new ArrayList<>();
+  List<SimulatedMachine> coreAndDoors() {
+    List<SimulatedMachine> machines = new ArrayList<>();
     fleet.cores().forEach(core -> machines.add(core.machine()));
     fleet.doors().forEach(door -> machines.add(door.machine()));
     return machines;
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomNetworkFaults.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomNetworkFaults.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.VirtualTime;
 
 /** Random partitions, connection resets and link latency. */
@@ -24,9 +24,9 @@
   }
 
   void partitionGroups() {
-    List<Machine> group = new ArrayList<>();
-    List<Machine> others = new ArrayList<>();
-    for (Machine machine : context.coreAndDoors()) {
+    List<SimulatedMachine> group = new ArrayList<>();
+    List<SimulatedMachine> others = new ArrayList<>();
+    for (SimulatedMachine machine : context.coreAndDoors()) {
       (random.nextBoolean() ? group : others).add(machine);
     }
     network.partition(group, others);
@@ -34,8 +34,8 @@
   }
 
   void partitionOneWay() {
-    Machine from = context.anyMachine();
-    Machine to = context.anyMachine();
+    SimulatedMachine from = context.anyMachine();
+    SimulatedMachine to = context.anyMachine();
     if (from != to) {
       network.partitionOneWay(from, to);
       healLater();
@@ -43,7 +43,7 @@
   }
 
   void partitionDoor() {
-    Machine door = context.anyDoor().machine();
+    SimulatedMachine door = context.anyDoor().machine();
     network.partition(List.of(door), fleet.cores().stream().map(CoreMachine::machine).toList());
     healLater();
   }
@@ -85,7 +85,7 @@
   }
 
   void slowLinks() {
-    Machine machine = context.anyMachine();
+    SimulatedMachine machine = context.anyMachine();
     network.slowLinks(machine, random.nextLong(MAX_LINK_DELAY));
     context.afterRandomDelay(RandomFaultContext.MAX_FAULT, () -> network.slowLinks(machine, 0));
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomProcessFaults.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomProcessFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.VirtualTime;
 
 /** Random ends and suspensions of processes, and clock steps. */
@@ -75,7 +75,7 @@
     freeze(context.anyDoor().machine());
   }
 
-  private void freeze(Machine machine) {
+  private void freeze(SimulatedMachine machine) {
     faults.freeze(machine);
     context.afterRandomDelay(RandomFaultContext.MAX_FAULT, () -> faults.thaw(machine));
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomRun.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/RandomRun.java
@@ -8,7 +8,7 @@
 import nettletrail.emulator.actors.OperatorActor;
 import nettletrail.emulator.checker.Guarantee;
 import nettletrail.emulator.checker.Violation;
-import nettletrail.emulator.host.DoorProcess;
+import nettletrail.emulator.host.EmulatedDoorProcess;
 import nettletrail.emulator.simulation.NetworkSettings;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.BackendState;
@@ -132,7 +132,7 @@
     }
   }
 
-  private void checkBackend(DoorProcess door, BackendActor backend) {
+  private void checkBackend(EmulatedDoorProcess door, BackendActor backend) {
     boolean ready =
         door.backends(ChangeDocument.SERVICE).stream()
             .filter(entry -> entry.getState() == BackendState.READY)
--- a/fleet-emulator/src/main/java/nettletrail/emulator/fleet/StabilityTracker.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/fleet/StabilityTracker.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import nettletrail.emulator.simulation.Machine;
 import nettletrail.emulator.simulation.Network;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.VirtualTime;
 
 /**
@@ -21,9 +21,9 @@
   private final VirtualTime time;
   private final Network network;
   private final long stablePeriodNanos;
-  private final Supplier<List<Machine>> core;
-  private final Map<Machine, Long> lastFaults = new HashMap<>();
-  private final Set<Machine> withLastingFault = new HashSet<>();
+  private final Supplier<List<SimulatedMachine>> core;
+  private final Map<SimulatedMachine, Long> lastFaults = new HashMap<>();
+  private final Set<SimulatedMachine> withLastingFault = new HashSet<>();
   private long lastCoreFault = NEVER;
 
   /**
@@ -31,7 +31,10 @@
    * @param core the machines of the core, running or not
    */
   StabilityTracker(
-      VirtualTime time, Network network, long stablePeriodNanos, Supplier<List<Machine>> core) {
+      VirtualTime time,
+      Network network,
+      long stablePeriodNanos,
+      Supplier<List<SimulatedMachine>> core) {
     this.time = time;
     this.network = network;
     this.stablePeriodNanos = stablePeriodNanos;
@@ -39,7 +42,7 @@
   }
 
   /** A machine has a fault now. */
-  void recordFault(Machine machine) {
+  void recordFault(SimulatedMachine machine) {
     lastFaults.put(machine, time.now());
     if (core.get().contains(machine)) {
       lastCoreFault = time.now();
@@ -47,19 +50,19 @@
   }
 
   /** A fault begins that lasts and that the state of the machine or the network does not show. */
-  void beginFault(Machine machine) {
+  void beginFault(SimulatedMachine machine) {
     recordFault(machine);
     withLastingFault.add(machine);
   }
 
   /** A lasting fault has ended. */
-  void endFault(Machine machine) {
+  void endFault(SimulatedMachine machine) {
     recordFault(machine);
     withLastingFault.remove(machine);
   }
 
   /** A lasting fault begins or ends. */
-  void setLastingFault(Machine machine, boolean lasting) {
+  void setLastingFault(SimulatedMachine machine, boolean lasting) {
     if (lasting) {
       beginFault(machine);
     } else {
@@ -73,7 +76,7 @@
    */
   int lostCores(long catchUpNanos) {
     int lost = 0;
-    for (Machine machine : core.get()) {
+    for (SimulatedMachine machine : core.get()) {
       boolean caughtUp = time.now() - lastFaults.getOrDefault(machine, NEVER) >= catchUpNanos;
       boolean healthy =
           machine.isRunning() && !withLastingFault.contains(machine) && isConnectedToAll(machine);
@@ -82,14 +85,14 @@
     return lost;
   }
 
-  private boolean isConnectedToAll(Machine machine) {
+  private boolean isConnectedToAll(SimulatedMachine machine) {
     return core.get().stream()
-        .filter(Machine::isRunning)
+        .filter(SimulatedMachine::isRunning)
         .allMatch(other -> isConnected(machine, other));
   }
 
   /** True if the limits on time hold for a machine now. */
-  boolean isStable(Machine machine) {
+  boolean isStable(SimulatedMachine machine) {
     return machine.isRunning()
         && !withLastingFault.contains(machine)
         && isStablePeriodOver(lastFaults.getOrDefault(machine, NEVER))
@@ -102,26 +105,26 @@
   }
 
   private boolean isCoreStable() {
-    List<Machine> machines = core.get();
+    List<SimulatedMachine> machines = core.get();
     boolean majority = machines.stream().anyMatch(this::reachesMajority);
     return majority
         && isStablePeriodOver(lastCoreFault)
         && machines.stream().noneMatch(withLastingFault::contains);
   }
 
-  private boolean reachesMajority(Machine machine) {
-    List<Machine> machines = core.get();
+  private boolean reachesMajority(SimulatedMachine machine) {
+    List<SimulatedMachine> machines = core.get();
     long reached = machines.stream().filter(other -> isConnected(machine, other)).count();
     return machine.isRunning() && 2 * reached > machines.size();
   }
 
-  private boolean isConnected(Machine machine, Machine other) {
+  private boolean isConnected(SimulatedMachine machine, SimulatedMachine other) {
     boolean connected =
         !network.isPartitioned(machine, other) && !network.isPartitioned(other, machine);
     return other.isRunning() && connected;
   }
 
-  private boolean reachesCore(Machine machine) {
+  private boolean reachesCore(SimulatedMachine machine) {
     return core.get().stream()
         .filter(this::reachesMajority)
         .allMatch(other -> isConnected(machine, other));
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/ControlResponse.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/ControlResponse.java
@@ -19,7 +19,7 @@
    * True for a status that ends an order as invalid: a client error other than those that ask to
    * send it again.
    */
-  public static boolean refusesForGood(int status) {
+  public static boolean isPermanentRejection(int status) {
     boolean clientError = status >= FIRST_CLIENT_ERROR && status < FIRST_SERVER_ERROR;
     return clientError && !SEND_AGAIN.contains(status);
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreObserver.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreObserver.java
@@ -6,11 +6,11 @@
 /** Sees what a core process does; called within its steps. */
 public interface CoreObserver {
   /** The process has finished a step. */
-  void stepped(CoreProcess process);
+  void stepped(EmulatedCoreProcess process);
 
   /** The process sends a replica an accept request. */
-  void accepting(CoreProcess process, Accept message);
+  void accepting(EmulatedCoreProcess process, Accept message);
 
   /** The process grants quota. */
-  void granting(CoreProcess process, GrantReply message);
+  void granting(EmulatedCoreProcess process, GrantReply message);
 }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/CoreProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/EmulatedCoreProcess.java
@@ -12,7 +12,7 @@
 import nettletrail.control.grant.GrantTerms;
 import nettletrail.control.grant.QuotaLimit;
 import nettletrail.control.host.CoreHost;
-import nettletrail.control.host.CoreLinks;
+import nettletrail.control.host.CoreHostLinks;
 import nettletrail.control.host.CoreStorage;
 import nettletrail.control.host.QuotaLimits;
 import nettletrail.control.host.ShardLeases;
@@ -23,8 +23,8 @@
 import nettletrail.control.shard.ShardSettings;
 import nettletrail.control.shard.StoreOutcome;
 import nettletrail.emulator.link.SimulatedLinks;
-import nettletrail.emulator.simulation.Machine;
 import nettletrail.emulator.simulation.SimulatedDirectory;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Accept;
@@ -42,7 +42,7 @@
  * One incarnation of a core process: a {@link CoreHost} over simulated links, disk and clock. All
  * calls come within steps of the incarnation.
  */
-public final class CoreProcess implements LinkListener {
+public final class EmulatedCoreProcess implements LinkListener {
   /** The port of the links between processes. */
   public static final String LINK_PORT = ":7680";
 
@@ -54,7 +54,7 @@
   private static final long TICK = CoreHost.TICK_MS * VirtualTime.MILLISECOND;
 
   private final Simulation simulation;
-  private final Machine.Incarnation incarnation;
+  private final SimulatedMachine.Incarnation incarnation;
   private final SplittableRandom random;
   private final CoreObserver observer;
   private final List<String> seeds;
@@ -73,9 +73,9 @@
    * @param heartbeatMillis how often backends call, in milliseconds
    * @throws StorageException if the disk can't be read or the identity can't be written
    */
-  public CoreProcess(
+  public EmulatedCoreProcess(
       Simulation simulation,
-      Machine.Incarnation incarnation,
+      SimulatedMachine.Incarnation incarnation,
       List<String> seeds,
       boolean firstRun,
       long heartbeatMillis,
@@ -115,7 +115,7 @@
             seeds,
             firstRun,
             ShardMap.SHARD_COUNT,
-            store.stored(),
+            store.storedShards(),
             random.nextLong(),
             now());
     CoreRegistry registry =
@@ -141,7 +141,7 @@
   // What others see
 
   /** The machine's incarnation in which this process runs. */
-  public Machine.Incarnation incarnation() {
+  public SimulatedMachine.Incarnation incarnation() {
     return incarnation;
   }
 
@@ -250,18 +250,18 @@
           write,
           outcome -> {
             done.accept(outcome);
-            observer.stepped(CoreProcess.this);
+            observer.stepped(EmulatedCoreProcess.this);
           });
     }
   }
 
   /** The links; the observer is notified before what it watches is sent. */
-  private final class ObservedLinks implements CoreLinks {
+  private final class ObservedLinks implements CoreHostLinks {
     /** Sends also what is not valid any more: no time passes between a decision and its sending. */
     @Override
     public void sendToCore(String address, SpecificRecord message, long validUntil) {
       if (message instanceof Accept accept) {
-        observer.accepting(CoreProcess.this, accept);
+        observer.accepting(EmulatedCoreProcess.this, accept);
       }
       links.send(address, message);
     }
@@ -269,7 +269,7 @@
     @Override
     public void sendToDoor(String door, SpecificRecord message) {
       if (message instanceof GrantReply reply) {
-        observer.granting(CoreProcess.this, reply);
+        observer.granting(EmulatedCoreProcess.this, reply);
       }
       links.send(door, message);
     }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/DoorProcess.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/EmulatedDoorProcess.java
@@ -8,10 +8,10 @@
 import nettletrail.control.door.DoorControlSettings;
 import nettletrail.control.host.DoorDataPlane;
 import nettletrail.control.host.DoorHost;
-import nettletrail.control.host.DoorLinks;
+import nettletrail.control.host.DoorHostLinks;
 import nettletrail.control.host.QuotaLimits;
 import nettletrail.emulator.link.SimulatedLinks;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Backend;
@@ -25,11 +25,11 @@
  * One incarnation of a door's process: a {@link DoorHost} over simulated links and clock, without a
  * data plane. All calls come within steps of the incarnation.
  */
-public final class DoorProcess implements LinkListener {
+public final class EmulatedDoorProcess implements LinkListener {
   private static final int PROTOCOL_VERSION = 2;
   private static final long TICK = DoorHost.TICK_MS * VirtualTime.MILLISECOND;
 
-  private final Machine.Incarnation incarnation;
+  private final SimulatedMachine.Incarnation incarnation;
   private final DoorControl control;
   private final SimulatedLinks links;
   private final DoorHost host;
@@ -41,19 +41,19 @@
    * @param revokeMillis how long keys hold after a confirmation
    * @param inForceMillis within which an acknowledged configuration has to be in force
    */
-  public record Promises(long revokeMillis, long inForceMillis) {}
+  public record DoorLimits(long revokeMillis, long inForceMillis) {}
 
   /**
    * Starts at once.
    *
    * @param seeds addresses of links to begin with
-   * @param promises the bounds that the door keeps
+   * @param limits the time limits that the door keeps
    */
-  public DoorProcess(
+  public EmulatedDoorProcess(
       Simulation simulation,
-      Machine.Incarnation incarnation,
+      SimulatedMachine.Incarnation incarnation,
       List<String> seeds,
-      Promises promises) {
+      DoorLimits limits) {
     this.incarnation = incarnation;
     SplittableRandom random = simulation.newRandom();
     String name = incarnation.machine().name();
@@ -63,8 +63,8 @@
             name,
             zone,
             1 + random.nextLong(Long.MAX_VALUE - 1),
-            promises.revokeMillis(),
-            promises.inForceMillis(),
+            limits.revokeMillis(),
+            limits.inForceMillis(),
             seeds);
     this.control = new DoorControl(settings, now());
     Hello hello =
@@ -79,7 +79,7 @@
   // What the data plane sees
 
   /** The machine's incarnation in which this process runs. */
-  public Machine.Incarnation incarnation() {
+  public SimulatedMachine.Incarnation incarnation() {
     return incarnation;
   }
 
@@ -95,12 +95,12 @@
 
   /** True while keys may be accepted and rejected. */
   public boolean keysValid() {
-    return control.keysValid(now());
+    return control.areKeysValid(now());
   }
 
   /** Takes quota for a request. */
   public boolean takeQuota(String tenant, long tokens) {
-    boolean granted = control.grants().take(tenant, tokens, now());
+    boolean granted = control.grants().tryAcquire(tenant, tokens, now());
     if (!granted) {
       host.poll();
     }
@@ -146,7 +146,7 @@
     return incarnation.machine().clock().steady();
   }
 
-  private final class HostLinks implements DoorLinks {
+  private final class HostLinks implements DoorHostLinks {
     @Override
     public void dial(String address) {
       links.dial(address);
@@ -172,7 +172,7 @@
     @Override
     public void activate(ConfigurationChanged changed) {
       table = RoutingTables.compile(changed.document());
-      control.grants().limits(QuotaLimits.of(table.tenants()));
+      control.grants().limitsChanged(QuotaLimits.of(table.tenants()));
     }
 
     /** Does nothing: requests read the backends from the control plane. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/host/StorageQueue.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/host/StorageQueue.java
@@ -4,8 +4,8 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 import nettletrail.control.shard.StoreOutcome;
-import nettletrail.emulator.simulation.Machine;
 import nettletrail.emulator.simulation.SimulatedDisk;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.store.StorageException;
 
@@ -22,12 +22,12 @@
   private static final int MAX_WAITING = 64;
 
   private final VirtualTime time;
-  private final Machine.Incarnation incarnation;
+  private final SimulatedMachine.Incarnation incarnation;
   private final SimulatedDisk disk;
   private final Deque<Job> waiting = new ArrayDeque<>();
   private boolean busy;
 
-  StorageQueue(VirtualTime time, Machine.Incarnation incarnation) {
+  StorageQueue(VirtualTime time, SimulatedMachine.Incarnation incarnation) {
     this.time = time;
     this.incarnation = incarnation;
     this.disk = incarnation.machine().disk();
--- a/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLinks.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/link/SimulatedLinks.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import nettletrail.emulator.simulation.Connection;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.Simulation;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.Hello;
@@ -30,7 +30,7 @@
   private static final int CHECKS_PER_PING = 4;
 
   private final Simulation simulation;
-  private final Machine.Incarnation incarnation;
+  private final SimulatedMachine.Incarnation incarnation;
   private final LinkSettings settings;
   private final Hello me;
   private final LinkListener listener;
@@ -50,7 +50,7 @@
    */
   public SimulatedLinks(
       Simulation simulation,
-      Machine.Incarnation incarnation,
+      SimulatedMachine.Incarnation incarnation,
       LinkSettings settings,
       Hello me,
       LinkListener listener,
--- a/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Connection.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Connection.java
@@ -20,7 +20,7 @@
     void closed();
   }
 
-  private final Machine.Incarnation incarnation;
+  private final SimulatedMachine.Incarnation incarnation;
   private Pipe outgoing;
   private Connection peer;
   private Listener listener;
@@ -31,7 +31,7 @@
 
   private boolean endPending;
 
-  Connection(Machine.Incarnation incarnation) {
+  Connection(SimulatedMachine.Incarnation incarnation) {
     this.incarnation = incarnation;
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** The process at this end. */
-  public Machine.Incarnation incarnation() {
+  public SimulatedMachine.Incarnation incarnation() {
     return incarnation;
   }
 
@@ -87,10 +87,10 @@
   }
 
   /** The process at this end has ended: some of the messages sent may still arrive. */
-  void abandon(Machine.End end) {
+  void abandon(SimulatedMachine.End end) {
     open = false;
     outgoing.truncate();
-    if (end == Machine.End.KILL) {
+    if (end == SimulatedMachine.End.KILL) {
       outgoing.finish();
     }
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Network.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Network.java
@@ -21,7 +21,7 @@
   private final VirtualTime time;
   private final SplittableRandom random;
   private final NetworkSettings settings;
-  private final Map<String, Machine> machines = new HashMap<>();
+  private final Map<String, SimulatedMachine> machines = new HashMap<>();
   private final Map<String, Listening> listening = new HashMap<>();
   private final Set<Path> partitions = new HashSet<>();
   private final Map<Path, Long> extraDelays = new LinkedHashMap<>();
@@ -39,7 +39,7 @@
   }
 
   /** Attaches a machine under its host number. */
-  public void attach(Machine machine) {
+  public void attach(SimulatedMachine machine) {
     machines.put(machine.host(), machine);
   }
 
@@ -49,7 +49,7 @@
    * @param address {@code host:port}, the host being the machine's
    */
   public void listen(
-      Machine.Incarnation incarnation, String address, Consumer<Connection> acceptor) {
+      SimulatedMachine.Incarnation incarnation, String address, Consumer<Connection> acceptor) {
     listening.put(address, new Listening(incarnation, acceptor));
     incarnation.onEnd(
         end ->
@@ -64,10 +64,10 @@
    * @param timeout in nanoseconds
    */
   public void connect(
-      Machine.Incarnation from, String address, long timeout, Consumer<Connection> done) {
+      SimulatedMachine.Incarnation from, String address, long timeout, Consumer<Connection> done) {
     Attempt attempt = new Attempt(from, done);
     from.after(timeout, () -> attempt.complete(null));
-    Machine target = machines.get(hostOf(address));
+    SimulatedMachine target = machines.get(hostOf(address));
     if (target == null) {
       return;
     }
@@ -129,12 +129,12 @@
   }
 
   /** Lets nothing through from one machine to another; the other direction stays as it is. */
-  public void partitionOneWay(Machine from, Machine to) {
+  public void partitionOneWay(SimulatedMachine from, SimulatedMachine to) {
     partitions.add(new Path(from, to));
   }
 
   /** Lets nothing through between two machines, in either direction. */
-  public void partition(Machine one, Machine other) {
+  public void partition(SimulatedMachine one, SimulatedMachine other) {
     partitionOneWay(one, other);
     partitionOneWay(other, one);
   }
@@ -156,17 +156,17 @@
   }
 
   /** True if a partition blocks the path from one machine to another. */
-  public boolean isPartitioned(Machine from, Machine to) {
+  public boolean isPartitioned(SimulatedMachine from, SimulatedMachine to) {
     return isPartitioned(new Path(from, to));
   }
 
   /** Adds to the delay from one machine to another, in nanoseconds; 0 ends it. */
-  public void setExtraDelay(Machine from, Machine to, long extra) {
+  public void setExtraDelay(SimulatedMachine from, SimulatedMachine to, long extra) {
     extraDelays.put(new Path(from, to), extra);
   }
 
   /** Resets all connections of a machine. */
-  public void resetConnections(Machine machine) {
+  public void resetConnections(SimulatedMachine machine) {
     for (Connection connection : List.copyOf(connections)) {
       if (connection.isOpen() && connection.incarnation().machine() == machine) {
         connection.reset();
@@ -183,15 +183,16 @@
     return address.substring(0, address.lastIndexOf(':'));
   }
 
-  private record Listening(Machine.Incarnation incarnation, Consumer<Connection> acceptor) {}
+  private record Listening(
+      SimulatedMachine.Incarnation incarnation, Consumer<Connection> acceptor) {}
 
   /** A connection that is being opened; completed once. */
   private static final class Attempt {
-    private final Machine.Incarnation from;
+    private final SimulatedMachine.Incarnation from;
     private final Consumer<Connection> done;
     private boolean completed;
 
-    Attempt(Machine.Incarnation from, Consumer<Connection> done) {
+    Attempt(SimulatedMachine.Incarnation from, Consumer<Connection> done) {
       this.from = from;
       this.done = done;
     }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Path.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Path.java
@@ -1,7 +1,7 @@
 package nettletrail.emulator.simulation;
 
 /** One direction between two machines. */
-record Path(Machine from, Machine to) {
+record Path(SimulatedMachine from, SimulatedMachine to) {
   Path reversed() {
     return new Path(to, from);
   }
--- a/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Machine.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/SimulatedMachine.java
@@ -10,7 +10,7 @@
  * Incarnation#run}, so it can be killed or frozen between any two steps. A frozen process runs its
  * steps after it was thawed, an ended one never does.
  */
-public final class Machine {
+public final class SimulatedMachine {
   /** How a process ends. */
   public enum End {
     /** The process is killed; the kernel closes its connections and keeps its files. */
@@ -32,7 +32,7 @@
    * @param host the machine's IP number
    * @param disk the machine's disk, or null if it has none
    */
-  public Machine(
+  public SimulatedMachine(
       String name, String host, VirtualTime time, MachineClock clock, SimulatedDisk disk) {
     this.name = name;
     this.host = host;
@@ -151,8 +151,8 @@
     }
 
     /** The machine on which the process runs. */
-    public Machine machine() {
-      return Machine.this;
+    public SimulatedMachine machine() {
+      return SimulatedMachine.this;
     }
 
     /** False once the process has ended. */
--- a/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Simulation.java
+++ b/fleet-emulator/src/main/java/nettletrail/emulator/simulation/Simulation.java
@@ -43,13 +43,13 @@
   }
 
   /** Adds a machine to the network, with an empty disk or without one; it has no process yet. */
-  public Machine addMachine(String name, String host, boolean withDisk) {
+  public SimulatedMachine addMachine(String name, String host, boolean withDisk) {
     SplittableRandom machineRandom = random.split();
     long origin = machineRandom.nextLong(MAX_CLOCK_ORIGIN);
     double drift = (machineRandom.nextDouble() * 2 - 1) * maxDriftPpm;
     MachineClock clock = new MachineClock(time, origin, drift);
     SimulatedDisk disk = withDisk ? new SimulatedDisk(time, machineRandom.split()) : null;
-    Machine machine = new Machine(name, host, time, clock, disk);
+    SimulatedMachine machine = new SimulatedMachine(name, host, time, clock, disk);
     network.attach(machine);
     return machine;
   }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/fleet/GuaranteeMutantsTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/fleet/GuaranteeMutantsTest.java
@@ -12,8 +12,8 @@
 import nettletrail.emulator.actors.OperatorActor;
 import nettletrail.emulator.checker.Guarantee;
 import nettletrail.emulator.checker.Violation;
-import nettletrail.emulator.simulation.Machine;
 import nettletrail.emulator.simulation.SimulatedDisk;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.VirtualTime;
 import org.junit.jupiter.api.Test;
 
@@ -160,7 +160,7 @@
           EmulatedFleet fleet = started(seed, FleetOptions.small());
           BackendActor backend = fleet.addBackend();
           fleet.time().runFor(3 * SECOND);
-          Machine door = fleet.doors().get(0).machine();
+          SimulatedMachine door = fleet.doors().get(0).machine();
           fleet
               .cores()
               .forEach(
@@ -201,12 +201,12 @@
     return fleet;
   }
 
-  private static List<Machine> cores(EmulatedFleet fleet) {
+  private static List<SimulatedMachine> cores(EmulatedFleet fleet) {
     return fleet.cores().stream().map(CoreMachine::machine).toList();
   }
 
-  private static List<Machine> others(EmulatedFleet fleet, CoreMachine core) {
-    List<Machine> others = new ArrayList<>(cores(fleet));
+  private static List<SimulatedMachine> others(EmulatedFleet fleet, CoreMachine core) {
+    List<SimulatedMachine> others = new ArrayList<>(cores(fleet));
     others.remove(core.machine());
     return others;
   }
--- a/fleet-emulator/src/test/java/nettletrail/emulator/scenario/DoorScenariosTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/scenario/DoorScenariosTest.java
@@ -9,7 +9,7 @@
 import nettletrail.emulator.fleet.CoreMachine;
 import nettletrail.emulator.fleet.DoorMachine;
 import nettletrail.emulator.fleet.EmulatedFleet;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.protocol.BackendState;
 import org.junit.jupiter.api.Test;
 
@@ -73,7 +73,7 @@
     BackendActor backend = scenario.fleet().addBackend();
     scenario.pass(3 * SECOND);
     CoreMachine alone = scenario.fleet().cores().get(2);
-    List<Machine> others =
+    List<SimulatedMachine> others =
         List.of(
             scenario.fleet().cores().get(0).machine(), scenario.fleet().cores().get(1).machine());
     scenario.networkFaults().partition(List.of(alone.machine()), others);
@@ -134,7 +134,7 @@
   @Test
   void anAddressIsUsedAgainByAnotherService() {
     Scenario scenario = Scenario.givenFleet(36, 3, 2);
-    Machine machine = scenario.fleet().newMachine("reused", false);
+    SimulatedMachine machine = scenario.fleet().newMachine("reused", false);
     BackendActor former = scenario.fleet().addBackend(machine, ChangeDocument.SERVICE);
     scenario.pass(3 * SECOND);
     former.crash();
--- a/fleet-emulator/src/test/java/nettletrail/emulator/scenario/Scenario.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/scenario/Scenario.java
@@ -14,7 +14,7 @@
 import nettletrail.emulator.fleet.FaultInjector;
 import nettletrail.emulator.fleet.FleetOptions;
 import nettletrail.emulator.fleet.NetworkFaults;
-import nettletrail.emulator.simulation.Machine;
+import nettletrail.emulator.simulation.SimulatedMachine;
 import nettletrail.emulator.simulation.VirtualTime;
 import nettletrail.protocol.BackendState;
 import org.approvaltests.Approvals;
@@ -93,7 +93,7 @@
     return others;
   }
 
-  List<Machine> doorMachines() {
+  List<SimulatedMachine> doorMachines() {
     return fleet.doors().stream().map(DoorMachine::machine).toList();
   }
 
@@ -101,11 +101,11 @@
     return fleet.doors().get(index);
   }
 
-  List<Machine> coreMachines() {
+  List<SimulatedMachine> coreMachines() {
     return fleet.cores().stream().map(CoreMachine::machine).toList();
   }
 
-  static List<Machine> machines(List<CoreMachine> cores) {
+  static List<SimulatedMachine> machines(List<CoreMachine> cores) {
     return cores.stream().map(CoreMachine::machine).toList();
   }
 
--- a/fleet-emulator/src/test/java/nettletrail/emulator/simulation/NetworkTest.java
+++ b/fleet-emulator/src/test/java/nettletrail/emulator/simulation/NetworkTest.java
@@ -19,8 +19,8 @@
   private final Simulation simulation = new Simulation(3, NetworkSettings.lossy(), 200);
   private final VirtualTime time = simulation.time();
   private final Network network = simulation.network();
-  private final Machine client = simulation.addMachine("client", "10.0.0.1", false);
-  private final Machine server = simulation.addMachine("server", "10.0.0.2", true);
+  private final SimulatedMachine client = simulation.addMachine("client", "10.0.0.1", false);
+  private final SimulatedMachine server = simulation.addMachine("server", "10.0.0.2", true);
   private final Recorder serverEnd = new Recorder();
   private final Recorder clientEnd = new Recorder();
   private Connection accepted;
@@ -76,14 +76,14 @@
   @Test
   void notifiesThePeerOfAKillButNotOfALossOfPower() {
     connect();
-    server.end(Machine.End.KILL);
+    server.end(SimulatedMachine.End.KILL);
     time.runFor(VirtualTime.SECOND);
     assertTrue(clientEnd.closed);
 
     listen();
     clientEnd.closed = false;
     Connection connection = connect();
-    server.end(Machine.End.POWER_LOSS);
+    server.end(SimulatedMachine.End.POWER_LOSS);
     time.runFor(10 * VirtualTime.SECOND);
     assertFalse(clientEnd.closed);
 
@@ -95,7 +95,7 @@
 
   @Test
   void refusesWhereNobodyListensAndHangsWhereNobodyIs() {
-    server.end(Machine.End.KILL);
+    server.end(SimulatedMachine.End.KILL);
     long before = time.now();
     assertNull(connectTo(SERVER_ADDRESS));
     assertTrue(time.now() - before < TIMEOUT);
@@ -119,7 +119,7 @@
   void runsNoStepOfAProcessThatHasEnded() {
     List<String> steps = new ArrayList<>();
     server.incarnation().after(VirtualTime.SECOND, () -> steps.add("old incarnation"));
-    server.end(Machine.End.KILL);
+    server.end(SimulatedMachine.End.KILL);
     server.start().after(VirtualTime.SECOND, () -> steps.add("new incarnation"));
     time.runFor(2 * VirtualTime.SECOND);
     assertEquals(List.of("new incarnation"), steps);
--- a/fleet/src/main/java/nettletrail/fleet/CorePeerLinks.java
+++ b/fleet/src/main/java/nettletrail/fleet/CorePeerLinks.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import nettletrail.control.host.CoreLinks;
+import nettletrail.control.host.CoreHostLinks;
 import nettletrail.protocol.Member;
 import nettletrail.protocol.link.Links;
 import org.apache.avro.specific.SpecificRecord;
@@ -12,7 +12,7 @@
  * The links of a core process over sockets: one is kept to each seed and member, and to nobody
  * else. On the event loop.
  */
-final class CorePeerLinks implements CoreLinks {
+final class CorePeerLinks implements CoreHostLinks {
   private final Links links;
   private final ValidMessageSender sender;
   private final String ownAddress;
@@ -55,9 +55,9 @@
     for (Member member : members) {
       wanted.add(member.getAddress());
     }
-    for (String address : Set.copyOf(links.dialled())) {
+    for (String address : Set.copyOf(links.dialledAddresses())) {
       if (!wanted.contains(address)) {
-        links.undial(address);
+        links.stopDialling(address);
       }
     }
     wanted.forEach(this::dialOther);
--- a/fleet/src/main/java/nettletrail/fleet/CoreProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/CoreProcess.java
@@ -16,11 +16,11 @@
 import nettletrail.control.host.ShardLeases;
 import nettletrail.control.shard.CoreShards;
 import nettletrail.control.shard.ShardSettings;
-import nettletrail.fleet.http.ControlCalls;
+import nettletrail.fleet.http.ControlRequestHandler;
 import nettletrail.fleet.http.ControlServer;
 import nettletrail.fleet.http.ControlSettings;
-import nettletrail.fleet.settings.Bounds;
 import nettletrail.fleet.settings.FleetSettings;
+import nettletrail.fleet.settings.OperatingLimits;
 import nettletrail.protocol.Backend;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.Member;
@@ -42,7 +42,7 @@
  * HTTP interface for the operator and the backends. Everything runs on one event loop, but for the
  * disk.
  */
-final class CoreProcess implements LinkListener, ControlCalls, AutoCloseable {
+final class CoreProcess implements LinkListener, ControlRequestHandler, AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CoreProcess.class);
   private static final String ROLE = "core";
   private static final int PROTOCOL_VERSION = 2;
@@ -76,12 +76,12 @@
     this.storage = new StorageThread(store, loop);
     CoreShards shards =
         new CoreShards(
-            ShardSettings.defaults().withstanding(settings.toleratedLosses().machines()),
+            ShardSettings.defaults().tolerating(settings.toleratedLosses().machines()),
             self,
             settings.seedInternalAddresses(),
             settings.firstRun(),
             ShardMap.SHARD_COUNT,
-            store.stored(),
+            store.storedShards(),
             random.nextLong(),
             now);
     CoreRegistry registry =
@@ -106,7 +106,7 @@
             new LoggedConfigurations());
     this.status = new CoreStatus(settings, shards, registry, storage, server);
     LOG.info("{} core {} starts as {}", LogEvent.CORE_STARTS, settings.node(), self.getId());
-    store.stored().forEach((shard, content) -> logDamage(shard, content.damaged()));
+    store.storedShards().forEach((shard, content) -> logDamage(shard, content.damagedFiles()));
   }
 
   private static void logDamage(int shard, List<String> files) {
@@ -216,11 +216,11 @@
   }
 
   private static CoreRegistrySettings registrySettings(FleetSettings settings, long incarnation) {
-    Bounds bounds = settings.bounds();
+    OperatingLimits bounds = settings.bounds();
     GrantTerms terms =
         new GrantTerms(
             bounds.quotaWindow().toMillis() / MILLIS_A_SECOND,
-            bounds.quotaOver(),
+            bounds.quotaTolerance(),
             bounds.quotaSlack(),
             GrantTerms.USUAL_VALID_MS);
     return new CoreRegistrySettings(
--- a/fleet/src/main/java/nettletrail/fleet/DoorControlView.java
+++ b/fleet/src/main/java/nettletrail/fleet/DoorControlView.java
@@ -55,7 +55,7 @@
   boolean configurationChanged(ByteBuffer document) {
     try {
       RoutingTable table = reader.compile(document);
-      control.grants().limits(QuotaLimits.of(table.tenants()));
+      control.grants().limitsChanged(QuotaLimits.of(table.tenants()));
       routing = table;
       return true;
     } catch (ConfigurationException unusable) {
@@ -78,18 +78,18 @@
   }
 
   @Override
-  public boolean routingIsCurrent(long nowNanos) {
-    return control.routingIsCurrent(nowNanos);
+  public boolean isRoutingCurrent(long nowNanos) {
+    return control.isRoutingCurrent(nowNanos);
   }
 
   @Override
   public boolean keysConfirmed(long nowNanos) {
-    return keysNeedConfirmation ? control.keysValid(nowNanos) : routing != null;
+    return keysNeedConfirmation ? control.areKeysValid(nowNanos) : routing != null;
   }
 
   @Override
   public boolean routingConfirmed(long nowNanos) {
-    return control.keysValid(nowNanos);
+    return control.areKeysValid(nowNanos);
   }
 
   @Override
@@ -108,8 +108,8 @@
   }
 
   @Override
-  public boolean take(String tenant, long tokens, long now) {
-    boolean granted = control.grants().take(tenant, tokens, now);
+  public boolean tryAcquire(String tenant, long tokens, long now) {
+    boolean granted = control.grants().tryAcquire(tenant, tokens, now);
     if (!granted) {
       quotaShort.run();
     }
--- a/fleet/src/main/java/nettletrail/fleet/DoorProcess.java
+++ b/fleet/src/main/java/nettletrail/fleet/DoorProcess.java
@@ -15,8 +15,8 @@
 import nettletrail.control.host.DoorDataPlane;
 import nettletrail.control.host.DoorHost;
 import nettletrail.control.host.NetworkDoorLinks;
-import nettletrail.fleet.settings.Bounds;
 import nettletrail.fleet.settings.FleetSettings;
+import nettletrail.fleet.settings.OperatingLimits;
 import nettletrail.protocol.Hello;
 import nettletrail.protocol.event.LogEvent;
 import nettletrail.protocol.link.LinkListener;
@@ -65,7 +65,7 @@
   DoorProcess(FleetSettings settings) {
     this.settings = settings;
     SplittableRandom random = ProcessSeed.random(settings.node());
-    Bounds bounds = settings.bounds();
+    OperatingLimits bounds = settings.bounds();
     long incarnation = Math.max(1, random.nextLong() & Long.MAX_VALUE);
     long now = System.nanoTime();
     this.control =
@@ -74,8 +74,8 @@
                 settings.node(),
                 settings.zone(),
                 incarnation,
-                bounds.revoke().toMillis(),
-                bounds.inForce().toMillis(),
+                bounds.keyRevocationTime().toMillis(),
+                bounds.activationTime().toMillis(),
                 settings.seedInternalAddresses()),
             now);
     this.view = new DoorControlView(control, bounds.revokedClosed(), this::quotaShort);
@@ -126,7 +126,7 @@
 
   /** Answers what is open and ends; blocks until then. */
   void drain() throws InterruptedException {
-    long graceMs = settings.bounds().grace().toMillis();
+    long graceMs = settings.bounds().shutdownGracePeriod().toMillis();
     CountDownLatch done = new CountDownLatch(1);
     loop.execute(
         () -> {
@@ -192,7 +192,7 @@
   }
 
   private void notifyGrownQuotas() {
-    List<String> tenants = control.grants().takeGrownTenants();
+    List<String> tenants = control.grants().drainReplenishedTenants();
     if (!tenants.isEmpty()) {
       router.quotaGranted(tenants);
     }
@@ -227,7 +227,7 @@
       long began = System.nanoTime();
       route(changed);
       long now = System.nanoTime();
-      control.configurationInForce(now - began, now);
+      control.configurationActivated(now - began, now);
     }
 
     private void route(ConfigurationChanged changed) {
@@ -247,7 +247,7 @@
   }
 
   private static RouterSettings routerSettings(FleetSettings settings, long seed) {
-    Bounds bounds = settings.bounds();
+    OperatingLimits bounds = settings.bounds();
     return new RouterSettings(
         settings.zone(),
         bounds.retryRatio(),
--- a/fleet/src/main/java/nettletrail/fleet/http/ControlDispatcher.java
+++ b/fleet/src/main/java/nettletrail/fleet/http/ControlDispatcher.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 
 /**
- * Passes requests to the {@link ControlCalls} under a number of their own, and the responses back
- * to their exchanges. Readiness checks and requests that don't exist are answered here. Event loop
- * only.
+ * Passes requests to the {@link ControlRequestHandler} under a number of their own, and the
+ * responses back to their exchanges. Readiness checks and requests that don't exist are answered
+ * here. Event loop only.
  */
 final class ControlDispatcher implements PipeliningHandler.RequestListener {
-  private final ControlCalls calls;
+  private final ControlRequestHandler calls;
   private final Map<Long, PipeliningHandler.Exchange> exchanges = new HashMap<>();
   private final Map<PipeliningHandler.Exchange, Long> callNumbers = new HashMap<>();
   private long lastCall;
   private boolean ready;
 
-  ControlDispatcher(ControlCalls calls) {
+  ControlDispatcher(ControlRequestHandler calls) {
     this.calls = calls;
   }
 
--- a/fleet/src/main/java/nettletrail/fleet/http/ControlCalls.java
+++ b/fleet/src/main/java/nettletrail/fleet/http/ControlRequestHandler.java
@@ -7,7 +7,7 @@
  * event loop and must not block. Each call may be answered once, at any later time on that event
  * loop, by {@link ControlServer#answer} or {@link ControlServer#redirect}.
  */
-public interface ControlCalls {
+public interface ControlRequestHandler {
   /** The call sequence of a DELETE without one: above all that a backend sends. */
   long FINAL_CALL_SEQUENCE = Long.MAX_VALUE;
 
--- a/fleet/src/main/java/nettletrail/fleet/http/ControlRequestParser.java
+++ b/fleet/src/main/java/nettletrail/fleet/http/ControlRequestParser.java
@@ -108,7 +108,9 @@
   private static long callSequence(QueryStringDecoder target) throws BadRequestException {
     try {
       List<String> values = target.parameters().getOrDefault(CALL_SEQUENCE_PARAMETER, List.of());
-      return values.isEmpty() ? ControlCalls.FINAL_CALL_SEQUENCE : Long.parseLong(values.get(0));
+      return values.isEmpty()
+          ? ControlRequestHandler.FINAL_CALL_SEQUENCE
+          : Long.parseLong(values.get(0));
     } catch (IllegalArgumentException failure) {
       throw new BadRequestException(CALL_SEQUENCE_PARAMETER + " isn't a whole number", failure);
     }
--- a/fleet/src/main/java/nettletrail/fleet/http/ControlServer.java
+++ b/fleet/src/main/java/nettletrail/fleet/http/ControlServer.java
@@ -23,10 +23,10 @@
 /**
  * The HTTP/1.1 server of the core's control interface.
  *
- * <p>It parses requests and passes them to a {@link ControlCalls}, which answers each with {@link
- * #answer} or {@link #redirect}, at once or later. Requests of one connection may be pipelined;
- * their responses keep the order. A call whose client has disconnected is cancelled, and an answer
- * to it is dropped.
+ * <p>It parses requests and passes them to a {@link ControlRequestHandler}, which answers each with
+ * {@link #answer} or {@link #redirect}, at once or later. Requests of one connection may be
+ * pipelined; their responses keep the order. A call whose client has disconnected is cancelled, and
+ * an answer to it is dropped.
  *
  * <p>Everything runs on one event loop. {@link #listen} and {@link #close} may be called on any
  * thread, all other methods on the event loop only; those throw {@link IllegalStateException} on
@@ -53,13 +53,16 @@
    * @param loop runs everything, including the calls
    * @param calls receives the requests
    */
-  public ControlServer(EventLoop loop, ControlSettings settings, ControlCalls calls) {
+  public ControlServer(EventLoop loop, ControlSettings settings, ControlRequestHandler calls) {
     this(loop, settings, calls, System::nanoTime);
   }
 
   /** As above, with another clock for the validity of answers, in nanoseconds. */
   ControlServer(
-      EventLoop loop, ControlSettings settings, ControlCalls calls, LongSupplier steadyClock) {
+      EventLoop loop,
+      ControlSettings settings,
+      ControlRequestHandler calls,
+      LongSupplier steadyClock) {
     this.steadyClock = steadyClock;
     this.loop = loop;
     this.settings = settings;
@@ -101,7 +104,7 @@
   /**
    * Answers a call. Does nothing if the call was answered before or its client has disconnected.
    *
-   * @param call the number that the {@link ControlCalls} was given
+   * @param call the number that the {@link ControlRequestHandler} was given
    * @param status HTTP status
    * @param json the body; null or empty for an empty object
    */
--- a/fleet/src/main/java/nettletrail/fleet/settings/FleetSettings.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/FleetSettings.java
@@ -57,7 +57,7 @@
     Duration heartbeatInterval,
     Set<String> clauses,
     ToleratedLosses toleratedLosses,
-    Bounds bounds) {
+    OperatingLimits bounds) {
 
   /** The value of {@link #serves} for a role that serves clients. */
   public static final String SERVES_CLIENTS = "counter";
--- a/fleet/src/main/java/nettletrail/fleet/settings/SettingsParser.java
+++ b/fleet/src/main/java/nettletrail/fleet/settings/SettingsParser.java
@@ -134,8 +134,8 @@
         values.intValue("withstand.regions", 0));
   }
 
-  private Bounds bounds() {
-    return new Bounds(
+  private OperatingLimits bounds() {
+    return new OperatingLimits(
         values.seconds("bounds.roster_lag_s", SettingsDefaults.ROSTER_LAG_S),
         values.seconds("bounds.reuse_after_s", 2),
         values.millis("bounds.contact_ms", SettingsDefaults.CONTACT_MS),
--- a/fleet/src/test/java/nettletrail/fleet/ControlFormTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/ControlFormTest.java
@@ -34,10 +34,10 @@
   private static final String CONFIGURATION = "/nettletrail/config";
   private static final String BACKENDS = "/nettletrail/backends/";
   private static final String STATUS = "/nettletrail/status/";
-  private static final String NOBODY = "127.0.0.1:1";
+  private static final String UNREACHABLE_CORE = "127.0.0.1:1";
   private static final int OK = 200;
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
-  private static final long PAUSE_MS = 50;
+  private static final long POLL_INTERVAL_MS = 50;
   private static final String DOCUMENT =
       """
       {"edition":5,"routes":[{"name":"chat","station":"a.example","lane_prefix":"/","kind":"serial",
@@ -66,15 +66,15 @@
   void start() throws Exception {
     core = new TestCore(folder.resolve("data"));
     while (!isConfigured()) {
-      Thread.sleep(PAUSE_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
     assertEquals(OK, send("PUT", BACKENDS + "b1", "", BACKEND).statusCode());
     door = startDoor();
     while (!send("GET", STATUS + "leases", "", "").body().contains("door-1")) {
-      Thread.sleep(PAUSE_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
     while (send("GET", STATUS + "quota/north", "", "").statusCode() != OK) {
-      Thread.sleep(PAUSE_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
@@ -86,6 +86,16 @@
     core.close();
   }
 
+  /**
+   * A deregistration is acknowledged once the core knows which doors hold a lease, which is one
+   * lease after its start; before that it answers 503.
+   */
+  private void awaitAcknowledgedDeregistrations() throws Exception {
+    while (send("DELETE", BACKENDS + "unknown", "", "").statusCode() != OK) {
+      Thread.sleep(POLL_INTERVAL_MS);
+    }
+  }
+
   /** False too if a core that has no leader yet leaves the call unanswered. */
   private boolean isConfigured() throws Exception {
     try {
@@ -177,6 +187,7 @@
 
   @Test
   void backendAndOtherCallsHaveTheirAnswers() throws Exception {
+    awaitAcknowledgedDeregistrations();
     call("PUT", BACKENDS + "b2", "", BACKEND);
     call("PUT", BACKENDS + "b2", "", BACKEND.replace("open_for_mail", "other"));
     call("PUT", BACKENDS + "b2", "", "{}");
@@ -220,7 +231,7 @@
     for (String list : List.of("doors", "backends", "shards", "leases")) {
       command(list, "--json", "--core", cores);
     }
-    command("shards", "--json", "--core", NOBODY);
+    command("shards", "--json", "--core", UNREACHABLE_CORE);
     command("quota", "--json", "--core", cores, "north");
     command("quota", "--json", "--core", cores, "nobody");
     command("config", "get", "--json", "--core", cores);
--- a/fleet/src/test/java/nettletrail/fleet/http/ControlServerTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/http/ControlServerTest.java
@@ -72,7 +72,7 @@
         .awaitUninterruptibly(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private final class RecordingCalls implements ControlCalls {
+  private final class RecordingCalls implements ControlRequestHandler {
     @Override
     public void backend(long call, String method, Backend backend) {
       received.add(new ReceivedCall(call, method, backend, "", ""));
@@ -190,7 +190,7 @@
       Backend first = nextCall().backend();
       assertEquals(BackendState.GONE, first.getState());
       assertEquals("i-7f3a", first.getId());
-      assertEquals(ControlCalls.FINAL_CALL_SEQUENCE, first.getCallSequence());
+      assertEquals(ControlRequestHandler.FINAL_CALL_SEQUENCE, first.getCallSequence());
       assertEquals(17L, nextCall().backend().getCallSequence());
     }
   }
--- a/fleet/src/test/java/nettletrail/fleet/http/PipelinedRequestTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/http/PipelinedRequestTest.java
@@ -50,7 +50,7 @@
         .awaitUninterruptibly(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private final class RecordingCalls implements ControlCalls {
+  private final class RecordingCalls implements ControlRequestHandler {
     @Override
     public void backend(long call, String method, Backend backend) {
       received.add(call);
--- a/fleet/src/test/java/nettletrail/fleet/settings/SettingsFormTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/settings/SettingsFormTest.java
@@ -111,12 +111,12 @@
     keys.put("bounds.receipt_ms", settings -> settings.bounds().acknowledgementTimeout());
     keys.put("bounds.catch_up_s", settings -> settings.bounds().catchUpTime());
     keys.put("bounds.drain_ms", settings -> settings.bounds().drain());
-    keys.put("bounds.grace_s", settings -> settings.bounds().grace());
+    keys.put("bounds.grace_s", settings -> settings.bounds().shutdownGracePeriod());
     keys.put("bounds.loss_slack_ms", settings -> settings.bounds().lossTolerance());
-    keys.put("bounds.in_force_ms", settings -> settings.bounds().inForce());
+    keys.put("bounds.in_force_ms", settings -> settings.bounds().activationTime());
     keys.put("bounds.return_slack_ms", settings -> settings.bounds().deadlineTolerance());
     keys.put("bounds.stretch_ms", settings -> settings.bounds().streamGapTolerance());
-    keys.put("bounds.revoke_ms", settings -> settings.bounds().revoke());
+    keys.put("bounds.revoke_ms", settings -> settings.bounds().keyRevocationTime());
     keys.put("bounds.retry_window_s", settings -> settings.bounds().retryWindow());
     keys.put("bounds.quota_window_s", settings -> settings.bounds().quotaWindow());
     keys.put("bounds.recover_s", settings -> settings.bounds().recoveryTime());
@@ -128,7 +128,7 @@
     keys.put("bounds.revoked_closed", settings -> settings.bounds().revokedClosed());
     keys.put("bounds.retry_ratio", settings -> settings.bounds().retryRatio());
     keys.put("bounds.retry_slack", settings -> settings.bounds().retrySlack());
-    keys.put("bounds.quota_over", settings -> settings.bounds().quotaOver());
+    keys.put("bounds.quota_over", settings -> settings.bounds().quotaTolerance());
     keys.put("bounds.quota_slack", settings -> settings.bounds().quotaSlack());
   }
 
--- a/fleet/src/test/java/nettletrail/fleet/settings/SettingsReaderTest.java
+++ b/fleet/src/test/java/nettletrail/fleet/settings/SettingsReaderTest.java
@@ -84,13 +84,13 @@
 
   @Test
   void boundsAcceptFractionsAndHaveDefaults() throws SettingsException {
-    Bounds bounds = parse(CORE).bounds();
+    OperatingLimits bounds = parse(CORE).bounds();
     assertEquals(8_300_000_000L, bounds.faultRecurrence().toNanos());
     assertEquals(12_500_000L, bounds.processingTime().toNanos());
     assertEquals(0.25, bounds.retryRatio());
     assertEquals(190_000, bounds.quotaSlack());
     assertFalse(bounds.revokedClosed());
-    assertEquals(5000, bounds.revoke().toMillis());
+    assertEquals(5000, bounds.keyRevocationTime().toMillis());
     assertEquals(10_000, bounds.retryWindow().toMillis());
   }
 
--- a/protocol/src/main/java/nettletrail/protocol/link/Links.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/Links.java
@@ -101,13 +101,13 @@
   }
 
   /** Dials an address no more and closes its dialled link. */
-  public void undial(String address) {
+  public void stopDialling(String address) {
     requireLoop();
     diallers.remove(address);
   }
 
   /** The addresses that are kept dialled, whether a link is up or not; a copy. */
-  public Set<String> dialled() {
+  public Set<String> dialledAddresses() {
     requireLoop();
     return diallers.addresses();
   }
--- a/protocol/src/test/java/nettletrail/protocol/link/LinksTest.java
+++ b/protocol/src/test/java/nettletrail/protocol/link/LinksTest.java
@@ -110,7 +110,7 @@
             after.dial(address);
             assertEquals(1, core.next(Event.Down.class).peer().hello().getIncarnation());
             assertEquals(2, core.next(Event.Up.class).peer().hello().getIncarnation());
-            before.links.undial(address);
+            before.links.stopDialling(address);
             return null;
           });
       assertTrue(core.send(DOOR, new VersionQuery(3)));
@@ -129,8 +129,8 @@
       core.next(Event.Up.class);
       door.onLoop(
           () -> {
-            door.links.undial(address);
-            assertTrue(door.links.dialled().isEmpty());
+            door.links.stopDialling(address);
+            assertTrue(door.links.dialledAddresses().isEmpty());
             return null;
           });
       door.next(Event.Down.class);
@@ -171,7 +171,7 @@
           assertThrows(ProtocolException.class, () -> core.links.listen("localhost:80"));
       assertEquals(LinkStep.ACCEPT, failure.step());
       core.dial("nowhere");
-      assertTrue(core.onLoop(() -> core.links.dialled().isEmpty()));
+      assertTrue(core.onLoop(() -> core.links.dialledAddresses().isEmpty()));
     }
   }
 }
--- a/router/src/main/java/nettletrail/router/ControlView.java
+++ b/router/src/main/java/nettletrail/router/ControlView.java
@@ -18,7 +18,7 @@
    *
    * @param nowNanos the steady clock, in ns
    */
-  boolean routingIsCurrent(long nowNanos);
+  boolean isRoutingCurrent(long nowNanos);
 
   /**
    * Whether keys may be used: the routing table was confirmed as the newest so lately that none of
--- a/router/src/main/java/nettletrail/router/Exchange.java
+++ b/router/src/main/java/nettletrail/router/Exchange.java
@@ -116,7 +116,7 @@
   /** Whether it may run more than once (RFC 9110, section 9.2.2). */
   boolean isIdempotent() {
     RouteKind kind = route().kind();
-    return kind == RouteKind.REPEATABLE || kind == RouteKind.STREAM && route().resume();
+    return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAM && route().resume();
   }
 
   /** When it must be answered. */
--- a/router/src/main/java/nettletrail/router/ExchangeAttempt.java
+++ b/router/src/main/java/nettletrail/router/ExchangeAttempt.java
@@ -54,7 +54,7 @@
 
   @Override
   public void responseStarted(HttpResponse head) {
-    exchange.attempts().backend().heard(System.nanoTime());
+    exchange.attempts().backend().bytesReceived(System.nanoTime());
     handlers.responses().started(exchange, head);
   }
 
@@ -66,7 +66,7 @@
 
   @Override
   public void responseReadComplete() {
-    exchange.attempts().backend().heard(System.nanoTime());
+    exchange.attempts().backend().bytesReceived(System.nanoTime());
     exchange.response().flush();
   }
 
--- a/router/src/main/java/nettletrail/router/ExchangeAttempts.java
+++ b/router/src/main/java/nettletrail/router/ExchangeAttempts.java
@@ -126,7 +126,7 @@
     currentSent = true;
     prefillComplete = false;
     lastActivityAt = now;
-    backend.sent(size.inputTokens(), size.prefillTokens(), size.memoryTokens(), now);
+    backend.requestSent(size.inputTokens(), size.prefillTokens(), size.memoryTokens(), now);
   }
 
   /** Bytes of the current response's body arrived; the first ones tell the backend's latency. */
@@ -142,7 +142,7 @@
   private void completePrefill() {
     if (!prefillComplete) {
       prefillComplete = true;
-      backend.prefilled(size.inputTokens(), size.prefillTokens());
+      backend.prefillCompleted(size.inputTokens(), size.prefillTokens());
     }
   }
 
@@ -160,7 +160,7 @@
   private void end() {
     if (currentSent) {
       completePrefill();
-      backend.over(size.memoryTokens());
+      backend.requestEnded(size.memoryTokens());
       currentSent = false;
     }
     handle = null;
--- a/router/src/main/java/nettletrail/router/QuotaEnforcer.java
+++ b/router/src/main/java/nettletrail/router/QuotaEnforcer.java
@@ -59,7 +59,7 @@
       return true;
     }
     String tenant = exchange.resolution().tenantName();
-    if (!control.quota().take(tenant, cost, now)) {
+    if (!control.quota().tryAcquire(tenant, cost, now)) {
       exchange.quota().denied();
       return false;
     }
--- a/router/src/main/java/nettletrail/router/QuotaSource.java
+++ b/router/src/main/java/nettletrail/router/QuotaSource.java
@@ -10,7 +10,7 @@
    *
    * @return whether they were acquired; always true for a tenant without a rate limit
    */
-  boolean take(String tenant, long tokens, long now);
+  boolean tryAcquire(String tenant, long tokens, long now);
 
   /** Returns tokens that were acquired for a request which no backend ran. */
   void refund(String tenant, long tokens, long now);
--- a/router/src/main/java/nettletrail/router/RouteResolver.java
+++ b/router/src/main/java/nettletrail/router/RouteResolver.java
@@ -12,7 +12,7 @@
   void resolve(Exchange exchange, long now) {
     exchange.resolved(
         Resolution.of(
-            control.routingIsCurrent(now) ? control.routing() : null,
+            control.isRoutingCurrent(now) ? control.routing() : null,
             exchange.request(),
             control.keysConfirmed(now),
             control.routingConfirmed(now),
--- a/router/src/main/java/nettletrail/router/Router.java
+++ b/router/src/main/java/nettletrail/router/Router.java
@@ -83,20 +83,20 @@
   }
 
   /**
-   * Serves the readiness check, {@code GET /nettletrail/ready}, on another address: 200 if {@link
-   * #ready}, else 503. May be called from any thread.
+   * Serves the readiness check, {@code GET /nettletrail/isReady}, on another address: 200 if {@link
+   * #isReady}, else 503. May be called from any thread.
    *
    * @return completes once the address is bound
    */
   public ChannelFuture listenForProbes(String host, int port) {
-    return ReadinessServer.listen(loop, host, port, this::ready);
+    return ReadinessServer.listen(loop, host, port, this::isReady);
   }
 
   /** Whether this door accepts new clients: the result of its readiness check. */
-  public boolean ready() {
+  public boolean isReady() {
     RoutingTable routing = control.routing();
     long now = System.nanoTime();
-    if (listener == null || isDraining() || routing == null || !control.routingIsCurrent(now)) {
+    if (listener == null || isDraining() || routing == null || !control.isRoutingCurrent(now)) {
       return false;
     }
     return !routing.keysRequired() || control.keysConfirmed(now);
--- a/router/src/main/java/nettletrail/router/balance/BackendLoad.java
+++ b/router/src/main/java/nettletrail/router/balance/BackendLoad.java
@@ -45,13 +45,13 @@
   }
 
   /**
-   * A request is sent to the backend. Its end is reported by {@link #over}.
+   * A request is sent to the backend. Its end is reported by {@link #requestEnded}.
    *
    * @param prompt tokens of its prompt
    * @param prefill tokens of the prompt that are expected to miss the backend's prefix cache
    * @param memory tokens of the backend's KV cache that it uses at most
    */
-  public void sent(long prompt, long prefill, long memory, long now) {
+  public void requestSent(long prompt, long prefill, long memory, long now) {
     outlierDetector.requestSent(outstanding == 0, now);
     outstanding++;
     promptTokens += prompt;
@@ -61,21 +61,21 @@
 
   /**
    * Prefill of a request is complete, since the response's body began, or the request has ended.
-   * With the same arguments as {@link #sent}, once for each request.
+   * With the same arguments as {@link #requestSent}, once for each request.
    */
-  public void prefilled(long prompt, long prefill) {
+  public void prefillCompleted(long prompt, long prefill) {
     promptTokens -= prompt;
     prefillTokens -= prefill;
   }
 
-  /** A request has ended. With the memory that {@link #sent} was given. */
-  public void over(long memory) {
+  /** A request has ended. With the memory that {@link #requestSent} was given. */
+  public void requestEnded(long memory) {
     outstanding--;
     memoryTokens -= memory;
   }
 
   /** The backend sent bytes. */
-  public void heard(long now) {
+  public void bytesReceived(long now) {
     outlierDetector.bytesReceived(now);
   }
 
--- a/router/src/test/java/nettletrail/router/RouterConnectionTest.java
+++ b/router/src/test/java/nettletrail/router/RouterConnectionTest.java
@@ -102,7 +102,7 @@
           fixture.router.drain(2_000, done::countDown);
           return null;
         });
-    assertFalse(fixture.onLoop(fixture.router::ready));
+    assertFalse(fixture.onLoop(fixture.router::isReady));
     TestClient late = fixture.client();
     late.post("/once/x", "id-2", "", KEY);
     ScriptedBackend.Received lateRequest = backend.nextRequest();
--- a/router/src/test/java/nettletrail/router/RouterFixture.java
+++ b/router/src/test/java/nettletrail/router/RouterFixture.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public boolean routingIsCurrent(long nowNanos) {
+    public boolean isRoutingCurrent(long nowNanos) {
       return routingIsCurrent;
     }
 
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public boolean take(String tenant, long cost, long now) {
+    public boolean tryAcquire(String tenant, long cost, long now) {
       if (cost > tokens) {
         return false;
       }
--- a/router/src/test/java/nettletrail/router/RouterRoutingChangeTest.java
+++ b/router/src/test/java/nettletrail/router/RouterRoutingChangeTest.java
@@ -176,7 +176,7 @@
     assertNotNull(refused.header("Retry-After"));
     client.post("/nowhere/", "id-2", "", KEY);
     assertEquals(503, client.read().status());
-    assertFalse(fixture.onLoop(fixture.router::ready));
+    assertFalse(fixture.onLoop(fixture.router::isReady));
     fixture.onLoop(() -> fixture.control.routingIsCurrent = true);
     client.post("/open/x", "id-3", "");
     backend.nextRequest().respond("200 OK", "");
@@ -191,6 +191,6 @@
     client.post("/open/x", "id-1", "");
     backend.nextRequest().respond("200 OK", "");
     assertEquals(200, client.read().status());
-    assertTrue(fixture.onLoop(fixture.router::ready));
+    assertTrue(fixture.onLoop(fixture.router::isReady));
   }
 }
--- a/router/src/test/java/nettletrail/router/RouterTest.java
+++ b/router/src/test/java/nettletrail/router/RouterTest.java
@@ -131,7 +131,7 @@
     TestClient.Response response = client.read();
     assertEquals(503, response.status());
     assertNotNull(response.header("Retry-After"));
-    assertFalse(fixture.onLoop(fixture.router::ready));
+    assertFalse(fixture.onLoop(fixture.router::isReady));
   }
 
   @Test
--- a/router/src/test/java/nettletrail/router/balance/ServiceBackendsTest.java
+++ b/router/src/test/java/nettletrail/router/balance/ServiceBackendsTest.java
@@ -81,7 +81,7 @@
   void aBackendWithALongPrefillQueueIsAvoided() {
     update("b1", "b2", "b3", "b4", "b5", "b6");
     BackendLoad first = choose(PREFIX, ENGINE);
-    first.sent(60_000, 60_000, 60_000, 0);
+    first.requestSent(60_000, 60_000, 60_000, 0);
     assertNotEquals(first, choose(PREFIX, ENGINE));
   }
 
@@ -89,7 +89,7 @@
   void aBackendWithAFullKvCacheIsAvoided() {
     update("b1", "b2");
     BackendLoad first = choose(PREFIX, ENGINE);
-    first.sent(0, 0, 550_000, 0);
+    first.requestSent(0, 0, 550_000, 0);
     assertNotEquals(first, choose(PREFIX, ENGINE));
   }
 
@@ -98,7 +98,7 @@
     update("b1", "b2", "b3", "b4", "b5", "b6");
     String home = choose(PREFIX, ENGINE).endpoint().id();
     BackendLoad other = choose(PromptPrefix.NONE, ENGINE, home);
-    other.sent(90_000, 0, 90_000, 0);
+    other.requestSent(90_000, 0, 90_000, 0);
     assertEquals(home, backends.choose(request(PREFIX), ENGINE, 84, 0).endpoint().id());
   }
 
@@ -107,7 +107,7 @@
     update("b1", "b2");
     BackendLoad first = choose(PromptPrefix.NONE, null);
     for (int i = 0; i < 4; i++) {
-      first.sent(0, 0, 0, 0);
+      first.requestSent(0, 0, 0, 0);
     }
     assertNotEquals(first, choose(PromptPrefix.NONE, null));
   }
@@ -118,7 +118,7 @@
     BackendLoad near = choose(PromptPrefix.NONE, null);
     assertEquals("near", near.endpoint().id());
     for (int i = 0; i < 6; i++) {
-      near.sent(0, 0, 0, 0);
+      near.requestSent(0, 0, 0, 0);
     }
     assertEquals("far", choose(PromptPrefix.NONE, null).endpoint().id());
   }
@@ -141,7 +141,7 @@
     for (int i = 0; i < 50; i++) {
       BackendLoad next = choose(PromptPrefix.NONE, null);
       chosen.add(next);
-      next.sent(0, 0, 0, 0);
+      next.requestSent(0, 0, 0, 0);
     }
     assertEquals(3, chosen.size());
   }
@@ -150,7 +150,7 @@
   void anUnresponsiveBackendIsReportedOnceAndSkipped() {
     update("b1", "b2", "b3");
     BackendLoad unresponsive = choose(PromptPrefix.NONE, null);
-    unresponsive.sent(0, 0, 0, 0);
+    unresponsive.requestSent(0, 0, 0, 0);
     long later = OutlierDetector.IDLE_TIMEOUT_NANOS + 1;
     assertNotEquals(unresponsive, backends.choose(request(PromptPrefix.NONE), null, 1, later));
     assertEquals(List.of(unresponsive.endpoint().id()), backends.pollEjected());
@@ -161,7 +161,7 @@
   void aBackendInALongPrefillIsNotUnresponsive() {
     update("b1", "b2", "b3");
     BackendLoad prefilling = choose(PREFIX, ENGINE);
-    prefilling.sent(40_000, 40_000, 40_000, 0);
+    prefilling.requestSent(40_000, 40_000, 40_000, 0);
     long later = OutlierDetector.IDLE_TIMEOUT_NANOS + 1;
     backends.choose(request(PREFIX), ENGINE, 1, later);
     assertTrue(backends.pollEjected().isEmpty());
--- a/store/src/main/java/nettletrail/store/CoreStore.java
+++ b/store/src/main/java/nettletrail/store/CoreStore.java
@@ -16,12 +16,13 @@
 
   private final Member self;
   private final List<VersionStore> stores;
-  private final Map<Integer, StoredShard> stored;
+  private final Map<Integer, StoredShard> storedShards;
 
-  private CoreStore(Member self, List<VersionStore> stores, Map<Integer, StoredShard> stored) {
+  private CoreStore(
+      Member self, List<VersionStore> stores, Map<Integer, StoredShard> storedShards) {
     this.self = self;
     this.stores = stores;
-    this.stored = stored;
+    this.storedShards = storedShards;
   }
 
   /**
@@ -38,21 +39,21 @@
       Directory directory, String address, boolean firstRun, int shardCount, long random)
       throws StorageException {
     List<VersionStore> stores = new ArrayList<>();
-    Map<Integer, StoredShard> stored = new HashMap<>();
+    Map<Integer, StoredShard> storedShards = new HashMap<>();
     for (int shard = 0; shard < shardCount; shard++) {
       VersionStore store = new VersionStore(directory.subdirectory(StateLayout.shardFolder(shard)));
       stores.add(store);
-      stored.put(shard, store.load());
+      storedShards.put(shard, store.load());
     }
     Member self =
-        hasDamage(stored)
-            ? replaceIdentity(directory, address, random, stores, stored)
+        hasDamage(storedShards)
+            ? replaceIdentity(directory, address, random, stores, storedShards)
             : NodeIdentity.loadOrCreate(directory, address, firstRun, random);
-    return new CoreStore(self, stores, stored);
+    return new CoreStore(self, stores, storedShards);
   }
 
-  private static boolean hasDamage(Map<Integer, StoredShard> stored) {
-    return stored.values().stream().anyMatch(shard -> !shard.damaged().isEmpty());
+  private static boolean hasDamage(Map<Integer, StoredShard> storedShards) {
+    return storedShards.values().stream().anyMatch(shard -> !shard.damagedFiles().isEmpty());
   }
 
   /** Makes the fresh identity durable before the evidence of the damage is removed. */
@@ -61,11 +62,11 @@
       String address,
       long random,
       List<VersionStore> stores,
-      Map<Integer, StoredShard> stored)
+      Map<Integer, StoredShard> storedShards)
       throws StorageException {
     Member self = NodeIdentity.replace(directory, address, random);
     for (int shard = 0; shard < stores.size(); shard++) {
-      stores.get(shard).discard(stored.get(shard).damaged());
+      stores.get(shard).discard(storedShards.get(shard).damagedFiles());
     }
     return self;
   }
@@ -76,8 +77,8 @@
   }
 
   /** The state on the disk as it was opened, by shard number, with the names of damaged files. */
-  public Map<Integer, StoredShard> stored() {
-    return Map.copyOf(stored);
+  public Map<Integer, StoredShard> storedShards() {
+    return Map.copyOf(storedShards);
   }
 
   /** The readable versions of a shard on disk, the oldest first; for operators. */
--- a/store/src/main/java/nettletrail/store/StoredShard.java
+++ b/store/src/main/java/nettletrail/store/StoredShard.java
@@ -9,13 +9,14 @@
  *
  * @param promised the highest promised proposal number; null if none is stored or it is damaged
  * @param version the newest version that can be read, or null
- * @param damaged names of files whose content is damaged, sorted; empty on a healthy disk
+ * @param damagedFiles names of files whose content is damaged, sorted; empty on a healthy disk
  */
-public record StoredShard(ProposalNumber promised, ShardVersion version, List<String> damaged) {
+public record StoredShard(
+    ProposalNumber promised, ShardVersion version, List<String> damagedFiles) {
 
   /** Copies the list. */
   public StoredShard {
-    damaged = List.copyOf(damaged);
+    damagedFiles = List.copyOf(damagedFiles);
   }
 
   /** True when nothing was ever stored. */
--- a/store/src/test/java/nettletrail/store/ConfigurationOnDiskTest.java
+++ b/store/src/test/java/nettletrail/store/ConfigurationOnDiskTest.java
@@ -95,7 +95,7 @@
     assertEquals(List.of(version(11, plain()), version(12, compressed())), versions);
     assertEquals(plain(), valueOf(versions.get(0)));
     assertEquals(compressed(), valueOf(versions.get(1)));
-    assertEquals(versions.get(1), store.stored().get(0).version());
+    assertEquals(versions.get(1), store.storedShards().get(0).version());
   }
 
   @Test
--- a/store/src/test/java/nettletrail/store/CoreStoreTest.java
+++ b/store/src/test/java/nettletrail/store/CoreStoreTest.java
@@ -40,8 +40,8 @@
   void givenEmptyDisk_whenOpened_thenNothingIsStored() throws StorageException {
     CoreStore store = open(true);
     assertEquals(ADDRESS + "#0", store.self().getId());
-    assertTrue(store.stored().get(0).isEmpty());
-    assertTrue(store.stored().get(1).isEmpty());
+    assertTrue(store.storedShards().get(0).isEmpty());
+    assertTrue(store.storedShards().get(1).isEmpty());
   }
 
   @Test
@@ -66,17 +66,17 @@
       store.storeVersion(0, version(sequence));
     }
     assertEquals(VersionStore.KEPT_VERSIONS, versionFiles(0).size());
-    StoredShard stored = open(false).stored().get(0);
+    StoredShard stored = open(false).storedShards().get(0);
     assertEquals(new ProposalNumber(9L, "b"), stored.promised());
     assertEquals(version(9), stored.version());
-    assertTrue(stored.damaged().isEmpty());
+    assertTrue(stored.damagedFiles().isEmpty());
   }
 
   @Test
   void givenStoredVersions_whenOpenedAgain_thenNumberingGoesOn() throws StorageException {
     open(true).storeVersion(1, version(5));
     open(false).storeVersion(1, version(4));
-    assertEquals(version(4), open(false).stored().get(1).version());
+    assertEquals(version(4), open(false).storedShards().get(1).version());
   }
 
   @Test
@@ -84,7 +84,7 @@
     open(true).storeVersion(0, version(1));
     Path unfinished = folder.resolve("shard-0").resolve("version-00000000000000ff.tmp");
     Files.write(unfinished, new byte[] {1, 2, 3});
-    assertEquals(version(1), open(false).stored().get(0).version());
+    assertEquals(version(1), open(false).storedShards().get(0).version());
     assertFalse(Files.exists(unfinished));
   }
 
@@ -99,19 +99,20 @@
     content[content.length - 1] ^= 1;
     Files.write(newest, content);
     CoreStore reopened = open(false);
-    assertEquals(List.of(newest.getFileName().toString()), reopened.stored().get(0).damaged());
-    assertEquals(version(1), reopened.stored().get(0).version());
+    assertEquals(
+        List.of(newest.getFileName().toString()), reopened.storedShards().get(0).damagedFiles());
+    assertEquals(version(1), reopened.storedShards().get(0).version());
     assertNotEquals(store.self().getId(), reopened.self().getId());
     assertEquals(reopened.self(), open(false).self());
-    assertTrue(open(false).stored().get(0).damaged().isEmpty());
+    assertTrue(open(false).storedShards().get(0).damagedFiles().isEmpty());
   }
 
   @Test
   void givenTornPromise_whenOpened_thenReported() throws StorageException, IOException {
     open(true).storePromise(0, new ProposalNumber(3L, "a"));
     Files.write(folder.resolve("shard-0").resolve("promise"), new byte[5]);
-    StoredShard stored = open(false).stored().get(0);
+    StoredShard stored = open(false).storedShards().get(0);
     assertNull(stored.promised());
-    assertEquals(List.of("promise"), stored.damaged());
+    assertEquals(List.of("promise"), stored.damagedFiles());
   }
 }
--- a/store/src/test/java/nettletrail/store/SimulatedDirectory.java
+++ b/store/src/test/java/nettletrail/store/InMemoryDirectory.java
@@ -12,7 +12,7 @@
  * torn; names that were created, renamed or removed since the folder's sync are kept or lost, each
  * on its own; an operation that fails may have taken effect.
  */
-final class SimulatedDirectory implements Directory {
+final class InMemoryDirectory implements Directory {
 
   /** A file that outlives its names. */
   private static final class Content {
@@ -25,14 +25,14 @@
   }
 
   private final Random random;
-  private final Map<String, SimulatedDirectory> subdirectories = new HashMap<>();
+  private final Map<String, InMemoryDirectory> subdirectories = new HashMap<>();
   private final List<NameChange> unsyncedChanges = new ArrayList<>();
   private Map<String, Content> names = new HashMap<>();
   private Map<String, Content> durableNames = new HashMap<>();
   private double failureRate;
   private boolean removalsFail;
 
-  SimulatedDirectory(Random random) {
+  InMemoryDirectory(Random random) {
     this.random = random;
   }
 
@@ -60,7 +60,7 @@
       content.durable = content.written;
     }
     names = new HashMap<>(durableNames);
-    subdirectories.values().forEach(SimulatedDirectory::losePower);
+    subdirectories.values().forEach(InMemoryDirectory::losePower);
   }
 
   private byte[] afterPowerLoss(Content content) {
@@ -170,6 +170,6 @@
 
   @Override
   public Directory subdirectory(String name) {
-    return subdirectories.computeIfAbsent(name, created -> new SimulatedDirectory(random));
+    return subdirectories.computeIfAbsent(name, created -> new InMemoryDirectory(random));
   }
 }
--- a/store/src/test/java/nettletrail/store/PowerLossTest.java
+++ b/store/src/test/java/nettletrail/store/PowerLossTest.java
@@ -34,13 +34,13 @@
   void givenFailuresAndPowerLosses_whenReopened_thenAcknowledgedContentIsThere(@ForAll long seed)
       throws StorageException {
     Random random = new Random(seed);
-    SimulatedDirectory disk = new SimulatedDirectory(random);
+    InMemoryDirectory disk = new InMemoryDirectory(random);
     Expected expected = new Expected();
     Member identity = CoreStore.open(disk, ADDRESS, true, 1, 1L).self();
     for (int start = 0; start < STARTS; start++) {
       CoreStore store = CoreStore.open(disk, ADDRESS, false, 1, 2L);
       assertEquals(identity, store.self());
-      check(store.stored().get(0), expected);
+      check(store.storedShards().get(0), expected);
       disk.failWith(random.nextInt(3) == 0 ? 0.2 : 0);
       writeSome(store, expected, random);
       disk.failWith(0);
@@ -49,7 +49,7 @@
   }
 
   private static void check(StoredShard stored, Expected expected) {
-    assertTrue(stored.damaged().isEmpty(), stored.damaged().toString());
+    assertTrue(stored.damagedFiles().isEmpty(), stored.damagedFiles().toString());
     long promise = stored.promised() == null ? 0 : stored.promised().getTerm();
     assertTrue(promise >= expected.acknowledgedPromise, "promise forgotten");
     assertTrue(promise <= expected.lastPromise, "promise out of nowhere");
--- a/store/src/test/java/nettletrail/store/StateOnDiskTest.java
+++ b/store/src/test/java/nettletrail/store/StateOnDiskTest.java
@@ -57,14 +57,14 @@
     DiskDirectory disk = DiskDirectory.open(copyOfSample());
     CoreStore store = CoreStore.open(disk, ADDRESS, false, SHARDS, 99);
     assertEquals(IDENTITY, store.self().getId());
-    StoredShard configuration = store.stored().get(0);
-    assertEquals(List.of(), configuration.damaged());
+    StoredShard configuration = store.storedShards().get(0);
+    assertEquals(List.of(), configuration.damagedFiles());
     assertEquals(PROPOSAL, configuration.promised());
     assertEquals(version(VERSIONS), configuration.version());
     List<Long> kept = store.versions(0).stream().map(ShardVersion::getSequence).toList();
     assertEquals(List.of(2L, 3L, 4L, 5L), kept);
-    assertTrue(store.stored().get(1).isEmpty());
-    assertEquals(2, store.stored().get(4).promised().getTerm());
+    assertTrue(store.storedShards().get(1).isEmpty());
+    assertEquals(2, store.storedShards().get(4).promised().getTerm());
   }
 
   @Test
--- a/store/src/test/java/nettletrail/store/VersionStoreTest.java
+++ b/store/src/test/java/nettletrail/store/VersionStoreTest.java
@@ -14,7 +14,7 @@
 
   @Test
   void givenFullDisk_whenVersionsFail_thenUnfinishedFilesDontGather() throws StorageException {
-    SimulatedDirectory disk = new SimulatedDirectory(new Random(1));
+    InMemoryDirectory disk = new InMemoryDirectory(new Random(1));
     VersionStore store = new VersionStore(disk);
     store.load();
     disk.failWith(1);
@@ -31,7 +31,7 @@
   @Test
   void givenOldFilesThatCantBeRemoved_whenVersionsAreStored_thenTheyAreDurableAndOldOnesGoLater()
       throws StorageException {
-    SimulatedDirectory disk = new SimulatedDirectory(new Random(2));
+    InMemoryDirectory disk = new InMemoryDirectory(new Random(2));
     VersionStore store = new VersionStore(disk);
     store.load();
     for (long sequence = 1; sequence <= VersionStore.KEPT_VERSIONS; sequence++) {
@@ -51,7 +51,7 @@
   @Test
   void givenDiskThatFillsUpAndEmptiesAgain_whenManyVersionsAreStored_thenOnlyTheKeptFilesStay()
       throws StorageException {
-    SimulatedDirectory disk = new SimulatedDirectory(new Random(3));
+    InMemoryDirectory disk = new InMemoryDirectory(new Random(3));
     VersionStore store = new VersionStore(disk);
     store.load();
     for (long sequence = 1; sequence <= 400; sequence++) {
