--- a/protocol/src/main/java/nettletrail/protocol/link/LinkSettings.java
+++ b/protocol/src/main/java/nettletrail/protocol/link/LinkSettings.java
@@ -25,6 +25,14 @@
 
   private static final int MEGABYTE = 1 << 20;
   private static final int MIN_TIMER_MILLIS = 20;
+  private static final int DEFAULT_MAX_FRAME_BYTES = 16 * MEGABYTE;
+  private static final int DEFAULT_MAX_OUTBOUND_BYTES = 8 * MEGABYTE;
+  private static final int DEFAULT_MAX_ACCEPTED_LINKS = 2_048;
+  private static final int DEFAULT_PING_MILLIS = 400;
+  private static final int DEFAULT_IDLE_TIMEOUT_MILLIS = 1_600;
+  private static final int DEFAULT_CONNECT_TIMEOUT_MILLIS = 500;
+  private static final int DEFAULT_MIN_BACKOFF_MILLIS = 50;
+  private static final int DEFAULT_MAX_BACKOFF_MILLIS = 500;
 
   /** Rejects values that are out of range or contradict each other. */
   public LinkSettings {
@@ -40,11 +48,17 @@
         "maxBackoffMillis must not be below minBackoffMillis");
   }
 
-  /**
-   * The fleet's settings: frames to 16 MB, 8 MB outbound, pings after 400 ms, idle timeout 1.6 s.
-   */
+  /** The settings of the fleet's processes. */
   public static LinkSettings defaults() {
-    return new LinkSettings(16 * MEGABYTE, 8 * MEGABYTE, 2048, 400, 1600, 500, 50, 500);
+    return new LinkSettings(
+        DEFAULT_MAX_FRAME_BYTES,
+        DEFAULT_MAX_OUTBOUND_BYTES,
+        DEFAULT_MAX_ACCEPTED_LINKS,
+        DEFAULT_PING_MILLIS,
+        DEFAULT_IDLE_TIMEOUT_MILLIS,
+        DEFAULT_CONNECT_TIMEOUT_MILLIS,
+        DEFAULT_MIN_BACKOFF_MILLIS,
+        DEFAULT_MAX_BACKOFF_MILLIS);
   }
 
   private static void require(boolean holds, String otherwise) {
--- a/store/src/test/java/nettletrail/store/InMemoryDirectory.java
+++ b/store/src/test/java/nettletrail/store/InMemoryDirectory.java
@@ -47,7 +47,7 @@
     removalsFail = fail;
   }
 
-  /** Drops, keeps or tears what isn't durable, drawn for each change; */
+  /** Drops, keeps or tears what isn't durable, drawn for each change. */
   void losePower() {
     for (NameChange change : unsyncedChanges) {
       if (random.nextBoolean()) {
