--- a/app/src/main/java/nettletrail/app/ExtProcSubsystem.java
+++ b/app/src/main/java/nettletrail/app/ExtProcSubsystem.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import nettletrail.core.Front;
 import nettletrail.core.Section;
-import nettletrail.extproc.ExtProcFront;
+import nettletrail.extproc.ExtProcServer;
 import nettletrail.extproc.ExtProcSettings;
 
 /** {@code [ext_proc]}: off, none of its classes beyond its settings' are loaded. */
@@ -23,6 +23,6 @@
 
     @Override
     public Optional<Front.Maker> front(Section.Values values, Desk desk) {
-        return values.flag("enabled") ? Optional.of(ExtProcFront.maker(ExtProcSettings.of(values))) : Optional.empty();
+        return values.flag("enabled") ? Optional.of(ExtProcServer.factory(ExtProcSettings.of(values))) : Optional.empty();
     }
 }
--- a/app/src/test/java/nettletrail/app/TokensAtADoor.java
+++ b/app/src/test/java/nettletrail/app/TokensAtADoor.java
@@ -29,7 +29,7 @@
 import nettletrail.decision.SettingsReader;
 import nettletrail.door.Config;
 import nettletrail.door.FrontDoor;
-import nettletrail.extproc.ExtProcFront;
+import nettletrail.extproc.ExtProcServer;
 import nettletrail.extproc.ExtProcSettings;
 import nettletrail.introspection.StandInIntrospection;
 import nettletrail.introspection.StandInIntrospection.Fault;
@@ -69,7 +69,7 @@
     final AtomicInteger asks = new AtomicInteger();
     volatile IntConsumer beforeAsk = count -> { };
     TokensAdmission admission;
-    ExtProcFront proxied;
+    ExtProcServer proxied;
 
     record Reply(int status, String text, long tookMs) {
         boolean has(String part) {
@@ -114,7 +114,7 @@
                 fault -> {
                     throw new IllegalStateException(fault.toString());
                 });
-        proxied = (ExtProcFront) ExtProcFront.maker(ExtProcSettings.of(values)).make(loops, reader, settings);
+        proxied = (ExtProcServer) ExtProcServer.factory(ExtProcSettings.of(values)).make(loops, reader, settings);
         return proxied;
     }
 
--- a/ext-proc/src/main/java/nettletrail/extproc/AskStream.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/AskStream.java
@@ -121,11 +121,11 @@
         if (txn == null || !txn.equals(headers.apply("x-txn"))) {
             wrong("request_headers of another request: a stream is for one request, open another for the next");
         } else if (phase == Phase.ASKED) {
-            processor.counts().askedAgain++; // the answer that is due serves both
+            processor.counters().askedAgain++; // the answer that is due serves both
         } else if (ask != null && !ask.unsafe()) {
             wrong("request_headers after their decision: open another stream to ask again");
         } else {
-            processor.counts().askedAgain++;
+            processor.counters().askedAgain++;
             fail(502, "it was handed out before and may have run");
         }
     }
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcFront.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
@@ -36,7 +36,7 @@
  * The external processor as a front: its two listeners on the front door's event loop, where gRPC calls run too, so
  * that no ask waits for another thread and the module needs no lock.
  */
-public final class ExtProcFront implements Front {
+public final class ExtProcServer implements Front {
     private static final int MOST_METADATA = 16 << 10;
     /** Resets of streams that a connection may send in a window before it is closed: HTTP/2 rapid reset. */
     private static final int MOST_RESETS = 2_000;
@@ -60,17 +60,17 @@
     private Channel http;
 
     /** The front that the settings describe. */
-    public static Front.Maker maker(ExtProcSettings settings) {
-        return (group, reader, deployment) -> new ExtProcFront(settings, group, reader, deployment, true);
+    public static Front.Maker factory(ExtProcSettings settings) {
+        return (group, reader, deployment) -> new ExtProcServer(settings, group, reader, deployment, true);
     }
 
     /** The same without a dry run: it starts at once and is cold. */
-    static ExtProcFront cold(ExtProcSettings settings, EventLoopGroup group, SettingsReader reader,
+    static ExtProcServer cold(ExtProcSettings settings, EventLoopGroup group, SettingsReader reader,
             Gateway.Settings deployment) {
-        return new ExtProcFront(settings, group, reader, deployment, false);
+        return new ExtProcServer(settings, group, reader, deployment, false);
     }
 
-    private ExtProcFront(ExtProcSettings settings, EventLoopGroup group, SettingsReader reader,
+    private ExtProcServer(ExtProcSettings settings, EventLoopGroup group, SettingsReader reader,
             Gateway.Settings deployment, boolean dryRun) {
         this.settings = settings;
         this.group = group;
@@ -173,8 +173,8 @@
     }
 
     /** What has happened since the start, by name; asked on the loop. */
-    public java.util.Map<String, Object> counts() {
-        return processor.counts().all();
+    public java.util.Map<String, Object> counters() {
+        return processor.counters().all();
     }
 
     /** Calls that are open go on: gRPC callers are told to open no more, HTTP ones are closed when idle. */
--- a/ext-proc/src/main/java/nettletrail/extproc/HttpAsks.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/HttpAsks.java
@@ -114,7 +114,7 @@
         switch (uri.path()) {
             case ASK -> ask(headers);
             case OUTCOME -> outcome(request.method(), headers);
-            case COUNTS -> counts();
+            case COUNTS -> counters();
             default -> answer(404, "malformed", 0, "there is " + ASK + ", " + OUTCOME + " and " + COUNTS);
         }
     }
@@ -173,9 +173,9 @@
         }
     }
 
-    private void counts() {
+    private void counters() {
         try {
-            respond(200, Unpooled.copiedBuffer(com.fasterxml.jackson.jr.ob.JSON.std.asString(processor.counts().all()),
+            respond(200, Unpooled.copiedBuffer(com.fasterxml.jackson.jr.ob.JSON.std.asString(processor.counters().all()),
                     StandardCharsets.UTF_8), response -> response.set(HttpHeaderNames.CONTENT_TYPE, "application/json"));
         } catch (IOException e) {
             throw new IllegalStateException(e);
--- a/ext-proc/src/main/java/nettletrail/extproc/Processor.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/Processor.java
@@ -219,7 +219,7 @@
         return loop.submit(what);
     }
 
-    Counts counts() {
+    Counts counters() {
         return counts;
     }
 
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
@@ -42,7 +42,7 @@
     private final List<ManagedChannel> channels = new ArrayList<>();
     private final Path folder;
     private final Map<String, Object> values = new LinkedHashMap<>();
-    private ExtProcFront front;
+    private ExtProcServer front;
     private FrontDoor door;
 
     ExtProcRig(Path folder) {
@@ -68,7 +68,7 @@
         ExtProcSettings.check(read, faults::add);
         assertEquals(List.of(), faults);
         door = FrontDoor.start(config, module, (loop, reader, settings) ->
-                front = ExtProcFront.cold(ExtProcSettings.of(read), loop, reader, settings));
+                front = ExtProcServer.cold(ExtProcSettings.of(read), loop, reader, settings));
         return this;
     }
 
@@ -76,7 +76,7 @@
         return door;
     }
 
-    ExtProcFront front() {
+    ExtProcServer front() {
         return front;
     }
 
--- a/ext-proc/src/test/java/nettletrail/extproc/HardCasesTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/HardCasesTest.java
@@ -176,7 +176,7 @@
     private void awaitAskedAgain() throws Exception {
         long[] seen = new long[1];
         for (int i = 0; i < 2_000 && seen[0] == 0; i++) {
-            rig.front().processor().onLoop(() -> seen[0] = (Long) rig.front().counts().get("asked_again")).get();
+            rig.front().processor().onLoop(() -> seen[0] = (Long) rig.front().counters().get("asked_again")).get();
             Thread.sleep(seen[0] == 0 ? 5 : 0);
         }
         assertEquals(1, seen[0], "the second message was read");
@@ -252,7 +252,7 @@
         peer.outcome(200);
         assertTrue(peer.next().hasResponseHeaders(), "the client still gets its one answer");
         long[] late = new long[1];
-        rig.front().processor().onLoop(() -> late[0] = (Long) rig.front().counts().get("outcomes_late")).get();
+        rig.front().processor().onLoop(() -> late[0] = (Long) rig.front().counters().get("outcomes_late")).get();
         assertEquals(1, late[0]);
         assertTrue(module.told.isEmpty());
     }
