--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
@@ -130,11 +130,11 @@
     }
 
     /** A module whose decisions the test gives, and that notes what it is told. */
-    static final class Scripted implements Gateway {
+    static class Scripted implements Gateway {
         final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
         private final BlockingQueue<Long> arrivals = new LinkedBlockingQueue<>();
         private final long sendTo;
-        private Gateway.Actions actions;
+        Gateway.Actions actions;
 
         /** @param sendTo each arrival goes there at once; 0: arrivals wait for the test */
         Scripted(long sendTo) {
