--- a/app/src/main/java/nettletrail/app/scale/HollowDoor.java
+++ b/app/src/main/java/nettletrail/app/scale/HollowDoor.java
@@ -25,7 +25,7 @@
 import nettletrail.core.Report;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.SettingsReader;
-import nettletrail.discovery.Discovery;
+import nettletrail.discovery.DiscoveryClient;
 import nettletrail.upstream.BackendPool;
 
 /**
@@ -56,7 +56,7 @@
     private final Host host;
     private final HollowBackends backends;
     private final Dispatcher dispatcher;
-    private final Discovery discovery;
+    private final DiscoveryClient discovery;
     private final Intake intake;
     private final Carrier carrier;
     private final SplittableRandom random;
@@ -97,9 +97,9 @@
                     module = new TimedModule(host.mechanism().maker(number).make(told, now, actions));
                     return module;
                 });
-        discovery = new Discovery(control, agent, -1, seed, this);
-        dispatcher.news(discovery::look);
-        control.execute(discovery::follow);
+        discovery = new DiscoveryClient(control, agent, -1, seed, this);
+        dispatcher.news(discovery::readPending);
+        control.execute(discovery::poll);
         if (driven) {
             dueNs = System.nanoTime();
             tick();
--- a/app/src/main/java/nettletrail/app/scale/roles/SettingsRole.java
+++ b/app/src/main/java/nettletrail/app/scale/roles/SettingsRole.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.Map;
 import nettletrail.core.Endpoint;
-import nettletrail.discovery.Discovery;
+import nettletrail.discovery.DiscoveryClient;
 import nettletrail.door.Config;
 import nettletrail.emulator.capacity.Gauge;
 import nettletrail.emulator.capacity.Rounded;
 
 /** A front door's configuration and discovery's list by their numbers of plans and backends, through the real readers. */
 final class SettingsRole {
-    /** Of an answer of discovery, at most: what {@code Discovery} takes. */
+    /** Of an answer of discovery, at most: what {@code DiscoveryClient} takes. */
     static final int MOST_LIST_BYTES = 4 << 20;
     private static final int REPEATS = 7;
 
@@ -65,7 +65,7 @@
         for (int i = 0; i < REPEATS; i++) {
             long cpu = Gauge.cpuNs();
             long before = Gauge.allocated();
-            List<Endpoint> entries = Discovery.entries(JSON.std.mapFrom(text));
+            List<Endpoint> entries = DiscoveryClient.parseEndpoints(JSON.std.mapFrom(text));
             allocated = Gauge.allocated() - before;
             best = Math.min(best, (Gauge.cpuNs() - cpu) / 1e6);
             if (entries.size() != backends) {
@@ -76,7 +76,7 @@
         told.put("parse_allocated_bytes", allocated);
         told.put("kept_bytes", Gauge.keptBytes(() -> {
             try {
-                return Discovery.entries(JSON.std.mapFrom(text));
+                return DiscoveryClient.parseEndpoints(JSON.std.mapFrom(text));
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -123,7 +123,7 @@
                 long before = Gauge.allocated();
                 Config config = Config.read(env);
                 int read = config.settings().settings(1).plans().size();
-                int known = Discovery.entries(config.known()).size();
+                int known = DiscoveryClient.parseEndpoints(config.known()).size();
                 allocated = Gauge.allocated() - before;
                 best = Math.min(best, (Gauge.cpuNs() - cpu) / 1e6);
                 if (read != plans || known != backends) {
--- a/ext-proc/src/main/java/nettletrail/extproc/HttpAsks.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/HttpAsks.java
@@ -24,7 +24,7 @@
 import nettletrail.core.Intake;
 import nettletrail.core.Report;
 import nettletrail.decision.Gateway.Outcome;
-import nettletrail.http.HeadRules;
+import nettletrail.http.RequestHeadValidator;
 
 /**
  * One connection of a proxy that asks over HTTP: {@code /v1/ask} in the forward-auth or {@code auth_request} form (2xx
@@ -43,7 +43,7 @@
     private static final String HOW = "X-Gateway-Outcome";
     /** Requests that wait behind the open one; a proxy that sends more is not answered further. */
     private static final int MOST_WAITING = 16;
-    /** Beside those of {@link HeadRules}. */
+    /** Beside those of {@link RequestHeadValidator}. */
     private static final List<String> ONCE = List.of(METHOD.get(0), METHOD.get(1), PATH.get(0), PATH.get(1), ATTEMPT, HOW);
 
     private final Processor processor;
@@ -88,14 +88,14 @@
         keepAlive = HttpUtil.isKeepAlive(request);
         denyAs403 = false;
         bare = request.method().equals(HttpMethod.HEAD);
-        HeadRules.Fault fault = HeadRules.fault(request);
+        RequestHeadValidator.HeadError fault = RequestHeadValidator.findError(request);
         if (fault != null) {
-            keepAlive &= fault.framed();
-            answer(fault.status().code(), "malformed", 0, fault.text());
+            keepAlive &= fault.endKnown();
+            answer(fault.status().code(), "malformed", 0, fault.message());
             return;
         }
         HttpHeaders headers = request.headers();
-        String twice = HeadRules.twice(headers, ONCE);
+        String twice = RequestHeadValidator.findRepeated(headers, ONCE);
         if (twice == null && (both(headers, METHOD) || both(headers, PATH))) {
             twice = "the request's method or path";
         }
--- a/front-door/src/main/java/nettletrail/discovery/Discovery.java
+++ b/front-door/src/main/java/nettletrail/discovery/DiscoveryClient.java
@@ -38,9 +38,9 @@
 /**
  * Follows discovery: one call at a time, each asking for what is newer than the last answer. Every call has a
  * time-out, for an agent that has lost discovery is silent, and after a fault the next call comes quickly; a watch that
- * seems silent gets a second call beside it. All times are {@link ToldBudget}'s.
+ * seems silent gets a second call beside it. All times are {@link DiscoveryTiming}'s.
  */
-public final class Discovery {
+public final class DiscoveryClient {
     private static final int MOST_BYTES = 4 << 20;
     private static final int LEAST_WAIT_MS = 1;
 
@@ -70,7 +70,7 @@
      * @param index the version of the list that is held already, or below 0 for none
      * @param seed of what spreads the calls after a fault: each front door's own
      */
-    public Discovery(EventLoop loop, InetSocketAddress agent, long index, long seed, Endpoint.Listener listener) {
+    public DiscoveryClient(EventLoop loop, InetSocketAddress agent, long index, long seed, Endpoint.Listener listener) {
         this.loop = loop;
         this.index = index;
         random = new SplittableRandom(seed);
@@ -78,7 +78,7 @@
         this.listener = listener;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ToldBudget.CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTiming.CONNECT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel made) {
@@ -92,18 +92,18 @@
      * Goes over to another agent: the old one's connection is dropped, and the whole list asked for, as versions
      * of one agent say nothing to the other. What was listed so far stays in force until then.
      */
-    public void move(InetSocketAddress to) {
+    public void switchAgent(InetSocketAddress to) {
         Log.line("discovery: from " + agent + " to " + to);
         agent = to;
         index = -1;
         faults = 0;
         drop();
         dropOverdue();
-        follow();
+        poll();
     }
 
     /** Calls for the whole list, and then for ever for what is newer. */
-    public void follow() {
+    public void poll() {
         if (channel != null) {
             call();
             return;
@@ -125,7 +125,7 @@
     private void call() {
         // The first call after a break asks for what there is and waits for nothing: one that is silent too is told from one
         // that has no news, and given up so much sooner.
-        int wait = index < 0 ? 0 : broken ? LEAST_WAIT_MS : ToldBudget.WAIT_MS;
+        int wait = index < 0 ? 0 : broken ? LEAST_WAIT_MS : DiscoveryTiming.WAIT_MS;
         String path = index < 0 ? "/api/targets" : "/api/targets?index=" + index + "&wait=" + wait;
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         request.headers().set(HttpHeaderNames.HOST, "discovery");
@@ -133,10 +133,10 @@
         calledAt = System.nanoTime();
         calling = true;
         if (wait > LEAST_WAIT_MS) {
-            timeout = loop.schedule(this::seemsSilent, wait + ToldBudget.GRACE_MS, TimeUnit.MILLISECONDS);
+            timeout = loop.schedule(this::seemsSilent, wait + DiscoveryTiming.GRACE_MS, TimeUnit.MILLISECONDS);
         } else {
             // A machine that is cut off says nothing, and TCP does not tell: without this it would be waited for for ever.
-            int most = ToldBudget.ANSWER_MS + wait;
+            int most = DiscoveryTiming.ANSWER_MS + wait;
             timeout = loop.schedule(() -> unanswered(most), most, TimeUnit.MILLISECONDS);
         }
     }
@@ -150,7 +150,7 @@
     /** Whether the call that this is the time-out of is over by what lay unread: the loop may be late. */
     private boolean cameMeanwhile() {
         Future<?> mine = timeout;
-        look();
+        readPending();
         return timeout != mine || !calling;
     }
 
@@ -166,11 +166,11 @@
         overdue = channel;
         channel = null;
         calling = false;
-        overdueTimeout = loop.schedule(this::dropOverdue, ToldBudget.ANSWER_MS - ToldBudget.GRACE_MS,
+        overdueTimeout = loop.schedule(this::dropOverdue, DiscoveryTiming.ANSWER_MS - DiscoveryTiming.GRACE_MS,
                 TimeUnit.MILLISECONDS);
         broken = true;
         faults = 0; // whatever came before it is long ago
-        follow();
+        poll();
     }
 
     /** The answer of a watch that seemed silent: news are news, and the second call goes on by itself. */
@@ -181,7 +181,7 @@
                 long version = version(body);
                 if (version >= index && (index >= 0 || whole(body))) {
                     index = version;
-                    listener.listed(whole(body), entries(body));
+                    listener.listed(whole(body), parseEndpoints(body));
                 }
             } catch (IOException e) {
                 Log.line("discovery: a late answer can't be read: " + e.getClass().getSimpleName());
@@ -217,7 +217,7 @@
                 drop();
             }
             long stoodMs = (System.nanoTime() - calledAt) / 1_000_000;
-            again("answer " + response.status(), ToldBudget.busyPauseMs(faults, stoodMs, random));
+            again("answer " + response.status(), DiscoveryTiming.busyPauseMs(faults, stoodMs, random));
             return;
         }
         dropOverdue(); // it has no more to say than this
@@ -242,15 +242,15 @@
             // Changes up to a version before ours would undo later ones: what holds now only the whole list tells.
             index = -1;
         } else {
-            listener.listed(whole(body), entries(body));
+            listener.listed(whole(body), parseEndpoints(body));
         }
-        follow();
+        poll();
     }
 
     private void broken(String why) {
         broken = true;
         drop();
-        again(why, ToldBudget.silentPauseMs(faults, random));
+        again(why, DiscoveryTiming.silentPauseMs(faults, random));
     }
 
     /** The connection is of no use any more. In a pause that is no reason for another: the two together could be too long. */
@@ -269,7 +269,7 @@
         }
         faults++;
         listener.listFailed();
-        retry = loop.schedule(this::follow, pauseMs, TimeUnit.MILLISECONDS);
+        retry = loop.schedule(this::poll, pauseMs, TimeUnit.MILLISECONDS);
     }
 
     private static boolean busy(int status) {
@@ -277,7 +277,7 @@
     }
 
     /** Takes in an answer that has come and was not read yet. */
-    public void look() {
+    public void readPending() {
         if (!reading) {
             for (Channel each : new Channel[] {channel, overdue}) {
                 if (each != null) {
@@ -316,7 +316,7 @@
     }
 
     /** The entries of an answer or of the list that the configuration holds; those that make no sense are left out. */
-    public static List<Endpoint> entries(Map<?, ?> list) {
+    public static List<Endpoint> parseEndpoints(Map<?, ?> list) {
         List<Endpoint> entries = new ArrayList<>();
         if (list.get("endpoints") instanceof List<?> rows) {
             for (Object row : rows) {
--- a/front-door/src/main/java/nettletrail/discovery/ToldBudget.java
+++ b/front-door/src/main/java/nettletrail/discovery/DiscoveryTiming.java
@@ -26,7 +26,7 @@
  * 206 for 480. While turning one away costs it less than the inverse (23 and 4.8 ms) it has time left for lists. No set of pauses
  * does better than N / BUSY and keeps to the sum.
  */
-final class ToldBudget {
+final class DiscoveryTiming {
     /** What discovery has to tell counts as told then, by the protocol. */
     static final int TOLD_MS = 6_000;
     /** Of that, for a loop that is late at each of its timers, and for taking the list in. */
@@ -53,7 +53,7 @@
     /** The most from one call that was turned away to the next. */
     static final int BUSY_MS = TOLD_MS - LATE_MS - ANSWER_MS;
 
-    private ToldBudget() { }
+    private DiscoveryTiming() { }
 
     /** From a call that was not answered to the next, ms, after so many faults in a row before it; up to {@link #SILENT_MS}. */
     static int silentPauseMs(int faultsBefore, SplittableRandom random) {
--- a/front-door/src/main/java/nettletrail/door/DryRun.java
+++ b/front-door/src/main/java/nettletrail/door/DryRun.java
@@ -39,7 +39,7 @@
  * buffers). It does harm where a front door is missed more while it warms up than it would lose cold, so its time is
  * bounded.
  */
-final class DryRun implements ClientHandler.Door {
+final class DryRun implements ClientHandler.Owner {
     private static final int REQUESTS = 250;
     private static final int CLIENTS = 4;
     private static final long MOST_MS = 2_000;
@@ -193,8 +193,8 @@
     }
 
     @Override
-    public void opened(ClientHandler connection) { }
+    public void connectionOpened(ClientHandler connection) { }
 
     @Override
-    public void closed(ClientHandler connection) { }
+    public void connectionClosed(ClientHandler connection) { }
 }
--- a/front-door/src/main/java/nettletrail/door/FrontDoor.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoor.java
@@ -40,12 +40,12 @@
 import nettletrail.decision.Brain;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.WireFault;
-import nettletrail.discovery.Discovery;
+import nettletrail.discovery.DiscoveryClient;
 import nettletrail.http.ClientHandler;
 import nettletrail.upstream.BackendPool;
 
 /** One front door: its parts, its start, when it is ready and how it ends. */
-public final class FrontDoor implements ClientHandler.Door, Endpoint.Listener {
+public final class FrontDoor implements ClientHandler.Owner, Endpoint.Listener {
     /** New connections go on coming for so long after SIGTERM. */
     static final long ACCEPT_AFTER_TERM_MS = 500;
     /** No client waits longer, by the protocol; {@link #longestMs} may be less. */
@@ -87,7 +87,7 @@
     private final Gateway.Settings settings;
     private final BackendPool pool;
     private final Dispatcher dispatcher;
-    private final Discovery discovery;
+    private final DiscoveryClient discovery;
     private final Bound bound;
     private final Admission admission;
     private final Members members;
@@ -148,8 +148,8 @@
         ApertureSettings aperture = config.settings().aperture(more.aperture());
         dispatcher = new Dispatcher(loop, clock, admission, bound, carriers, config.settings(), settings,
                 new BehindAperture(module, index, aperture));
-        discovery = new Discovery(loop, config.discovery(), version(config.known()), config.seed(), this);
-        dispatcher.news(discovery::look);
+        discovery = new DiscoveryClient(loop, config.discovery(), version(config.known()), config.seed(), this);
+        dispatcher.news(discovery::readPending);
     }
 
     /** Of the list that the configuration holds, or below 0: what is newer is less than the whole list. */
@@ -194,7 +194,7 @@
     void reload(Map<String, String> env) {
         try {
             InetSocketAddress agent = Config.discoveryNow(env);
-            loop.execute(() -> discovery.move(agent));
+            loop.execute(() -> discovery.switchAgent(agent));
         } catch (Config.Unusable e) {
             Log.line("SIGHUP: " + e.getMessage() + "; the old configuration stays");
         }
@@ -222,10 +222,10 @@
         FrontDoor door = new FrontDoor(config, module, more);
         try {
             door.loop.submit(() -> {
-                door.dispatcher.listed(true, Discovery.entries(config.known()));
+                door.dispatcher.listed(true, DiscoveryClient.parseEndpoints(config.known()));
                 return null;
             }).get();
-            door.loop.execute(door.discovery::follow);
+            door.loop.execute(door.discovery::poll);
             door.loop.schedule(() -> door.listed = true, MOST_LIST_WAIT_MS, TimeUnit.MILLISECONDS);
             door.loop.scheduleWithFixedDelay(door::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | IllegalArgumentException e) {
@@ -390,8 +390,8 @@
     void endIdle(long leastNs) {
         long now = System.nanoTime();
         for (ClientHandler client : List.copyOf(clients)) {
-            if (client.idle() && now - client.idleSince() > leastNs) {
-                client.endSpare();
+            if (client.isIdle() && now - client.idleSinceNanos() > leastNs) {
+                client.closeIfEvictable();
             }
         }
     }
@@ -414,7 +414,7 @@
     private void sweep() {
         long now = System.nanoTime();
         for (ClientHandler client : List.copyOf(clients)) {
-            client.sweep(now, MOST_STANDING_NS);
+            client.closeIfTimedOut(now, MOST_STANDING_NS);
         }
     }
 
@@ -431,7 +431,7 @@
     }
 
     @Override
-    public void opened(ClientHandler connection) {
+    public void connectionOpened(ClientHandler connection) {
         clients.add(connection);
         connected++;
         if (clients.size() > mostClients) {
@@ -452,7 +452,7 @@
         for (ClientHandler oldest = oldest(newest, leastNs); oldest != null; oldest = oldest(newest, leastNs)) {
             // Left out at once: the channel tells its end only at the loop's next turn, and for all that are taken
             // in the same turn the same one would be found again. A crowd would grow past every descriptor.
-            if (oldest.endSpare()) {
+            if (oldest.closeIfEvictable()) {
                 clients.remove(oldest);
                 return true;
             }
@@ -464,9 +464,9 @@
         long now = System.nanoTime();
         ClientHandler oldest = null;
         for (ClientHandler client : clients) {
-            if (client != newest && client.spare() < ClientHandler.NOT_SPARE && now - client.idleSince() >= leastNs
-                    && (oldest == null || client.spare() < oldest.spare()
-                    || client.spare() == oldest.spare() && client.idleSince() - oldest.idleSince() < 0)) {
+            if (client != newest && client.evictionRank() < ClientHandler.NOT_EVICTABLE && now - client.idleSinceNanos() >= leastNs
+                    && (oldest == null || client.evictionRank() < oldest.evictionRank()
+                    || client.evictionRank() == oldest.evictionRank() && client.idleSinceNanos() - oldest.idleSinceNanos() < 0)) {
                 oldest = client;
             }
         }
@@ -474,7 +474,7 @@
     }
 
     @Override
-    public void closed(ClientHandler connection) {
+    public void connectionClosed(ClientHandler connection) {
         clients.remove(connection);
         if (listening.isOpen() && !listening.config().isAutoRead()) {
             listening.config().setAutoRead(true);
--- a/front-door/src/main/java/nettletrail/http/ClientHandler.java
+++ b/front-door/src/main/java/nettletrail/http/ClientHandler.java
@@ -49,22 +49,22 @@
     private static final byte[] CHALLENGE = HeadBytes.constant("\r\nwww-authenticate: ");
     private static final byte[] CLOSE_AND_END = HeadBytes.constant("\r\nconnection: close\r\n\r\n");
     private static final byte[] END = HeadBytes.constant("\r\n\r\n");
-    public static final int NOT_SPARE = 3;
+    public static final int NOT_EVICTABLE = 3;
 
     /** What the whole front door knows and a connection needs. */
-    public interface Door {
+    public interface Owner {
         boolean ready();
 
         boolean draining();
 
-        void opened(ClientHandler connection);
+        void connectionOpened(ClientHandler connection);
 
-        void closed(ClientHandler connection);
+        void connectionClosed(ClientHandler connection);
     }
 
     private record Waiting(FullHttpRequest request, long since) { }
 
-    private final Door door;
+    private final Owner owner;
     private final Intake intake;
     private final Dispatcher dispatcher;
     private final Carrier carrier;
@@ -98,18 +98,18 @@
     private long unwrittenBefore;
     private long unwrittenSince;
 
-    private ClientHandler(Door door, Intake intake, Dispatcher dispatcher, Carrier carrier) {
-        this.door = door;
+    private ClientHandler(Owner owner, Intake intake, Dispatcher dispatcher, Carrier carrier) {
+        this.owner = owner;
         this.intake = intake;
         this.dispatcher = dispatcher;
         this.carrier = carrier;
     }
 
     /** All that a client's connection is made of. */
-    public static void add(ChannelPipeline to, Door door, Intake intake, Dispatcher dispatcher, Carrier carrier) {
-        ClientHandler handler = new ClientHandler(door, intake, dispatcher, carrier);
+    public static void add(ChannelPipeline to, Owner owner, Intake intake, Dispatcher dispatcher, Carrier carrier) {
+        ClientHandler handler = new ClientHandler(owner, intake, dispatcher, carrier);
         // The encoder is the aggregator's, for its 100 Continue; answers are written from before it.
-        to.addLast(handler.decoder, new HttpResponseEncoder(), new RequestAggregator(BackendPool.MOST_BODY, handler::tooLarge), handler);
+        to.addLast(handler.decoder, new HttpResponseEncoder(), new RequestAggregator(BackendPool.MAX_BODY_BYTES, handler::tooLarge), handler);
         handler.wire = to.context(RequestDecoder.class);
     }
 
@@ -118,7 +118,7 @@
         channel = context.channel();
         openedAt = System.nanoTime();
         idleSince = System.nanoTime();
-        door.opened(this);
+        owner.connectionOpened(this);
     }
 
     @Override
@@ -127,7 +127,7 @@
     }
 
     private void gone() {
-        door.closed(this);
+        owner.connectionClosed(this);
         dropWaiting();
         if (live != null) {
             Dispatcher.Live left = live;
@@ -164,8 +164,8 @@
             stopReading();
             return;
         }
-        HeadRules.Fault fault = HeadRules.fault(request);
-        if (isOdd(request) || fault != null && !fault.framed()) {
+        RequestHeadValidator.HeadError fault = RequestHeadValidator.findError(request);
+        if (isOdd(request) || fault != null && !fault.endKnown()) {
             owed.addLast(fault == null ? HttpResponseStatus.BAD_REQUEST : fault.status());
             stopReading();
             return;
@@ -177,7 +177,7 @@
     }
 
     private HttpResponseStatus statusBehindOthers(FullHttpRequest request) {
-        String uri = HeadRules.target(request.method(), request.uri());
+        String uri = RequestHeadValidator.normalizeTarget(request.method(), request.uri());
         String path = path(uri);
         if (path.equals(READY)) {
             return readiness();
@@ -192,7 +192,7 @@
     /** What it has sent so far is answered. The rest is thrown away, but read, or its leaving would go unnoticed. */
     private void stopReading() {
         leaving = true;
-        Farewell.stopReading(channel.pipeline());
+        LingeringClose.discardInput(channel.pipeline());
     }
 
     /**
@@ -238,7 +238,7 @@
     /** A body too large is told by its head, or by its chunks; none of it is kept. */
     void tooLarge() {
         heard = true;
-        if (!ended && spare() != NOT_SPARE) {
+        if (!ended && evictionRank() != NOT_EVICTABLE) {
             refuseToRead(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else if (!ended) {
             owed.addLast(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
@@ -249,7 +249,7 @@
     /** Notes since when a part of a request lies here: a client that stops in its middle must not hold on for ever. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        boolean came = decoder.tookBytes();
+        boolean came = decoder.pollBytesReceived();
         if (came && !heard && !open && waiting.isEmpty() && partSince == 0) {
             partSince = System.nanoTime();
         }
@@ -263,24 +263,24 @@
     }
 
     /** Between two requests, as far as has been read. */
-    public boolean idle() {
-        return spare() != NOT_SPARE && partSince == 0;
+    public boolean isIdle() {
+        return evictionRank() != NOT_EVICTABLE && partSince == 0;
     }
 
     /** A part of a request lies here, and none is open. */
     private boolean half() {
-        return spare() != NOT_SPARE && partSince != 0;
+        return evictionRank() != NOT_EVICTABLE && partSince != 0;
     }
 
     /** How soon it goes when room is needed: the lowest first. */
-    public int spare() {
+    public int evictionRank() {
         if (open || ended || !waiting.isEmpty() || !owed.isEmpty() || unwritten() > 0) {
-            return NOT_SPARE;
+            return NOT_EVICTABLE;
         }
         return partSince != 0 ? 1 : asked ? 2 : 0;
     }
 
-    public long idleSince() {
+    public long idleSinceNanos() {
         return idleSince;
     }
 
@@ -306,8 +306,8 @@
      *
      * @return whether it is closed
      */
-    public boolean endSpare() {
-        if (spare() == NOT_SPARE || look() && spare() == NOT_SPARE) {
+    public boolean closeIfEvictable() {
+        if (evictionRank() == NOT_EVICTABLE || look() && evictionRank() == NOT_EVICTABLE) {
             return false;
         }
         channel.close();
@@ -315,16 +315,16 @@
     }
 
     /** Ends what has stood too long: half a request (a trickle does not restart its clock), silence, a deaf client. */
-    public void sweep(long now, long mostNs) {
-        boolean deaf = deaf(now, mostNs);
-        if (ended ? now - idleSince > mostNs && (deaf || unwritten() == 0) : deaf) {
+    public void closeIfTimedOut(long nowNanos, long timeoutNanos) {
+        boolean deaf = deaf(nowNanos, timeoutNanos);
+        if (ended ? nowNanos - idleSince > timeoutNanos && (deaf || unwritten() == 0) : deaf) {
             channel.close(); // it does not take its answers
-        } else if (half() && now - (asked ? partSince : openedAt) > mostNs) {
+        } else if (half() && nowNanos - (asked ? partSince : openedAt) > timeoutNanos) {
             if (look() && half()) {
                 refuseToRead(HttpResponseStatus.REQUEST_TIMEOUT);
             }
-        } else if (idle() && now - idleSince > mostNs) {
-            if (look() && idle()) {
+        } else if (isIdle() && nowNanos - idleSince > timeoutNanos) {
+            if (look() && isIdle()) {
                 channel.close();
             }
         }
@@ -342,16 +342,16 @@
         boolean handedOn = false;
         try {
             boolean odd = isOdd(request);
-            HeadRules.Fault fault = HeadRules.fault(request);
-            if (odd || fault != null && !fault.framed()) {
-                refuseToRead(odd ? HttpResponseStatus.BAD_REQUEST : fault.status(), odd ? "" : fault.text());
+            RequestHeadValidator.HeadError fault = RequestHeadValidator.findError(request);
+            if (odd || fault != null && !fault.endKnown()) {
+                refuseToRead(odd ? HttpResponseStatus.BAD_REQUEST : fault.status(), odd ? "" : fault.message());
                 return;
             }
             if (fault != null) {
-                answer(fault.status(), fault.text());
+                answer(fault.status(), fault.message());
                 return;
             }
-            String uri = HeadRules.target(request.method(), request.uri());
+            String uri = RequestHeadValidator.normalizeTarget(request.method(), request.uri());
             String path = path(uri);
             if (path.equals(READY)) {
                 answer(readiness());
@@ -383,7 +383,7 @@
     }
 
     private HttpResponseStatus readiness() {
-        return door.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+        return owner.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
     }
 
     private static boolean isForBackends(String path) {
@@ -474,7 +474,7 @@
             head.add(CHALLENGE).add(challenge);
             challenge = null;
         }
-        boolean last = waiting.isEmpty() && owed.isEmpty() && (leaving || door.draining());
+        boolean last = waiting.isEmpty() && owed.isEmpty() && (leaving || owner.draining());
         head.add(last ? CLOSE_AND_END : END);
         open = false;
         live = null;
@@ -482,9 +482,9 @@
         idleSince = System.nanoTime();
         if (last) {
             ended = true;
-            Farewell.stopReading(channel.pipeline());
+            LingeringClose.discardInput(channel.pipeline());
             head.writeTo(wire, body, channel.newPromise())
-                    .addListener(written -> Farewell.end((SocketChannel) channel));
+                    .addListener(written -> LingeringClose.closeAfterLinger((SocketChannel) channel));
             return;
         }
         head.writeTo(wire, body, channel.voidPromise());
--- a/front-door/src/main/java/nettletrail/http/Farewell.java
+++ b/front-door/src/main/java/nettletrail/http/LingeringClose.java
@@ -13,19 +13,19 @@
  * for a moment, and then all is closed. However much comes while answers are still owed, it is read, as fast as the loop's turns
  * allow: none of it is kept, nobody is cut off with an answer owed, and that the client leaves is seen behind it.
  */
-public final class Farewell extends ChannelInboundHandlerAdapter {
+public final class LingeringClose extends ChannelInboundHandlerAdapter {
     private static final int LINGER_MS = 300;
-    private Farewell() { }
+    private LingeringClose() { }
 
     /** Nothing more is read as a request from here on; the connection ends when its last answer is written. */
-    public static void stopReading(ChannelPipeline pipeline) {
-        if (pipeline.get(Farewell.class) == null) {
-            pipeline.addFirst(new Farewell());
+    public static void discardInput(ChannelPipeline pipeline) {
+        if (pipeline.get(LingeringClose.class) == null) {
+            pipeline.addFirst(new LingeringClose());
         }
     }
 
     /** The last answer is with the kernel. */
-    public static void end(SocketChannel channel) {
+    public static void closeAfterLinger(SocketChannel channel) {
         channel.shutdownOutput();
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
     }
--- a/front-door/src/main/java/nettletrail/http/RequestDecoder.java
+++ b/front-door/src/main/java/nettletrail/http/RequestDecoder.java
@@ -45,7 +45,7 @@
     }
 
     /** Whether any bytes have come since this was last asked. */
-    public boolean tookBytes() {
+    public boolean pollBytesReceived() {
         boolean since = took;
         took = false;
         return since;
@@ -69,7 +69,7 @@
         }
         if (out.get(before) instanceof HttpRequest head) {
             if (folded) {
-                head.setDecoderResult(DecoderResult.failure(StrictFraming.folded()));
+                head.setDecoderResult(DecoderResult.failure(StrictFraming.foldedLine()));
             }
             folded = false;
         }
@@ -93,7 +93,7 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw StrictFraming.twoLengths();
+        throw StrictFraming.conflictingLengths();
     }
 
     @Override
--- a/front-door/src/main/java/nettletrail/http/HeadRules.java
+++ b/front-door/src/main/java/nettletrail/http/RequestHeadValidator.java
@@ -20,7 +20,7 @@
  * <p>Sources: RFC 9112 sections 2.2 and 5.2 (white space and folded lines, by {@link RequestDecoder}), 2.3 (version), 3.2
  * (target and Host); RFC 9110 section 5.3 (a field that is no list is there once).
  */
-public final class HeadRules {
+public final class RequestHeadValidator {
     private static final AsciiString HOST = AsciiString.cached("Host");
     private static final AsciiString[] ONCE = {Intake.TXN, Intake.LANE, Intake.PLAN, Intake.CUSTOMER, Intake.REMAINING,
         Intake.QUOTA, Intake.AUTHORIZATION, HOST};
@@ -31,31 +31,31 @@
     /**
      * Why a head is refused.
      *
-     * @param text what is wrong and what to do; nothing of what the client sent
-     * @param framed whether the request's end is beyond doubt, so that the connection can go on
+     * @param message what is wrong and what to do; nothing of what the client sent
+     * @param endKnown whether the request's end is beyond doubt, so that the connection can go on
      */
-    public record Fault(HttpResponseStatus status, String text, boolean framed) { }
+    public record HeadError(HttpResponseStatus status, String message, boolean endKnown) { }
 
-    private static final Fault VERSION = new Fault(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED,
+    private static final HeadError VERSION = new HeadError(HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED,
             "the version must be HTTP/1.1 or HTTP/1.0", false);
-    private static final Fault UNREADABLE = bad("the request can't be read as HTTP/1.1", false);
-    private static final Fault NO_HOST = bad("Host is missing: an HTTP/1.1 request names it once", true);
-    private static final Fault HOST_VALUE = bad("Host: it must be one host, with or without a port", true);
-    private static final Fault TARGET = bad("the target must be a path, or http:// with a host and a path", true);
+    private static final HeadError UNREADABLE = bad("the request can't be read as HTTP/1.1", false);
+    private static final HeadError NO_HOST = bad("Host is missing: an HTTP/1.1 request names it once", true);
+    private static final HeadError HOST_VALUE = bad("Host: it must be one host, with or without a port", true);
+    private static final HeadError TARGET = bad("the target must be a path, or http:// with a host and a path", true);
 
-    private HeadRules() { }
+    private RequestHeadValidator() { }
 
-    private static Fault bad(String text, boolean framed) {
-        return new Fault(HttpResponseStatus.BAD_REQUEST, text, framed);
+    private static HeadError bad(String message, boolean endKnown) {
+        return new HeadError(HttpResponseStatus.BAD_REQUEST, message, endKnown);
     }
 
     /** The first fault of the head, or null; for the headers of the front door in service. */
-    public static Fault fault(HttpRequest request) {
-        return fault(request, ONCE);
+    public static HeadError findError(HttpRequest request) {
+        return findError(request, ONCE);
     }
 
-    /** The headers that may be there once: these and Host. For {@link #fault(HttpRequest, AsciiString[])}. */
-    public static AsciiString[] once(AsciiString... names) {
+    /** The headers that may be there once: these and Host. For {@link #findError(HttpRequest, AsciiString[])}. */
+    public static AsciiString[] singleHeaders(AsciiString... names) {
         AsciiString[] all = Arrays.copyOf(names, names.length + 1);
         all[names.length] = HOST;
         return all;
@@ -64,11 +64,11 @@
     /**
      * The first fault of the head, or null.
      *
-     * @param once the headers that may be there once, made by {@link #once}; at most 32
+     * @param once the headers that may be there once, made by {@link #singleHeaders}; at most 32
      */
-    public static Fault fault(HttpRequest request, AsciiString[] once) {
+    public static HeadError findError(HttpRequest request, AsciiString[] once) {
         if (request.decoderResult().isFailure()) {
-            return request.decoderResult().cause() instanceof StrictFraming.Refused refused ? bad(refused.getMessage(), false)
+            return request.decoderResult().cause() instanceof StrictFraming.HeadFormatException refused ? bad(refused.getMessage(), false)
                     : UNREADABLE;
         }
         HttpVersion version = request.protocolVersion();
@@ -91,7 +91,7 @@
         } else if (!isHost(request.headers().get(HOST))) {
             return HOST_VALUE;
         }
-        return target(request.method(), request.uri()) == null ? TARGET : null;
+        return normalizeTarget(request.method(), request.uri()) == null ? TARGET : null;
     }
 
     /** A bit of its own for each name that may be there once, or 0. By the length first: most names are none of them. */
@@ -121,7 +121,7 @@
      * The target as path and query: what follows scheme and host if it has them (RFC 9112 section 3.2.2). {@code *} is one for
      * OPTIONS only. Null if it is no target for a front door.
      */
-    public static String target(HttpMethod method, String uri) {
+    public static String normalizeTarget(HttpMethod method, String uri) {
         if (uri.startsWith("/")) {
             return uri;
         }
@@ -137,7 +137,7 @@
     }
 
     /** For a front's own headers: the one of these that is there twice, or null. */
-    public static String twice(HttpHeaders headers, Iterable<String> names) {
+    public static String findRepeated(HttpHeaders headers, Iterable<String> names) {
         for (String name : names) {
             if (headers.getAll(name).size() > 1) {
                 return name;
--- a/front-door/src/main/java/nettletrail/upstream/BackendPool.java
+++ b/front-door/src/main/java/nettletrail/upstream/BackendPool.java
@@ -43,7 +43,7 @@
  */
 public final class BackendPool implements Carrier {
     /** The largest body that the protocol knows. */
-    public static final int MOST_BODY = 64 << 10;
+    public static final int MAX_BODY_BYTES = 64 << 10;
     /**
      * The largest answer that is passed on. Backends were seen to send good ones of 400 KB, and to take these for
      * spoilt loses a request that has run. It is held whole, so it could do harm where very many such answers wait for
@@ -128,18 +128,18 @@
     }
 
     /** How a request's head is written to a backend. */
-    public interface Heads {
-        HeadBytes of(Attempt attempt);
+    public interface HeadEncoder {
+        HeadBytes encode(Attempt attempt);
     }
 
     private final EventLoop loop;
-    private final Heads heads;
+    private final HeadEncoder headEncoder;
     private final Report.Reader reports;
     private final Bootstrap bootstrap;
     private final long idleNs;
     private final int most;
     private final LongObjectHashMap<Backend> backends = new LongObjectHashMap<>();
-    private final IdleAges ages = new IdleAges(System.nanoTime());
+    private final IdleTimeoutEstimator ages = new IdleTimeoutEstimator(System.nanoTime());
     /** Connections that rest, the first to have rested first; some of them may have closed since. */
     private final ArrayDeque<Connection> resters = new ArrayDeque<>();
     private int connections;
@@ -156,8 +156,8 @@
     }
 
     /** The same to servers that want other heads. */
-    public BackendPool(EventLoop loop, Report.Reader reports, Heads heads, long connectTimeoutNs, long idleNs, int most) {
-        this(loop, reports, heads, new Bootstrap().group(loop).channelFactory(PeekingChannel.factory())
+    public BackendPool(EventLoop loop, Report.Reader reports, HeadEncoder headEncoder, long connectTimeoutNs, long idleNs, int most) {
+        this(loop, reports, headEncoder, new Bootstrap().group(loop).channelFactory(PeekingChannel.factory())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutNs / 1_000_000)), idleNs, most);
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
@@ -168,9 +168,9 @@
         this(loop, reports, BackendPool::head, bootstrap, idleNs, most);
     }
 
-    private BackendPool(EventLoop loop, Report.Reader reports, Heads heads, Bootstrap bootstrap, long idleNs, int most) {
+    private BackendPool(EventLoop loop, Report.Reader reports, HeadEncoder headEncoder, Bootstrap bootstrap, long idleNs, int most) {
         this.loop = loop;
-        this.heads = heads;
+        this.headEncoder = headEncoder;
         this.reports = reports;
         this.bootstrap = bootstrap;
         // Well before the backend does it: a request that crosses its close is lost, and may have run.
@@ -231,7 +231,7 @@
             connection.channel.close(); // its end, or bytes that nobody asked for, lie unread
             connection = backend.idle.pollLast();
         }
-        if (connection != null && now - connection.idleSince <= ages.most(now)) {
+        if (connection != null && now - connection.idleSince <= ages.maxIdleNanos(now)) {
             connection.carry(ride);
             return ride;
         }
@@ -438,7 +438,7 @@
     private final class Connection extends ChannelInboundHandlerAdapter implements ChannelFutureListener {
         final Backend backend;
         final SocketAddress address;
-        final AnswerDecoder decoder = new AnswerDecoder();
+        final ResponseDecoder decoder = new ResponseDecoder();
         Channel channel;
         /** From where on there are only bytes. */
         ChannelHandlerContext wire;
@@ -465,7 +465,7 @@
             written = false;
             next.attempt.wrote();
             age = idleSince == 0 ? -1 : System.nanoTime() - idleSince;
-            heads.of(next.attempt).writeTo(wire, next.attempt.arrival().body(), channel.newPromise()).addListener(this);
+            headEncoder.encode(next.attempt).writeTo(wire, next.attempt.arrival().body(), channel.newPromise()).addListener(this);
         }
 
         /**
@@ -531,7 +531,7 @@
             stopClock();
             toldAge(false);
             idleSince = System.nanoTime();
-            if (written && HttpUtil.isKeepAlive(answer) && !decoder.hasMore()) {
+            if (written && HttpUtil.isKeepAlive(answer) && !decoder.hasUndecodedBytes()) {
                 rest();
             } else {
                 channel.close();
@@ -543,7 +543,7 @@
 
         private void toldAge(boolean broke) {
             if (age >= 0) {
-                ages.used(age, broke, System.nanoTime());
+                ages.recordUse(age, broke, System.nanoTime());
                 age = -1;
             }
         }
@@ -585,22 +585,22 @@
 
         /** Whether nothing has come on it that is not read yet, its end included; to be closed if not. */
         private boolean quiet() {
-            return !(channel instanceof PeekingChannel socket) || socket.quiet();
+            return !(channel instanceof PeekingChannel socket) || socket.hasNothingUnread();
         }
 
         /** Starts with an answer's first bytes, if these are not all: some stop in their middle and stay silent. */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (ride != null && partClock == null && (head != null || decoder.hasMore())) {
+            if (ride != null && partClock == null && (head != null || decoder.hasUndecodedBytes())) {
                 partClock = nextPart();
             }
         }
 
         private Future<?> nextPart() {
-            long before = decoder.received();
+            long before = decoder.receivedBytes();
             return loop.schedule(() -> {
                 partClock = null;
-                if (ride != null && decoder.received() - before >= LEAST_PART) {
+                if (ride != null && decoder.receivedBytes() - before >= LEAST_PART) {
                     partClock = nextPart();
                 } else if (ride != null) {
                     spoilt();
@@ -645,7 +645,7 @@
             backend.idle.remove(this);
             body.release();
             body = Unpooled.EMPTY_BUFFER;
-            if (ride != null && head == null && !decoder.hasMore()) {
+            if (ride != null && head == null && !decoder.hasUndecodedBytes()) {
                 toldAge(true);
             }
             stopClock();
--- a/front-door/src/main/java/nettletrail/upstream/IdleAges.java
+++ b/front-door/src/main/java/nettletrail/upstream/IdleTimeoutEstimator.java
@@ -11,7 +11,7 @@
  * fault strikes just the connections that happened to be old: they are then not used for some seconds, and each
  * request there pays for a new one.
  */
-public final class IdleAges {
+public final class IdleTimeoutEstimator {
     /** Ages by powers of two from this on; what is younger counts as one, what is older than the last as the last. */
     private static final long YOUNGEST_NS = TimeUnit.MILLISECONDS.toNanos(16);
     private static final int CLASSES = 12;
@@ -29,21 +29,21 @@
     private long decayedAt;
 
     /** @param now as {@link System#nanoTime} */
-    public IdleAges(long now) {
+    public IdleTimeoutEstimator(long now) {
         decayedAt = now;
     }
 
     /** A connection that had stood idle for so long was used, and broke before a byte of the answer, or not. */
-    public void used(long ageNs, boolean broke, long now) {
-        decay(now);
-        int at = classOf(ageNs);
+    public void recordUse(long idleNanos, boolean broken, long nowNanos) {
+        decay(nowNanos);
+        int at = classOf(idleNanos);
         uses[at]++;
-        breaks[at] += broke ? 1 : 0;
+        breaks[at] += broken ? 1 : 0;
     }
 
     /** Connections idle for longer are better not used. */
-    public long most(long now) {
-        decay(now);
+    public long maxIdleNanos(long nowNanos) {
+        decay(nowNanos);
         double younger = uses[0];
         double brokeYounger = breaks[0];
         for (int at = 1; at < CLASSES; at++) {
--- a/front-door/src/main/java/nettletrail/upstream/PeekingChannel.java
+++ b/front-door/src/main/java/nettletrail/upstream/PeekingChannel.java
@@ -24,7 +24,7 @@
      * Whether neither a byte nor the end has come. What came is lost by the look, so that the connection must be closed if
      * this is false. On the event loop; costs one system call.
      */
-    public boolean quiet() {
+    public boolean hasNothingUnread() {
         one.clear();
         try {
             return javaChannel().read(one) == 0;
--- a/front-door/src/main/java/nettletrail/upstream/AnswerDecoder.java
+++ b/front-door/src/main/java/nettletrail/upstream/ResponseDecoder.java
@@ -10,7 +10,7 @@
  * Netty's decoder for a backend's answers, with {@link StrictFraming}. It tells whether bytes were left over behind an
  * answer, and how many came in all.
  */
-public final class AnswerDecoder extends HttpResponseDecoder {
+public final class ResponseDecoder extends HttpResponseDecoder {
     /** Bytes so far. */
     private long received;
     private boolean bodiless;
@@ -20,7 +20,7 @@
      *
      * @param head whether its method is HEAD: its answer has no body, whatever its headers say (RFC 9112 section 6.3)
      */
-    public void expectAnswerTo(boolean head) {
+    public void expectResponseTo(boolean head) {
         bodiless = head;
     }
 
@@ -37,7 +37,7 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw StrictFraming.twoLengths();
+        throw StrictFraming.conflictingLengths();
     }
 
     @Override
@@ -47,12 +47,12 @@
     }
 
     /** Whether bytes have come that are not decoded yet. */
-    public boolean hasMore() {
+    public boolean hasUndecodedBytes() {
         return internalBuffer().isReadable();
     }
 
     /** Bytes that have come so far, of all answers. */
-    public long received() {
+    public long receivedBytes() {
         return received;
     }
 }
--- a/front-door/src/main/java/nettletrail/upstream/StrictFraming.java
+++ b/front-door/src/main/java/nettletrail/upstream/StrictFraming.java
@@ -5,22 +5,22 @@
     private StrictFraming() { }
 
     /** A head that is refused; the message is ours and holds nothing of what was sent. */
-    public static final class Refused extends IllegalArgumentException {
+    public static final class HeadFormatException extends IllegalArgumentException {
         private static final long serialVersionUID = 1;
 
-        private Refused(String why) {
+        private HeadFormatException(String why) {
             super(why);
         }
     }
 
     /** Two lengths may hide a second message in the body of the first: Netty would drop one of them and go on. */
-    public static Refused twoLengths() {
-        return new Refused("both Content-Length and Transfer-Encoding: a body has one of them");
+    public static HeadFormatException conflictingLengths() {
+        return new HeadFormatException("both Content-Length and Transfer-Encoding: a body has one of them");
     }
 
     /** A folded line, or white space before the first one: another reader may take it for a header of its own. */
-    public static Refused folded() {
-        return new Refused("a line of the head begins with white space: each header must stand on a line of its own");
+    public static HeadFormatException foldedLine() {
+        return new HeadFormatException("a line of the head begins with white space: each header must stand on a line of its own");
     }
 
     /**
@@ -30,7 +30,7 @@
      */
     public static void requireColon(byte[] line, int end) {
         if (end >= line.length || line[end] != ':') {
-            throw new Refused("a header without a colon");
+            throw new HeadFormatException("a header without a colon");
         }
     }
 }
--- a/front-door/src/test/java/nettletrail/discovery/BusyDiscoveryTest.java
+++ b/front-door/src/test/java/nettletrail/discovery/BusyDiscoveryTest.java
@@ -45,10 +45,10 @@
         try (ServerSocket agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             EventLoop loop = group.next();
             Heard heard = new Heard();
-            Discovery discovery = new Discovery(loop, (InetSocketAddress) agent.getLocalSocketAddress(), 41, 7, heard);
-            loop.execute(discovery::follow);
+            DiscoveryClient discovery = new DiscoveryClient(loop, (InetSocketAddress) agent.getLocalSocketAddress(), 41, 7, heard);
+            loop.execute(discovery::poll);
             try (Watch watch = new Watch(agent)) {
-                String asks = "GET /api/targets?index=41&wait=" + ToldBudget.WAIT_MS + " HTTP/1.1";
+                String asks = "GET /api/targets?index=41&wait=" + DiscoveryTiming.WAIT_MS + " HTTP/1.1";
                 assertEquals(asks, watch.read());
                 long since = System.nanoTime();
                 for (int times = 0; times < 5; times++) {
@@ -58,7 +58,7 @@
                 // At least half of 60 + 120 + 240 + 480 + 960 ms. Less would be called again every so often.
                 assertTrue(System.nanoTime() - since >= TimeUnit.MILLISECONDS.toNanos(930));
                 watch.answer("200 OK", "{\"index\":42,\"snapshot\":false,\"endpoints\":[]}");
-                assertEquals("GET /api/targets?index=42&wait=" + ToldBudget.WAIT_MS + " HTTP/1.1", watch.read());
+                assertEquals("GET /api/targets?index=42&wait=" + DiscoveryTiming.WAIT_MS + " HTTP/1.1", watch.read());
                 watch.answer("404 Not Found", "");
             }
             try (Watch watch = new Watch(agent)) {
@@ -76,8 +76,8 @@
         try (ServerSocket agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             EventLoop loop = group.next();
             Heard heard = new Heard();
-            Discovery discovery = new Discovery(loop, (InetSocketAddress) agent.getLocalSocketAddress(), -1, 7, heard);
-            loop.execute(discovery::follow);
+            DiscoveryClient discovery = new DiscoveryClient(loop, (InetSocketAddress) agent.getLocalSocketAddress(), -1, 7, heard);
+            loop.execute(discovery::poll);
             try (Watch watch = new Watch(agent)) {
                 assertEquals("GET /api/targets HTTP/1.1", watch.read());
                 Thread.sleep(LONG_MS);
@@ -121,7 +121,7 @@
                 }
                 if (backlogMs + listMs > 2_000) {
                     backlogMs += listMs / 5;
-                    int pause = growing ? ToldBudget.busyPauseMs(faults[door]++, 0, random) : 50;
+                    int pause = growing ? DiscoveryTiming.busyPauseMs(faults[door]++, 0, random) : 50;
                     calls.set(door, now + Math.max(1, pause));
                 } else {
                     backlogMs += listMs;
@@ -142,8 +142,8 @@
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try (ServerSocket agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             EventLoop loop = group.next();
-            Discovery discovery = new Discovery(loop, (InetSocketAddress) agent.getLocalSocketAddress(), 41, 7, new Heard());
-            loop.execute(discovery::follow);
+            DiscoveryClient discovery = new DiscoveryClient(loop, (InetSocketAddress) agent.getLocalSocketAddress(), 41, 7, new Heard());
+            loop.execute(discovery::poll);
             try (Watch watch = new Watch(agent)) {
                 watch.read();
                 for (int times = 0; times < 4; times++) {
@@ -168,15 +168,15 @@
         try (ServerSocket agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             EventLoop loop = group.next();
             Heard heard = new Heard();
-            Discovery discovery = new Discovery(loop, (InetSocketAddress) agent.getLocalSocketAddress(), 41, 7, heard);
-            loop.execute(discovery::follow);
+            DiscoveryClient discovery = new DiscoveryClient(loop, (InetSocketAddress) agent.getLocalSocketAddress(), 41, 7, heard);
+            loop.execute(discovery::poll);
             try (Watch watch = new Watch(agent)) {
                 watch.read();
                 watch.answer("503 Service Unavailable", "");
                 assertEquals("failed", heard.told.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
             }
             try (Watch again = new Watch(agent)) {
-                assertEquals("GET /api/targets?index=41&wait=" + ToldBudget.WAIT_MS + " HTTP/1.1", again.read());
+                assertEquals("GET /api/targets?index=41&wait=" + DiscoveryTiming.WAIT_MS + " HTTP/1.1", again.read());
                 assertEquals(null, heard.told.poll(), "one fault, not two");
             }
         } finally {
@@ -191,9 +191,9 @@
             SplittableRandom random = new SplittableRandom(seed);
             for (int faults = 0; faults < 40; faults++) {
                 for (int stood = 0; stood <= 2_000; stood += 250) {
-                    int next = stood + ToldBudget.busyPauseMs(faults, stood, random);
-                    assertTrue(next <= ToldBudget.BUSY_MS, "seed " + seed);
-                    assertTrue(next >= Math.min(ToldBudget.BUSY_MS, ToldBudget.FIRST_PAUSE_MS << Math.min(faults, 16)) / 2);
+                    int next = stood + DiscoveryTiming.busyPauseMs(faults, stood, random);
+                    assertTrue(next <= DiscoveryTiming.BUSY_MS, "seed " + seed);
+                    assertTrue(next >= Math.min(DiscoveryTiming.BUSY_MS, DiscoveryTiming.FIRST_PAUSE_MS << Math.min(faults, 16)) / 2);
                 }
             }
         }
@@ -224,7 +224,7 @@
                     if (now < busyUntil || lineMs + listMs > 2_000) {
                         turnedAway += now >= 10_000 && now < busyUntil ? 1 : 0;
                         lineMs += now < busyUntil ? 0 : turnedAwayMs;
-                        calls[door] = now + ToldBudget.busyPauseMs(faults[door]++, 0, random);
+                        calls[door] = now + DiscoveryTiming.busyPauseMs(faults[door]++, 0, random);
                     } else {
                         lineMs += listMs;
                         left--;
@@ -234,7 +234,7 @@
                 }
             }
             double busy = turnedAway * (double) turnedAwayMs / (busyUntil - 10_000);
-            assertTrue(last - busyUntil <= ToldBudget.TOLD_MS - ToldBudget.LATE_MS, "seed " + seed + ": " + (last - busyUntil));
+            assertTrue(last - busyUntil <= DiscoveryTiming.TOLD_MS - DiscoveryTiming.LATE_MS, "seed " + seed + ": " + (last - busyUntil));
             assertTrue(busy < 0.9, "seed " + seed + ": " + busy);
         }
     }
--- a/front-door/src/test/java/nettletrail/discovery/SilentWatchTest.java
+++ b/front-door/src/test/java/nettletrail/discovery/SilentWatchTest.java
@@ -40,9 +40,9 @@
         agent.close();
     }
 
-    private Discovery follow(long index) {
+    private DiscoveryClient follow(long index) {
         EventLoop loop = group.next();
-        Discovery discovery = new Discovery(loop, (InetSocketAddress) agent.getLocalSocketAddress(), index, 7,
+        DiscoveryClient discovery = new DiscoveryClient(loop, (InetSocketAddress) agent.getLocalSocketAddress(), index, 7,
                 new Endpoint.Listener() {
                     @Override
                     public void listed(boolean whole, List<Endpoint> entries) {
@@ -52,7 +52,7 @@
                     @Override
                     public void listFailed() { }
                 });
-        loop.execute(discovery::follow);
+        loop.execute(discovery::poll);
         return discovery;
     }
 
@@ -66,7 +66,7 @@
     }
 
     private static String asks(long index) {
-        return "GET /api/targets?index=" + index + "&wait=" + ToldBudget.WAIT_MS + " HTTP/1.1";
+        return "GET /api/targets?index=" + index + "&wait=" + DiscoveryTiming.WAIT_MS + " HTTP/1.1";
     }
 
     private static long msSince(long then) {
@@ -76,22 +76,22 @@
     /** The sums of which each wait, time-out and pause is a part, with the longest pauses that come up. */
     @Test
     void allThatMayFailBeforeFitsIntoTheTime() {
-        int most = ToldBudget.TOLD_MS - ToldBudget.LATE_MS;
+        int most = DiscoveryTiming.TOLD_MS - DiscoveryTiming.LATE_MS;
         int first = 0;
         int silent = 0;
         int busy = 0;
         for (int seed = 0; seed < 1_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            first = Math.max(first, ToldBudget.silentPauseMs(0, random));
-            silent = Math.max(silent, ToldBudget.silentPauseMs(seed % 40, random));
-            busy = Math.max(busy, ToldBudget.busyPauseMs(seed % 40, 0, random));
+            first = Math.max(first, DiscoveryTiming.silentPauseMs(0, random));
+            silent = Math.max(silent, DiscoveryTiming.silentPauseMs(seed % 40, random));
+            busy = Math.max(busy, DiscoveryTiming.busyPauseMs(seed % 40, 0, random));
         }
-        int seems = ToldBudget.WAIT_MS + ToldBudget.GRACE_MS;
-        assertTrue(seems + ToldBudget.CONNECT_MS + first + ToldBudget.ANSWER_MS <= most, "a second call that does not connect");
-        assertTrue(seems + ToldBudget.ANSWER_MS + first + ToldBudget.CONNECT_MS <= most, "one that is swallowed");
-        assertTrue(ToldBudget.ANSWER_MS + silent + ToldBudget.CONNECT_MS + ToldBudget.ANSWER_MS <= most, "silence");
-        assertTrue(busy + ToldBudget.ANSWER_MS <= most, "a busy discovery");
-        assertTrue(ToldBudget.WAIT_MS + ToldBudget.ANSWER_MS < most && ToldBudget.GRACE_MS < ToldBudget.ANSWER_MS);
+        int seems = DiscoveryTiming.WAIT_MS + DiscoveryTiming.GRACE_MS;
+        assertTrue(seems + DiscoveryTiming.CONNECT_MS + first + DiscoveryTiming.ANSWER_MS <= most, "a second call that does not connect");
+        assertTrue(seems + DiscoveryTiming.ANSWER_MS + first + DiscoveryTiming.CONNECT_MS <= most, "one that is swallowed");
+        assertTrue(DiscoveryTiming.ANSWER_MS + silent + DiscoveryTiming.CONNECT_MS + DiscoveryTiming.ANSWER_MS <= most, "silence");
+        assertTrue(busy + DiscoveryTiming.ANSWER_MS <= most, "a busy discovery");
+        assertTrue(DiscoveryTiming.WAIT_MS + DiscoveryTiming.ANSWER_MS < most && DiscoveryTiming.GRACE_MS < DiscoveryTiming.ANSWER_MS);
     }
 
     /** The watch is silent, and the call beside it is swallowed too: the third brings the news in time. */
@@ -108,7 +108,7 @@
                     third.answer(list(42, false, "s-1"));
                     assertEquals("changes [s-1]", told());
                     long took = msSince(since);
-                    assertTrue(took <= ToldBudget.TOLD_MS - ToldBudget.LATE_MS / 2, "took " + took);
+                    assertTrue(took <= DiscoveryTiming.TOLD_MS - DiscoveryTiming.LATE_MS / 2, "took " + took);
                     assertEquals(asks(42), third.read());
                 }
             }
@@ -163,14 +163,14 @@
                 try (Socket first = new Socket(narrow.getInetAddress(), narrow.getLocalPort());
                         Socket second = new Socket(narrow.getInetAddress(), narrow.getLocalPort())) {
                     assertTrue(first.isConnected() && second.isConnected());
-                    int seems = ToldBudget.WAIT_MS + ToldBudget.GRACE_MS;
+                    int seems = DiscoveryTiming.WAIT_MS + DiscoveryTiming.GRACE_MS;
                     TimeUnit.MILLISECONDS.sleep(seems + 150); // the instant: it is trying, for CONNECT_MS
                     narrow.accept().close();
                     narrow.accept().close();
                     try (Watch up = new Watch(narrow)) {
                         assertEquals("GET /api/targets?index=41&wait=1 HTTP/1.1", up.read());
                         long took = msSince(since);
-                        assertTrue(took >= seems + ToldBudget.CONNECT_MS && took < seems + 900, "took " + took);
+                        assertTrue(took >= seems + DiscoveryTiming.CONNECT_MS && took < seems + 900, "took " + took);
                     }
                 }
             }
@@ -189,7 +189,7 @@
             // It says nothing; given up well before a call that waits would be.
             long since = System.nanoTime();
             try (Watch again = new Watch(agent)) {
-                assertTrue(System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(ToldBudget.WAIT_MS));
+                assertTrue(System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(DiscoveryTiming.WAIT_MS));
                 assertEquals("GET /api/targets?index=41&wait=1 HTTP/1.1", again.read());
                 again.answer(list(42, false, "s-1"));
                 assertEquals("changes [s-1]", told());
@@ -229,14 +229,14 @@
     /** While the old agent's call is silent, and after many faults there: the new one is called as if it were the first. */
     @Test
     void aMoveWhileACallIsSilentStartsAfresh() throws Exception {
-        Discovery discovery = follow(41);
+        DiscoveryClient discovery = follow(41);
         try (Watch silent = new Watch(agent); ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             silent.read();
             for (int i = 0; i < 4; i++) {
                 silent.answer("503 Service Unavailable", "");
                 silent.read();
             }
-            group.next().execute(() -> discovery.move((InetSocketAddress) other.getLocalSocketAddress()));
+            group.next().execute(() -> discovery.switchAgent((InetSocketAddress) other.getLocalSocketAddress()));
             try (Watch moved = new Watch(other)) {
                 assertEquals("ended", silent.read());
                 assertEquals("GET /api/targets HTTP/1.1", moved.read());
--- a/router/src/main/java/nettletrail/router/ClientConnection.java
+++ b/router/src/main/java/nettletrail/router/ClientConnection.java
@@ -11,8 +11,8 @@
 import io.netty.util.ReferenceCountUtil;
 import nettletrail.configuration.Limits;
 import nettletrail.core.Unread;
-import nettletrail.http.Farewell;
-import nettletrail.http.HeadRules;
+import nettletrail.http.LingeringClose;
+import nettletrail.http.RequestHeadValidator;
 import nettletrail.http.RequestAggregator;
 import nettletrail.http.RequestDecoder;
 
@@ -124,7 +124,7 @@
   /** Dispatches here and not while bytes are decoded, so that the socket may be read again. */
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
-    boolean bytesRead = decoder.tookBytes();
+    boolean bytesRead = decoder.pollBytesReceived();
     if (bytesRead && !requestRead && current == null && pipelined.isEmpty()) {
       partial.bytesRead();
     }
@@ -176,7 +176,7 @@
       responder.reject(new Rejection(invalid.status(), 0));
       return;
     }
-    String target = HeadRules.target(request.method(), request.uri());
+    String target = RequestHeadValidator.normalizeTarget(request.method(), request.uri());
     current = owner.createExchange(this, new ClientRequest(request, target, arrivedAt));
     owner.start(current);
   }
@@ -192,7 +192,7 @@
       rejectAndClose(status);
     } else if (!ended) {
       closing = true; // closes after the responses to the earlier requests
-      Farewell.stopReading(channel.pipeline());
+      LingeringClose.discardInput(channel.pipeline());
     }
   }
 
--- a/router/src/main/java/nettletrail/router/ClientRequestValidator.java
+++ b/router/src/main/java/nettletrail/router/ClientRequestValidator.java
@@ -5,13 +5,13 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.util.AsciiString;
-import nettletrail.http.HeadRules;
+import nettletrail.http.RequestHeadValidator;
 
 /** Checks whether a decoded request may be forwarded. Pure. */
 final class ClientRequestValidator {
   /** Headers that a request may have only once. */
   private static final AsciiString[] SINGLE_HEADERS =
-      HeadRules.once(
+      RequestHeadValidator.singleHeaders(
           RequestHeaders.ATTEMPT_ID,
           RequestHeaders.KEY,
           RequestHeaders.TIME_LEFT,
@@ -35,8 +35,8 @@
     if (hasInvalidBody(request)) {
       return new Invalid(HttpResponseStatus.BAD_REQUEST, true);
     }
-    HeadRules.Fault fault = HeadRules.fault(request, SINGLE_HEADERS);
-    return fault == null ? null : new Invalid(fault.status(), !fault.framed());
+    RequestHeadValidator.HeadError error = RequestHeadValidator.findError(request, SINGLE_HEADERS);
+    return error == null ? null : new Invalid(error.status(), !error.endKnown());
   }
 
   /**
--- a/router/src/main/java/nettletrail/router/ResponseWriter.java
+++ b/router/src/main/java/nettletrail/router/ResponseWriter.java
@@ -7,7 +7,7 @@
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.http.HttpResponse;
-import nettletrail.http.Farewell;
+import nettletrail.http.LingeringClose;
 import nettletrail.upstream.HeadBytes;
 
 /**
@@ -45,9 +45,9 @@
    */
   void write(HeadBytes head, ByteBuf body, boolean last) {
     if (last) {
-      Farewell.stopReading(channel.pipeline());
+      LingeringClose.discardInput(channel.pipeline());
       head.writeTo(byteContext, body, channel.newPromise())
-          .addListener(written -> Farewell.end((SocketChannel) channel));
+          .addListener(written -> LingeringClose.closeAfterLinger((SocketChannel) channel));
     } else {
       head.writeTo(byteContext, body, channel.voidPromise());
     }
@@ -97,10 +97,10 @@
       byteContext.writeAndFlush(end, channel.voidPromise());
       return false;
     }
-    Farewell.stopReading(channel.pipeline());
+    LingeringClose.discardInput(channel.pipeline());
     byteContext
         .writeAndFlush(end, channel.newPromise())
-        .addListener(written -> Farewell.end((SocketChannel) channel));
+        .addListener(written -> LingeringClose.closeAfterLinger((SocketChannel) channel));
     return true;
   }
 
--- a/router/src/main/java/nettletrail/router/upstream/BackendConnectionPool.java
+++ b/router/src/main/java/nettletrail/router/upstream/BackendConnectionPool.java
@@ -86,7 +86,7 @@
   private void connect() {
     connecting++;
     connections++;
-    UpstreamConnection connection = new UpstreamConnection(this, pool.idleAges());
+    UpstreamConnection connection = new UpstreamConnection(this, pool.idleTimeoutEstimator());
     ChannelFuture opening =
         pool.bootstrap()
             .handler(
--- a/router/src/main/java/nettletrail/router/upstream/ConnectionReuse.java
+++ b/router/src/main/java/nettletrail/router/upstream/ConnectionReuse.java
@@ -1,6 +1,6 @@
 package nettletrail.router.upstream;
 
-import nettletrail.upstream.IdleAges;
+import nettletrail.upstream.IdleTimeoutEstimator;
 
 /**
  * Whether and until when a connection may carry another request: its idle time, the backend's
@@ -9,7 +9,7 @@
 final class ConnectionReuse {
   private static final long NONE = -1;
 
-  private final IdleAges idleAges;
+  private final IdleTimeoutEstimator idleTimeoutEstimator;
   private boolean used;
   private long idleSince;
 
@@ -21,10 +21,10 @@
   private long cooldownEnd;
 
   /**
-   * @param idleAges learns at which idle times connections turn out to be closed
+   * @param idleTimeoutEstimator learns at which idle times connections turn out to be closed
    */
-  ConnectionReuse(IdleAges idleAges) {
-    this.idleAges = idleAges;
+  ConnectionReuse(IdleTimeoutEstimator idleTimeoutEstimator) {
+    this.idleTimeoutEstimator = idleTimeoutEstimator;
   }
 
   /** Whether it has carried a request to its end before. */
@@ -39,7 +39,7 @@
   /** Reports the idle time before the current request, once for each request. */
   void reportIdleAge(boolean connectionLost) {
     if (idleAge >= 0) {
-      idleAges.used(idleAge, connectionLost, System.nanoTime());
+      idleTimeoutEstimator.recordUse(idleAge, connectionLost, System.nanoTime());
       idleAge = NONE;
     }
   }
@@ -65,7 +65,7 @@
   /** Whether it has not been idle for too long. */
   boolean isFresh(long now) {
     long age = now - idleSince;
-    return age < keepAliveNanos && (!used || age <= idleAges.most(now));
+    return age < keepAliveNanos && (!used || age <= idleTimeoutEstimator.maxIdleNanos(now));
   }
 
   void startCooldown(long end) {
--- a/router/src/main/java/nettletrail/router/upstream/UpstreamConnection.java
+++ b/router/src/main/java/nettletrail/router/upstream/UpstreamConnection.java
@@ -12,8 +12,8 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import nettletrail.upstream.AnswerDecoder;
-import nettletrail.upstream.IdleAges;
+import nettletrail.upstream.ResponseDecoder;
+import nettletrail.upstream.IdleTimeoutEstimator;
 import nettletrail.upstream.PeekingChannel;
 
 /**
@@ -23,7 +23,7 @@
 final class UpstreamConnection extends ChannelInboundHandlerAdapter
     implements ChannelFutureListener {
   private final BackendConnectionPool backend;
-  private final AnswerDecoder decoder = new AnswerDecoder();
+  private final ResponseDecoder decoder = new ResponseDecoder();
   private final WriteMonitor writeMonitor = new WriteMonitor();
   private final ResponseMatcher matcher = new ResponseMatcher();
   private final ConnectionReuse reuse;
@@ -38,9 +38,9 @@
   /** Done once the kernel has accepted the request's last byte, or the write has failed. */
   private ChannelFuture write;
 
-  UpstreamConnection(BackendConnectionPool backend, IdleAges idleAges) {
+  UpstreamConnection(BackendConnectionPool backend, IdleTimeoutEstimator idleTimeoutEstimator) {
     this.backend = backend;
-    reuse = new ConnectionReuse(idleAges);
+    reuse = new ConnectionReuse(idleTimeoutEstimator);
   }
 
   /** Adds its handlers to a new channel. */
@@ -72,7 +72,7 @@
     if (!attempt.confirmSend()) {
       return isClosedAfterRejection(next);
     }
-    decoder.expectAnswerTo(attempt.isHeadRequest());
+    decoder.expectResponseTo(attempt.isHeadRequest());
     reuse.requestSent();
     writeMonitor.beginRequest();
     write = attempt.head().writeTo(byteContext, attempt.body(), channel.newProgressivePromise());
@@ -184,7 +184,7 @@
   }
 
   private boolean isReusableAfter(HttpResponse response) {
-    boolean bothEnded = isWritten() && !decoder.hasMore() && !matcher.hasSkipped();
+    boolean bothEnded = isWritten() && !decoder.hasUndecodedBytes() && !matcher.hasSkipped();
     boolean keptAlive = HttpUtil.isKeepAlive(response) && !matcher.endsWithConnection();
     return bothEnded && keptAlive && reuse.isKeptAlive();
   }
@@ -205,7 +205,7 @@
   /** The channel has closed; called before the decoder is notified. */
   void closed() {
     PooledAttempt lost = current;
-    if (lost != null && !matcher.isInResponse() && !decoder.hasMore()) {
+    if (lost != null && !matcher.isInResponse() && !decoder.hasUndecodedBytes()) {
       reuse.reportIdleAge(true);
     }
     current = null;
@@ -241,7 +241,7 @@
 
   /** Whether the socket has neither unread bytes nor an unread end. */
   boolean hasNothingUnread() {
-    return channel.isActive() && (!(channel instanceof PeekingChannel socket) || socket.quiet());
+    return channel.isActive() && (!(channel instanceof PeekingChannel socket) || socket.hasNothingUnread());
   }
 
   /**
--- a/router/src/main/java/nettletrail/router/upstream/UpstreamPool.java
+++ b/router/src/main/java/nettletrail/router/upstream/UpstreamPool.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import nettletrail.router.BackendEndpoint;
-import nettletrail.upstream.IdleAges;
+import nettletrail.upstream.IdleTimeoutEstimator;
 import nettletrail.upstream.PeekingChannel;
 
 /**
@@ -21,7 +21,7 @@
   private final int maxConnections;
   private final Map<String, BackendConnectionPool> backends = new HashMap<>();
   private final CooldownQueue cooldowns;
-  private final IdleAges idleAges = new IdleAges(System.nanoTime());
+  private final IdleTimeoutEstimator idleTimeoutEstimator = new IdleTimeoutEstimator(System.nanoTime());
   private int connections;
 
   /**
@@ -89,8 +89,8 @@
   }
 
   /** The idle times at which reused connections turned out to be closed. */
-  IdleAges idleAges() {
-    return idleAges;
+  IdleTimeoutEstimator idleTimeoutEstimator() {
+    return idleTimeoutEstimator;
   }
 
   CooldownQueue cooldowns() {
--- a/tokens/src/main/java/nettletrail/tokens/Revocations.java
+++ b/tokens/src/main/java/nettletrail/tokens/Revocations.java
@@ -29,7 +29,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import nettletrail.core.Log;
-import nettletrail.http.HeadRules;
+import nettletrail.http.RequestHeadValidator;
 import nettletrail.http.RequestDecoder;
 
 /**
@@ -96,9 +96,9 @@
     private final class Told extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext on, FullHttpRequest request) {
-            HeadRules.Fault fault = HeadRules.fault(request);
+            RequestHeadValidator.HeadError fault = RequestHeadValidator.findError(request);
             if (fault != null) {
-                answer(on, fault.status().code(), "invalid_request", fault.text());
+                answer(on, fault.status().code(), "invalid_request", fault.message());
                 return;
             }
             if (!request.uri().equals(PATH) || !request.method().equals(HttpMethod.POST)) {
