--- a/app/src/main/java/nettletrail/app/ApertureSubsystem.java
+++ b/app/src/main/java/nettletrail/app/ApertureSubsystem.java
@@ -14,9 +14,9 @@
     private final Section section = new Section("aperture", "Which of many backends each front door uses.")
             .flag(ENABLED, ApertureSettings.DEFAULT.enabled(),
                     "whether a front door that knows its number keeps to a part of very many backends")
-            .whole(LEAST, 1, ApertureSettings.MOST, ApertureSettings.DEFAULT.least(),
+            .whole(LEAST, 1, ApertureSettings.MAX_VALUE, ApertureSettings.DEFAULT.minBackends(),
                     "backends that each front door uses at least; up to so many, each uses all")
-            .whole(SHARE, 1, ApertureSettings.MOST, ApertureSettings.DEFAULT.doorsPerBackend(),
+            .whole(SHARE, 1, ApertureSettings.MAX_VALUE, ApertureSettings.DEFAULT.minGatewaysPerBackend(),
                     "front doors that use each backend, at least; up to so many, each uses all backends");
 
     @Override
--- a/app/src/main/java/nettletrail/app/MeasureLimits.java
+++ b/app/src/main/java/nettletrail/app/MeasureLimits.java
@@ -18,7 +18,7 @@
 import nettletrail.core.Bound;
 import nettletrail.counter.StandInCounter;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.limits.LimitsBound;
 import nettletrail.limits.LimitsDecider.Ceiling;
 import nettletrail.limits.LimitsSettings;
@@ -302,7 +302,7 @@
         for (int i = 0; i < 4; i++) {
             loops.add(group.next());
         }
-        SettingsReader reader = new SettingsReader(SETTINGS);
+        GatewaySettingsReader reader = new GatewaySettingsReader(SETTINGS);
         Gateway.Settings settings = reader.settings(options.seed());
         try (StandInCounter counter = new StandInCounter(loops.get(3), null)) {
             LimitsSettings limits = new LimitsSettings(counter.address(), "measure", "", Map.of("business",
--- a/app/src/main/java/nettletrail/app/scale/HollowDoor.java
+++ b/app/src/main/java/nettletrail/app/scale/HollowDoor.java
@@ -24,7 +24,7 @@
 import nettletrail.core.LoopClock;
 import nettletrail.core.Report;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.discovery.DiscoveryClient;
 import nettletrail.upstream.BackendPool;
 
@@ -35,7 +35,8 @@
  */
 final class HollowDoor implements Endpoint.Listener {
     /** What all hollow front doors of a process share. */
-    record Host(FleetPlan plan, EventLoop loop, LoopClock clock, List<SettingsReader> readers, Mechanism mechanism,
+    record Host(FleetPlan plan, EventLoop loop, LoopClock clock, List<GatewaySettingsReader> readers,
+            Mechanism mechanism,
             Backends backends) { }
 
     /** What became of attempts in this process, by backend. On the loop. */
@@ -82,11 +83,11 @@
         long seed = plan.seed() * 1_000_003 + number * 31L + life;
         random = new SplittableRandom(seed);
         nextId = (long) number << 40 | (long) life << 32;
-        SettingsReader reader = host.readers().get(FleetPlan.zone(number));
+        GatewaySettingsReader reader = host.readers().get(FleetPlan.zone(number));
         Gateway.Settings settings = reader.settings(seed);
         control = new CountedLoop(host.loop(), (index, at) -> heard.add(new long[] {index, at}));
         requests = new CountedLoop(host.loop(), null);
-        long idle = reader.time("Ceilings.ConnIdle");
+        long idle = reader.durationNanos("Ceilings.ConnIdle");
         backends = new HollowBackends(host.loop(), idle / IDLE_PARTS * 2, seed + 1);
         BackendPool pool = new BackendPool(requests, new Report.Reader(reader),
                 new Bootstrap().group(host.loop()).channel(LocalChannel.class), idle, sockets / 2);
--- a/app/src/main/java/nettletrail/app/scale/HollowDoors.java
+++ b/app/src/main/java/nettletrail/app/scale/HollowDoors.java
@@ -19,7 +19,7 @@
 import java.util.function.ToLongFunction;
 import nettletrail.core.Endpoint;
 import nettletrail.core.LoopClock;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /** Hollow front doors of one process, on one loop. Any thread but that loop. */
 final class HollowDoors implements AutoCloseable {
@@ -50,7 +50,8 @@
      * @param readers the settings, by the front door's zone
      * @param agents discovery's; front doors are dealt over them in turn
      */
-    HollowDoors(FleetPlan plan, int first, int sockets, List<SettingsReader> readers, List<InetSocketAddress> agents,
+    HollowDoors(FleetPlan plan, int first, int sockets, List<GatewaySettingsReader> readers,
+            List<InetSocketAddress> agents,
             Mechanism mechanism) {
         this.plan = plan;
         this.first = first;
--- a/app/src/main/java/nettletrail/app/scale/HollowDoorsProcess.java
+++ b/app/src/main/java/nettletrail/app/scale/HollowDoorsProcess.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import nettletrail.core.Endpoint;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.door.Config;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -47,8 +47,8 @@
     }
 
     /** The settings by zone, as a front door reads them. */
-    static List<SettingsReader> readers(Path configs) throws Config.Unusable {
-        List<SettingsReader> readers = new ArrayList<>();
+    static List<GatewaySettingsReader> readers(Path configs) throws Config.Unusable {
+        List<GatewaySettingsReader> readers = new ArrayList<>();
         for (int zone = 0; zone < FleetPlan.ZONES; zone++) {
             readers.add(Config.read(Map.of("EDGE_NAME", "hollow", "EDGE_LISTEN", "127.0.0.1:0", "EDGE_DISCOVERY",
                     "127.0.0.1:1", "EDGE_CONFIG", configs.resolve("zone" + zone + ".json").toString())).settings());
--- a/app/src/main/java/nettletrail/app/scale/Mechanism.java
+++ b/app/src/main/java/nettletrail/app/scale/Mechanism.java
@@ -3,7 +3,7 @@
 import nettletrail.core.Dispatcher;
 import nettletrail.decision.ApertureGateway;
 import nettletrail.decision.ApertureSettings;
-import nettletrail.decision.Brain;
+import nettletrail.decision.GatewayDecider;
 
 /**
  * What the module of every front door in a run is told, hollow or real: with the mechanism for large fleets, or without.
@@ -14,8 +14,8 @@
 
     /** The module of a hollow front door, whose number tells its place among them all. */
     Dispatcher.Maker maker(int number) {
-        return this == OFF ? Brain::new : (settings, now, actions) -> ApertureGateway.around(
-                new Brain(settings, now, actions), settings, number, ApertureSettings.DEFAULT);
+        return this == OFF ? GatewayDecider::new : (settings, now, actions) -> ApertureGateway.wrap(
+                new GatewayDecider(settings, now, actions), settings, number, ApertureSettings.DEFAULT);
     }
 
     /** What a real front door's settings say of it: members of their JSON object, each with a comma before it. */
--- a/app/src/main/java/nettletrail/app/scale/Thin.java
+++ b/app/src/main/java/nettletrail/app/scale/Thin.java
@@ -34,7 +34,7 @@
     static Thin modules(int seconds) {
         return (doors, backends, seed, on) -> {
             ApertureSettings aperture = ApertureSettings.DEFAULT;
-            int each = Math.max(aperture.doorsPerBackend(), aperture.least() * doors / backends);
+            int each = Math.max(aperture.minGatewaysPerBackend(), aperture.minBackends() * doors / backends);
             boolean sets = on && each < doors;
             int played = sets ? backends : Math.min(backends, MOST_WHOLE);
             int by = Math.max(1, (int) ((long) doors * played / backends));
--- a/app/src/main/java/nettletrail/app/scale/TimedModule.java
+++ b/app/src/main/java/nettletrail/app/scale/TimedModule.java
@@ -23,42 +23,42 @@
     }
 
     @Override
-    public void listed(long now, boolean whole, List<Backend> entries) {
+    public void onBackends(long now, boolean whole, List<Backend> entries) {
         long from = THREADS.getCurrentThreadCpuTime();
-        module.listed(now, whole, entries);
+        module.onBackends(now, whole, entries);
         listNs += THREADS.getCurrentThreadCpuTime() - from;
     }
 
     @Override
-    public void listFailed(long now) {
-        module.listFailed(now);
+    public void onDiscoveryFailure(long now) {
+        module.onDiscoveryFailure(now);
     }
 
     @Override
-    public void arrived(long now, Request request) {
+    public void onRequest(long now, Request request) {
         long from = THREADS.getCurrentThreadCpuTime();
-        module.arrived(now, request);
+        module.onRequest(now, request);
         took(from);
     }
 
     @Override
-    public void answered(long now, Answer answer) {
+    public void onAttemptEnd(long now, AttemptReport answer) {
         long from = THREADS.getCurrentThreadCpuTime();
-        module.answered(now, answer);
+        module.onAttemptEnd(now, answer);
         took(from);
     }
 
     @Override
-    public void departed(long now, long requestId) {
+    public void onRequestCancelled(long now, long requestId) {
         long from = THREADS.getCurrentThreadCpuTime();
-        module.departed(now, requestId);
+        module.onRequestCancelled(now, requestId);
         took(from);
     }
 
     @Override
-    public void woken(long now, int token) {
+    public void onTimer(long now, int token) {
         long from = THREADS.getCurrentThreadCpuTime();
-        module.woken(now, token);
+        module.onTimer(now, token);
         took(from);
     }
 
--- a/app/src/main/java/nettletrail/app/scale/roles/CustomersRole.java
+++ b/app/src/main/java/nettletrail/app/scale/roles/CustomersRole.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import nettletrail.decision.Brain;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewayDecider;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.emulator.capacity.Gauge;
 import nettletrail.emulator.capacity.Rounded;
 
@@ -20,7 +20,8 @@
 
     CustomersRole(long seed) {
 
-        settings = new SettingsReader("Balancers=" + SET + "\nServices.count=1\nServices.0.Deadline=3e9\nServices.0.Aim=7.5e8\n"
+        settings = new GatewaySettingsReader("Balancers=" + SET
+                + "\nServices.count=1\nServices.0.Deadline=3e9\nServices.0.Aim=7.5e8\n"
                 + "Services.0.Effect=free\nTiersOfService.count=1\nTiersOfService.0.PerSecond=20\nTiersOfService.0.Burst=40\n"
                 + "Ceilings.MaxAttempts=2\nFamilyInfo.Metering=5e9\n").settings(seed);
     }
@@ -28,27 +29,28 @@
     /** A module, and what it sends is answered by whoever plays the backends. */
     private static final class Played implements Gateway.Actions {
         private final List<long[]> sent = new ArrayList<>();
-        private final Brain brain;
+        private final GatewayDecider brain;
         private long requests;
         private long sends;
 
         Played(Gateway.Settings settings) {
-            brain = new Brain(settings, 0, this);
+            brain = new GatewayDecider(settings, 0, this);
             List<Gateway.Backend> list = new ArrayList<>();
             for (int i = 0; i < BACKENDS; i++) {
-                list.add(new Gateway.Backend(i + 1, 0, 0, 1, Gateway.State.READY, 1, 0));
+                list.add(new Gateway.Backend(i + 1, 0, 0, 1, Gateway.DiscoveryState.READY, 1, 0));
             }
-            brain.listed(0, true, list);
+            brain.onBackends(0, true, list);
         }
 
         /** A request, and its answer 1 ms later. */
         private void request(long now, long id, long customer) {
             requests++;
             // A set of one, so that its store holds a request: a refused one is cheaper.
-            brain.arrived(now, new Gateway.Request(id, 0, 0, customer, 1, 1, 3_000 * MS));
+            brain.onRequest(now, new Gateway.Request(id, 0, 0, customer, 1, 1, 3_000 * MS));
             for (int i = 0; i < sent.size(); i++) {
                 long[] to = sent.get(i);
-                brain.answered(now + MS, new Gateway.Answer(to[0], 0, to[1], Gateway.Outcome.OK, true, MS, 50, 0, null));
+                brain.onAttemptEnd(now + MS, new Gateway.AttemptReport(to[0], 0, to[1], Gateway.Outcome.OK, true, MS,
+                        50, 0, null));
             }
             sent.clear();
         }
@@ -60,16 +62,16 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterNs) { }
+        public void reject(long requestId, long retryAfterNs) { }
 
         @Override
         public void fail(long requestId) { }
 
         @Override
-        public void wakeIn(int token, long ns) { }
+        public void startTimer(int token, long ns) { }
 
         @Override
-        public void followList() { }
+        public void subscribeBackends() { }
 
         @Override
         public void log(String line) { }
--- a/app/src/main/java/nettletrail/app/scale/thin/ModuleCost.java
+++ b/app/src/main/java/nettletrail/app/scale/thin/ModuleCost.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import nettletrail.decision.Brain;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.Gateway.Answer;
+import nettletrail.decision.Gateway.AttemptReport;
 import nettletrail.decision.Gateway.Backend;
+import nettletrail.decision.Gateway.DiscoveryState;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.Gateway.Request;
-import nettletrail.decision.Gateway.State;
+import nettletrail.decision.GatewayDecider;
 
 /**
  * Processor time of one door's decision module: one door's share of the traffic before the whole list, in virtual
@@ -43,7 +43,7 @@
     private final SplittableRandom chance;
     private final List<Backend> list = new ArrayList<>();
     private final double perSecond;
-    private final Brain brain;
+    private final GatewayDecider brain;
     private long now = 1_000 * SECOND;
     private long id;
 
@@ -51,9 +51,9 @@
         this.perSecond = perSecond;
         chance = new SplittableRandom(seed);
         for (int i = 0; i < backends; i++) {
-            list.add(new Backend(i, i % ThinCase.ZONES, 0, 0, State.READY, 1, 0));
+            list.add(new Backend(i, i % ThinCase.ZONES, 0, 0, DiscoveryState.READY, 1, 0));
         }
-        brain = new Brain(ThinDoor.settings(doors, 0, seed), now, new Gateway.Actions() {
+        brain = new GatewayDecider(ThinDoor.settings(doors, 0, seed), now, new Gateway.Actions() {
             @Override
             public void send(long requestId, long backendId, long timeoutNs) {
                 long took = (long) (75 * MS * (1 - Math.log(1 - chance.nextDouble())));
@@ -61,21 +61,21 @@
             }
 
             @Override
-            public void refuse(long requestId, long retryAfterNs) { }
+            public void reject(long requestId, long retryAfterNs) { }
 
             @Override
             public void fail(long requestId) { }
 
             @Override
-            public void wakeIn(int token, long ns) { }
+            public void startTimer(int token, long ns) { }
 
             @Override
-            public void followList() { }
+            public void subscribeBackends() { }
 
             @Override
             public void log(String line) { }
         });
-        brain.listed(now, true, list);
+        brain.onBackends(now, true, list);
     }
 
     /**
@@ -88,10 +88,10 @@
      * @param seed of arrivals and answer times
      */
     public static Cost measure(int doors, int backends, double perSecond, int requests, long seed) {
-        Gateway.require(doors >= 1, "doors");
-        Gateway.require(backends >= 1, "backends");
-        Gateway.require(perSecond > 0, "perSecond");
-        Gateway.require(requests >= 1, "requests");
+        Gateway.requireInRange(doors >= 1, "doors");
+        Gateway.requireInRange(backends >= 1, "backends");
+        Gateway.requireInRange(perSecond > 0, "perSecond");
+        Gateway.requireInRange(requests >= 1, "requests");
         ModuleCost cost = new ModuleCost(doors, backends, perSecond, seed);
         cost.requests(requests);
         cost.changes();
@@ -115,12 +115,12 @@
             while (!out.isEmpty() && out.peek().at() <= arrived) {
                 Out next = out.poll();
                 now = next.at();
-                brain.answered(now, new Answer(next.id(), 0, next.backend(), Outcome.OK, true, next.took(), -1, 0,
-                        null));
+                brain.onAttemptEnd(now, new AttemptReport(next.id(), 0, next.backend(), Outcome.OK, true, next.took(),
+                        -1, 0, null));
             }
             now = arrived;
-            brain.woken(now, 0);
-            brain.arrived(now, new Request(++id, 0, 0, chance.nextInt(ThinCase.CUSTOMERS), 1, 1,
+            brain.onTimer(now, 0);
+            brain.onRequest(now, new Request(++id, 0, 0, chance.nextInt(ThinCase.CUSTOMERS), 1, 1,
                     ThinCase.DEADLINE_MS * MS));
         }
         return (threads.getCurrentThreadCpuTime() - before) / 1e3 / many;
@@ -129,7 +129,7 @@
     private double changes() {
         long before = threads.getCurrentThreadCpuTime();
         for (int i = 0; i < CHANGES; i++) {
-            brain.listed(now, false, List.of(list.get(chance.nextInt(list.size()))));
+            brain.onBackends(now, false, List.of(list.get(chance.nextInt(list.size()))));
         }
         return (threads.getCurrentThreadCpuTime() - before) / 1e3 / CHANGES;
     }
@@ -137,7 +137,7 @@
     private double lists() {
         long before = threads.getCurrentThreadCpuTime();
         for (int i = 0; i < LISTS; i++) {
-            brain.listed(now, true, list);
+            brain.onBackends(now, true, list);
         }
         return (threads.getCurrentThreadCpuTime() - before) / 1e3 / LISTS;
     }
--- a/app/src/main/java/nettletrail/app/scale/thin/ThinBackend.java
+++ b/app/src/main/java/nettletrail/app/scale/thin/ThinBackend.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayDeque;
 import nettletrail.decision.Gateway.Backend;
+import nettletrail.decision.Gateway.DiscoveryState;
 import nettletrail.decision.Gateway.Outcome;
-import nettletrail.decision.Gateway.State;
 
 /** A backend: slots, a queue and drawn times. Called by the fleet's one thread. */
 final class ThinBackend {
@@ -52,7 +52,7 @@
 
     /** What the list says of it. */
     Backend entry() {
-        return new Backend(index, zone(), 0, 0, State.READY, 1, startedAt);
+        return new Backend(index, zone(), 0, 0, DiscoveryState.READY, 1, startedAt);
     }
 
     void take(ThinDoor door, long requestId) {
--- a/app/src/main/java/nettletrail/app/scale/thin/ThinCase.java
+++ b/app/src/main/java/nettletrail/app/scale/thin/ThinCase.java
@@ -52,17 +52,17 @@
     }
 
     public ThinCase {
-        Gateway.require(doors >= 1, "ThinCase.doors");
-        Gateway.require(backends >= 1, "ThinCase.backends");
-        Gateway.require(slots >= 1, "ThinCase.slots");
-        Gateway.require(queue >= 0, "ThinCase.queue");
-        Gateway.require(serviceMs > 0, "ThinCase.serviceMs");
-        Gateway.require(used > 0, "ThinCase.used");
-        Gateway.require(seconds >= 1, "ThinCase.seconds");
-        Gateway.require(restarted >= 0 && restarted <= 1, "ThinCase.restarted");
-        Gateway.require(doorsEach == 0 || doorsEach <= doors && (long) doorsEach * backends >= doors,
+        Gateway.requireInRange(doors >= 1, "ThinCase.doors");
+        Gateway.requireInRange(backends >= 1, "ThinCase.backends");
+        Gateway.requireInRange(slots >= 1, "ThinCase.slots");
+        Gateway.requireInRange(queue >= 0, "ThinCase.queue");
+        Gateway.requireInRange(serviceMs > 0, "ThinCase.serviceMs");
+        Gateway.requireInRange(used > 0, "ThinCase.used");
+        Gateway.requireInRange(seconds >= 1, "ThinCase.seconds");
+        Gateway.requireInRange(restarted >= 0 && restarted <= 1, "ThinCase.restarted");
+        Gateway.requireInRange(doorsEach == 0 || doorsEach <= doors && (long) doorsEach * backends >= doors,
                 "ThinCase.doorsEach");
-        Gateway.present(choice, "ThinCase.choice");
+        Gateway.requirePresent(choice, "ThinCase.choice");
     }
 
     /** The plan's density: one slot, 150 ms, 4 requests a second and backend, a quarter told as restarted. */
--- a/app/src/main/java/nettletrail/app/scale/thin/ThinDoor.java
+++ b/app/src/main/java/nettletrail/app/scale/thin/ThinDoor.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import nettletrail.decision.ApertureGateway;
 import nettletrail.decision.ApertureSettings;
-import nettletrail.decision.Brain;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.Gateway.Answer;
+import nettletrail.decision.Gateway.AttemptReport;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.Effect;
-import nettletrail.decision.Gateway.Group;
+import nettletrail.decision.Gateway.DedupScope;
+import nettletrail.decision.Gateway.Idempotency;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.Gateway.Plan;
 import nettletrail.decision.Gateway.Request;
 import nettletrail.decision.Gateway.RequestClass;
 import nettletrail.decision.Gateway.Settings;
+import nettletrail.decision.GatewayDecider;
 
 /** A front door: the module, or one of the plain choices it is held against. Called by the fleet's one thread. */
 final class ThinDoor {
     private static final long MS = 1_000_000L;
     static final RequestClass KIND =
-            new RequestClass(ThinCase.AIM_MS * MS, 1, 0, Effect.REPEATABLE, Group.ALL, 0);
+            new RequestClass(ThinCase.AIM_MS * MS, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
     static final Plan FREE = new Plan(0, 0, 0, 0, 0, 0, 0, 0, 1);
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -55,7 +55,8 @@
 
     private Gateway module() {
         Settings settings = settings(play.doors(), index, play.seed());
-        return ApertureGateway.around(new Brain(settings, fleet.now(), actions()), settings, index, play.doorsEach() == 0
+        return ApertureGateway.wrap(new GatewayDecider(settings, fleet.now(), actions()), settings, index,
+                play.doorsEach() == 0
                 ? ApertureSettings.OFF : new ApertureSettings(true, 1, play.doorsEach()));
     }
 
@@ -67,20 +68,20 @@
 
     void listed(boolean whole, List<Backend> entries) {
         if (brain != null) {
-            fleet.timed(() -> brain.listed(fleet.now(), whole, entries));
+            fleet.timed(() -> brain.onBackends(fleet.now(), whole, entries));
         }
     }
 
     void arrived(long requestId) {
         fleet.in(ThinCase.DEADLINE_MS * MS, () -> {
             if (fleet.left(requestId) && brain != null) {
-                fleet.timed(() -> brain.departed(fleet.now(), requestId));
+                fleet.timed(() -> brain.onRequestCancelled(fleet.now(), requestId));
             }
         });
         if (brain != null) {
             Request request = new Request(requestId, 0, 0, fleet.chance().nextInt(ThinCase.CUSTOMERS), 1,
                     play.doors(), ThinCase.DEADLINE_MS * MS);
-            fleet.timed(() -> brain.arrived(fleet.now(), request));
+            fleet.timed(() -> brain.onRequest(fleet.now(), request));
         } else {
             send(requestId, plainChoice());
         }
@@ -110,9 +111,9 @@
         }
         boolean ended = outcome == Outcome.OK ? fleet.served(attempt.requestId) : !fleet.open(attempt.requestId);
         if (brain != null) {
-            Answer answer = new Answer(attempt.requestId, 0, backend.index, outcome, ended || outcome == Outcome.OK,
-                    fleet.now() - attempt.sentAt, -1, 0, null);
-            fleet.timed(() -> brain.answered(fleet.now(), answer));
+            AttemptReport answer = new AttemptReport(attempt.requestId, 0, backend.index, outcome,
+                    ended || outcome == Outcome.OK, fleet.now() - attempt.sentAt, -1, 0, null);
+            fleet.timed(() -> brain.onAttemptEnd(fleet.now(), answer));
         } else if (outcome != Outcome.OK && !ended) {
             send(attempt.requestId, plainChoice());
         }
@@ -126,7 +127,7 @@
             }
 
             @Override
-            public void refuse(long requestId, long retryAfterNs) {
+            public void reject(long requestId, long retryAfterNs) {
                 fleet.refused(requestId);
             }
 
@@ -136,12 +137,12 @@
             }
 
             @Override
-            public void wakeIn(int token, long ns) {
-                fleet.in(ns, () -> fleet.timed(() -> brain.woken(fleet.now(), token)));
+            public void startTimer(int token, long ns) {
+                fleet.in(ns, () -> fleet.timed(() -> brain.onTimer(fleet.now(), token)));
             }
 
             @Override
-            public void followList() { }
+            public void subscribeBackends() { }
 
             @Override
             public void log(String line) { }
--- a/app/src/test/java/nettletrail/app/TokensAtADoor.java
+++ b/app/src/test/java/nettletrail/app/TokensAtADoor.java
@@ -26,7 +26,7 @@
 import nettletrail.core.Front;
 import nettletrail.core.Section;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.door.Config;
 import nettletrail.door.FrontDoor;
 import nettletrail.extproc.ExtProcServer;
@@ -109,7 +109,7 @@
     }
 
     /** The front that other proxies ask, over HTTP only. */
-    Front asks(EventLoopGroup loops, SettingsReader reader, Gateway.Settings settings) {
+    Front asks(EventLoopGroup loops, GatewaySettingsReader reader, Gateway.Settings settings) {
         Section.Values values = ExtProcSettings.section().read(Map.of("enabled", true, "listen", "", "http_listen", "127.0.0.1:0"),
                 fault -> {
                     throw new IllegalStateException(fault.toString());
--- a/app/src/test/java/nettletrail/app/aperture/ApertureProcessesTest.java
+++ b/app/src/test/java/nettletrail/app/aperture/ApertureProcessesTest.java
@@ -24,7 +24,7 @@
 import nettletrail.decision.ApertureGateway;
 import nettletrail.decision.ApertureSettings;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.site.Events;
 import nettletrail.site.Site;
 import nettletrail.site.SiteBackend;
@@ -71,11 +71,12 @@
             listed.forEach((name, backend) -> {
                 names.put(Endpoint.id(name), name);
                 list.add(new Gateway.Backend(Endpoint.id(name), site.zone(backend).charAt(0) - 'a', 0, 1,
-                        draining.contains(name) ? Gateway.State.DRAINING : Gateway.State.READY, 1, 0));
+                        draining.contains(name) ? Gateway.DiscoveryState.DRAINING : Gateway.DiscoveryState.READY, 1,
+                        0));
             });
             Hears hears = new Hears();
-            Gateway.Settings settings = new SettingsReader("Balancers=" + DOORS).settings(1);
-            ApertureGateway.around(hears, settings, door, SET).listed(1, true, list);
+            Gateway.Settings settings = new GatewaySettingsReader("Balancers=" + DOORS).settings(1);
+            ApertureGateway.wrap(hears, settings, door, SET).onBackends(1, true, list);
             return hears.entries.stream().map(each -> names.get(each.id())).collect(Collectors.toCollection(TreeSet::new));
         }
     }
@@ -84,24 +85,24 @@
         private List<Backend> entries = List.of();
 
         @Override
-        public void listed(long now, boolean whole, List<Backend> told) {
+        public void onBackends(long now, boolean whole, List<Backend> told) {
             entries = told;
         }
 
         @Override
-        public void listFailed(long now) { }
+        public void onDiscoveryFailure(long now) { }
 
         @Override
-        public void arrived(long now, Request request) { }
+        public void onRequest(long now, Request request) { }
 
         @Override
-        public void answered(long now, Answer answer) { }
+        public void onAttemptEnd(long now, AttemptReport answer) { }
 
         @Override
-        public void departed(long now, long requestId) { }
+        public void onRequestCancelled(long now, long requestId) { }
 
         @Override
-        public void woken(long now, int token) { }
+        public void onTimer(long now, int token) { }
     }
 
     private static void await(Supplier<String> what, BooleanSupplier so) throws InterruptedException {
--- a/decision/src/main/java/nettletrail/decision/Aperture.java
+++ b/decision/src/main/java/nettletrail/decision/Aperture.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.Effect;
-import nettletrail.decision.Gateway.Group;
+import nettletrail.decision.Gateway.DedupScope;
+import nettletrail.decision.Gateway.DiscoveryState;
+import nettletrail.decision.Gateway.Idempotency;
 import nettletrail.decision.Gateway.Settings;
-import nettletrail.decision.Gateway.State;
 
 /**
  * Which of the listed backends one of many gateways uses: a deterministic aperture (Finagle's term). No two gateways
@@ -42,7 +42,10 @@
     /** Parts of a rank that a zone's arcs begin behind those of another. */
     private static final long TURN = 64;
 
-    /** What the module is to be told, as {@link Gateway#listed} has it; nothing if it is not whole and has no entries. */
+    /**
+     * What the module is to be told, as {@link Gateway#onBackends} has it; nothing if it is not whole and has no
+     * entries.
+     */
     record Told(boolean whole, List<Backend> entries) { }
 
     private static final class Member implements Comparable<Member> {
@@ -92,7 +95,7 @@
             int ready = 0;
             for (int i = 0; i < size && (i < count || ready < count); i++) {
                 Member member = ranks[(int) ((from + i) % size)];
-                boolean usable = member.entry.state() == State.READY;
+                boolean usable = member.entry.state() == DiscoveryState.READY;
                 ready += usable ? 1 : 0;
                 if (usable || i < count) {
                     into.add(member);
@@ -124,12 +127,12 @@
      * @param index its number among them, from 0
      */
     Aperture(ApertureSettings settings, Settings gateways, int index) {
-        this(settings, gateways.gateways(), index, byCell(gateways));
+        this(settings, gateways.gatewayCount(), index, byCell(gateways));
     }
 
     private static boolean byCell(Settings gateways) {
         for (Gateway.RequestClass each : gateways.classes()) {
-            if (each.effect() == Effect.KEYED && each.group() == Group.CELL) {
+            if (each.idempotency() == Idempotency.KEYED && each.dedupScope() == DedupScope.CELL) {
                 return true;
             }
         }
@@ -137,7 +140,7 @@
     }
 
     Aperture(ApertureSettings settings, int doors, int index, boolean byCell) {
-        Gateway.require(index >= 0 && index < doors, "Aperture.index");
+        Gateway.requireInRange(index >= 0 && index < doors, "Aperture.index");
         this.settings = settings;
         this.doors = doors;
         this.byCell = byCell;
@@ -228,7 +231,7 @@
         Member known = listed.get(entry.id());
         boolean moved = known != null && (known.entry.zone() != entry.zone()
                 || byCell && known.entry.cell() != entry.cell());
-        if (known != null && (moved || entry.state() == State.GONE)) {
+        if (known != null && (moved || entry.state() == DiscoveryState.GONE)) {
             leaves(known);
             listed.remove(entry.id());
             if (known.usedBy == lists - 1) {
@@ -236,7 +239,7 @@
             }
             known = null;
         }
-        if (entry.state() == State.GONE) {
+        if (entry.state() == DiscoveryState.GONE) {
             return;
         }
         if (known == null) {
@@ -266,8 +269,8 @@
         for (Ring ring : rings.values()) {
             largest = Math.max(largest, ring.size);
         }
-        Share share = new Share(settings.doorsPerBackend(), 1);
-        for (Share each : List.of(new Share((long) settings.least() * doors, Math.max(1, listed.size())),
+        Share share = new Share(settings.minGatewaysPerBackend(), 1);
+        for (Share each : List.of(new Share((long) settings.minBackends() * doors, Math.max(1, listed.size())),
                 new Share(doors, largest))) {
             share = each.above(share) ? each : share;
         }
@@ -300,19 +303,20 @@
         }
         for (Member member : old) {
             if (member.usedBy != lists && listed.get(member.entry.id()) == member) {
-                changes.add(as(member.entry, State.GONE));
+                changes.add(as(member.entry, DiscoveryState.GONE));
             }
         }
         for (Backend entry : gone) {
             Member again = listed.get(entry.id());
             if (again == null || again.usedBy != lists) {
-                changes.add(as(entry, State.GONE));
+                changes.add(as(entry, DiscoveryState.GONE));
             }
         }
         return changes;
     }
 
-    private static Backend as(Backend entry, State state) {
-        return new Backend(entry.id(), entry.zone(), entry.kind(), entry.cell(), state, entry.size(), entry.startedAt());
+    private static Backend as(Backend entry, DiscoveryState state) {
+        return new Backend(entry.id(), entry.zone(), entry.machineType(), entry.cell(), state, entry.weight(),
+                entry.startedAtNanos());
     }
 }
--- a/decision/src/main/java/nettletrail/decision/ApertureGateway.java
+++ b/decision/src/main/java/nettletrail/decision/ApertureGateway.java
@@ -15,7 +15,7 @@
     private ApertureGateway(Gateway module, Settings settings, Aperture aperture) {
         this.module = module;
         this.aperture = aperture;
-        sharers = settings.gateways();
+        sharers = settings.gatewayCount();
     }
 
     /**
@@ -25,53 +25,53 @@
      * @param settings what the module was told
      * @param index the gateway's number among {@code settings.gateways()}, from 0; below 0 if it isn't known
      */
-    public static Gateway around(Gateway module, Settings settings, int index, ApertureSettings aperture) {
-        if (!aperture.enabled() || index < 0 || index >= settings.gateways()
-                || settings.gateways() <= aperture.doorsPerBackend()) {
+    public static Gateway wrap(Gateway module, Settings settings, int index, ApertureSettings aperture) {
+        if (!aperture.enabled() || index < 0 || index >= settings.gatewayCount()
+                || settings.gatewayCount() <= aperture.minGatewaysPerBackend()) {
             return module;
         }
         return new ApertureGateway(module, settings, new Aperture(aperture, settings, index));
     }
 
     @Override
-    public void listed(long now, boolean whole, List<Backend> entries) {
+    public void onBackends(long now, boolean whole, List<Backend> entries) {
         Aperture.Told told = aperture.listed(whole, entries);
         if (sharers != aperture.sharers()) {
             sharers = aperture.sharers();
-            module.sharedBy(now, sharers);
+            module.onGatewaysPerBackend(now, sharers);
         }
         if (told.whole() || !told.entries().isEmpty() || aperture.all()) {
-            module.listed(now, told.whole(), told.entries());
+            module.onBackends(now, told.whole(), told.entries());
         }
     }
 
     @Override
-    public void sharedBy(long now, double gateways) {
-        module.sharedBy(now, gateways);
+    public void onGatewaysPerBackend(long now, double gateways) {
+        module.onGatewaysPerBackend(now, gateways);
     }
 
     @Override
-    public void listFailed(long now) {
-        module.listFailed(now);
+    public void onDiscoveryFailure(long now) {
+        module.onDiscoveryFailure(now);
     }
 
     @Override
-    public void arrived(long now, Request request) {
-        module.arrived(now, request);
+    public void onRequest(long now, Request request) {
+        module.onRequest(now, request);
     }
 
     @Override
-    public void answered(long now, Answer answer) {
-        module.answered(now, answer);
+    public void onAttemptEnd(long now, AttemptReport answer) {
+        module.onAttemptEnd(now, answer);
     }
 
     @Override
-    public void departed(long now, long requestId) {
-        module.departed(now, requestId);
+    public void onRequestCancelled(long now, long requestId) {
+        module.onRequestCancelled(now, requestId);
     }
 
     @Override
-    public void woken(long now, int token) {
-        module.woken(now, token);
+    public void onTimer(long now, int token) {
+        module.onTimer(now, token);
     }
 }
--- a/decision/src/main/java/nettletrail/decision/Brain.java
+++ b/decision/src/main/java/nettletrail/decision/GatewayDecider.java
@@ -18,7 +18,7 @@
  * <p>Where many gateways each see little (FEW_GATEWAYS), a part of a store or of a cap is smaller than one
  * request: chance is allowed for, and of what is beyond a quota the least worth is refused first.
  */
-public final class Brain implements Gateway {
+public final class GatewayDecider implements Gateway {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
 
@@ -49,16 +49,15 @@
     /** But each by one at least: at a small part of many, one request is more than the part holds at all. */
     private static final double LEAST_OVERDRAWN = 1;
     /**
-     * What comes to one of so few gateways tells what comes to all. Beyond, one request more or less is
-     * chance, and the let-in share alone decides up to this part of what may be overdrawn.
+     * Up to this many gateways, the load on one tells the load on all. With more, one request more or less
+     * is chance, and the admitted share alone decides up to CHANCE of the allowed overdraft.
      */
     private static final double FEW_GATEWAYS = 3;
     private static final double CHANCE = 0.9;
     /**
-     * Part of a cap that is full on the mean where one more request costs as much as it earns: so it is for
-     * those that come by chance to caps of 2 to 6, where one beyond costs 0.6 to 1 of its worth. With half
-     * filled as much was served, and a third more was paid for sends beyond the cap.
-     */
+     * Mean share of a concurrency cap to use: there one more request costs what it earns, for random
+     * arrivals, caps of 2 to 6 and an excess cost of 0.6 to 1 of the value. With 0.5, as much was served and
+     * a third more was paid for requests over the cap. */
     private static final double CAP_FILLED = 0.35;
     /** Part of its cap that a customer asks who is not known yet: half of what comes first is let in. */
     private static final double CAP_ASKED = 0.65;
@@ -90,8 +89,8 @@
     /** Attempts in flight from here that are always allowed: who sends nothing learns nothing. */
     private static final double LEAST_BOUND = 1;
     /**
-     * While fewer are out on the mean than one in work and one that waits at each backend, by all gateways
-     * together, so many standard deviations of chance (Poisson) beyond a gateway's part of these may be.
+     * While fewer than this many attempts per backend (one running, one queued; all gateways together) are
+     * in flight on average, a gateway may exceed its part by so many standard deviations (Poisson).
      */
     private static final double LEAST_EACH = 2;
     private static final double CHANCE_DEVIATIONS = 3;
@@ -266,13 +265,13 @@
     private final double[] asked;
     private double meanWorth;
 
-    public Brain(Settings settings, long now, Actions actions) {
-        this.settings = Gateway.present(settings, "settings");
-        this.out = Gateway.present(actions, "actions");
+    public GatewayDecider(Settings settings, long now, Actions actions) {
+        this.settings = Gateway.requirePresent(settings, "settings");
+        this.out = Gateway.requirePresent(actions, "actions");
         startedAt = now;
         random = new SplittableRandom(settings.seed());
         ringSalt = new SplittableRandom(~settings.seed()).nextLong();
-        sharers = settings.gateways();
+        sharers = settings.gatewayCount();
         usual = new double[settings.classes().size()];
         unloaded = new double[settings.classes().size()];
         answers = new int[usual.length];
@@ -280,36 +279,36 @@
         Arrays.fill(asked, 1.0 / usual.length);
         Arrays.fill(answers, CLASS_PRIOR);
         for (int i = 0; i < usual.length; i++) {
-            usual[i] = settings.classes().get(i).aimNs() / 5.0;
+            usual[i] = settings.classes().get(i).targetLatencyNanos() / 5.0;
             unloaded[i] = usual[i];
         }
-        if (settings.asksForList()) {
-            out.followList();
+        if (settings.subscribesToBackends()) {
+            out.subscribeBackends();
         }
     }
 
     // ---- A request arrives ------------------------------------------------------------------------------
 
     @Override
-    public void arrived(long now, Request request) {
-        Gateway.require(request.requestClass() < usual.length, "Request.requestClass");
-        Gateway.require(request.plan() < settings.plans().size(), "Request.plan");
+    public void onRequest(long now, Request request) {
+        Gateway.requireInRange(request.requestClass() < usual.length, "Request.requestClass");
+        Gateway.requireInRange(request.plan() < settings.plans().size(), "Request.plan");
         Job job = new Job();
         job.request = request;
         job.kind = settings.classes().get(request.requestClass());
         job.customer = customerOf(now, request);
         job.arrivedAt = now;
-        job.leavesAt = now + request.patienceNs();
+        job.leavesAt = now + request.timeoutNanos();
         retries = Math.min(MOST_RETRIES, retries + RETRY_EARNED);
         meanUnits += 0.01 * (request.units() - meanUnits);
         meanWorth = 0;
         for (int i = 0; i < asked.length; i++) {
             asked[i] += 0.01 * ((i == request.requestClass() ? 1 : 0) - asked[i]);
-            meanWorth += asked[i] * settings.classes().get(i).worth();
+            meanWorth += asked[i] * settings.classes().get(i).value();
         }
         Customer customer = job.customer;
         // A client about to leave is answered at once: the next look at what waits would be too late.
-        boolean leaving = request.patienceNs() < ANSWER_MARGIN;
+        boolean leaving = request.timeoutNanos() < ANSWER_MARGIN;
         boolean late = leaving || !inTime(job);
         boolean allCold = allCold(now);
         boolean within = (allCold || !late) && withinQuota(customer, request);
@@ -318,15 +317,15 @@
         }
         if (late || !within || !withinCeiling(customer, request)) {
             // No word on when to come again: what waits for a store to refill comes too late for its aim.
-            out.refuse(request.id(), 0);
+            out.reject(request.id(), 0);
             return;
         }
         take(customer, request.units());
         jobs.put(request.id(), job);
         enqueue(job, false);
         pump(now);
-        if (job.attempts == 0 && !job.ended && request.holdNs() < Long.MAX_VALUE) {
-            out.wakeIn(HOLD_OVER, request.holdNs());
+        if (job.attempts == 0 && !job.ended && request.maxQueueNanos() < Long.MAX_VALUE) {
+            out.startTimer(HOLD_OVER, request.maxQueueNanos());
         }
     }
 
@@ -345,17 +344,18 @@
             ahead += before ? other.waiting.size() : 0;
         }
         // What would be given up at the end of its hold is better told at once.
-        return ahead * sendGap <= job.request.holdNs() && ahead * sendGap + timeNeeded(job) <= timeGiven(job);
+        return ahead * sendGap <= job.request.maxQueueNanos()
+                && ahead * sendGap + timeNeeded(job) <= timeGiven(job);
     }
 
     /** Until its aim or until its client leaves: what comes later is work for nobody. */
     private long timeGiven(Job job) {
-        return Math.min(job.kind.aimNs(), job.leavesAt - job.arrivedAt);
+        return Math.min(job.kind.targetLatencyNanos(), job.leavesAt - job.arrivedAt);
     }
 
     /** At most half the aim: a class once slow must still be sent, or it could not show that it is well. */
     private double timeNeeded(Job job) {
-        return Math.min(HOPE * usual[job.request.requestClass()], job.kind.aimNs() / 2.0);
+        return Math.min(HOPE * usual[job.request.requestClass()], job.kind.targetLatencyNanos() / 2.0);
     }
 
     private Customer customerOf(long now, Request request) {
@@ -364,19 +364,19 @@
             customer = new Customer();
             customer.id = request.customer();
             customer.plan = settings.plans().get(request.plan());
-            customer.setSize = request.setSize();
-            customer.store = burst(customer.plan) / request.setSize();
+            customer.setSize = request.gatewaySubsetSize();
+            customer.store = burst(customer.plan) / request.gatewaySubsetSize();
             customer.filledAt = now;
             customer.slice = sliceOf(now);
             Arrays.fill(customer.letThen, customer.let);
             // After a restart it is not known what was spent of the ceiling before: it starts from nothing.
             // For one first seen later, what has filled since this gateway's start is surely there.
-            double filled = customer.plan.ceilingRate() * (now - startedAt) / SECOND;
-            customer.ceiling = Math.min(customer.plan.ceilingBurst(), customer.plan.ceilingSlack() + filled)
-                    / customer.setSize;
+            double filled = customer.plan.ceilingRatePerSecond() * (now - startedAt) / SECOND;
+            customer.ceiling = Math.min(customer.plan.ceilingBurstUnits(),
+                    customer.plan.ceilingOverdraftUnits() + filled) / customer.setSize;
             customers.put(request.customer(), customer);
         }
-        customer.setSize = request.setSize();
+        customer.setSize = request.gatewaySubsetSize();
         customer.seen = 1 + customer.seen * Math.exp((customer.seenAt - now) / (double) FORGET_AFTER);
         customer.seenAt = now;
         refill(customer, now);
@@ -409,7 +409,7 @@
     /** The customer's store holds it, or it pays though beyond the quota and the fleet has room. */
     private boolean withinQuota(Customer customer, Request request) {
         Plan plan = customer.plan;
-        if (plan.rate() <= 0 && plan.mostOut() > 0) {
+        if (plan.ratePerSecond() <= 0 && plan.maxConcurrency() > 0) {
             boolean even = customer.setSize <= FEW_GATEWAYS;
             double let = even ? 1 : Math.min(customer.let, capShare(customer, request));
             return soonOpen(customer, request) && letIn(let, request);
@@ -427,19 +427,17 @@
         if (customer.store >= -chance && letIn(customer.let, request)) {
             return true;
         }
-        return plan.beyondEarns() > plan.beyondCost() && held == 0 && fleetPace < 1;
+        return plan.overQuotaValue() > plan.overQuotaCost() && held == 0 && fleetPace < 1;
     }
 
-    /**
-     * A cap on attempts out has no store to measure: what is over it is held, and let in if one of this
-     * gateway's slots comes free for it while its aim can still be met.
-     */
+    /** A concurrency cap has no token bucket: a request over the cap is queued and admitted only if a slot of
+     * this gateway is expected to come free in time for its target latency. */
     private boolean soonOpen(Customer customer, Request request) {
         int part = partOfCap(customer, request);
         double need = usual[request.requestClass()];
         int ahead = Math.max(0, customer.out + customer.waiting.size() + 1 - part);
-        long aim = settings.classes().get(request.requestClass()).aimNs();
-        return (double) ahead / part * need + HOPE * need <= Math.min(aim, request.patienceNs());
+        long aim = settings.classes().get(request.requestClass()).targetLatencyNanos();
+        return (double) ahead / part * need + HOPE * need <= Math.min(aim, request.timeoutNanos());
     }
 
     /**
@@ -449,27 +447,25 @@
      * nothing is known but a part of the cap as its mean (exponential; then the posterior of Poisson counts).
      */
     private double capShare(Customer customer, Request request) {
-        double most = customer.plan.mostOut();
+        double most = customer.plan.maxConcurrency();
         double heard = FORGET_AFTER * (1 - Math.exp((startedAt - customer.seenAt) / (double) FORGET_AFTER));
         double latency = usual[request.requestClass()];
         double mean = customer.seen / (1 / (CAP_ASKED * most) + heard / (customer.setSize * latency));
         return Math.min(1, CAP_FILLED * most / mean);
     }
 
-    /**
-     * Slots of a cap that this gateway may use: its even part in whole slots, but one at least. One of many
-     * gateways has one more while the meter tells of room, for what is worth more than the mean: what comes
-     * to it comes unevenly, and the others' slots are mostly free.
-     */
+    /** Slots of a cap that this gateway may use: its even part, at least 1. One of many gateways gets one
+     * more for a request of more than mean value while the meter shows room: arrivals are uneven, and the other
+     * gateways' slots are mostly free. */
     private int partOfCap(Customer customer, Request request) {
-        int part = Math.max(1, customer.plan.mostOut() / customer.setSize);
+        int part = Math.max(1, customer.plan.maxConcurrency() / customer.setSize);
         boolean room = customer.lastReading >= 0 && customer.let > LET_NEAR_ALL;
         return customer.setSize > FEW_GATEWAYS && room && worth(request) >= meanWorth ? part + 1 : part;
     }
 
     /** The ceiling is kept by each gateway on its own: an even share of its store and of its rate. */
     private boolean withinCeiling(Customer customer, Request request) {
-        return customer.plan.ceilingRate() <= 0
+        return customer.plan.ceilingRatePerSecond() <= 0
                 || customer.ceiling - customer.reserved >= request.units();
     }
 
@@ -485,10 +481,8 @@
         customer.reserved -= job.request.units();
     }
 
-    /**
-     * The same for one that was sent, if none of its attempts can have come whole to a backend: a try takes
-     * its units when its first attempt has. The counter too, or a dead backend would cost its turn.
-     */
+    /** Refunds a sent request if no attempt can have reached a backend whole: only then were units consumed.
+     * Refunds the fair-queueing counter too, or a dead backend would cost the customer its turn. */
     private void giveBackUnsent(Job job, long now) {
         if (job.attempts == 0 || job.mayHaveCome) {
             return;
@@ -497,15 +491,13 @@
         double units = job.request.units();
         refill(customer, now);
         draw(customer, -units);
-        double most = customer.plan.ceilingBurst() / customer.setSize;
+        double most = customer.plan.ceilingBurstUnits() / customer.setSize;
         customer.ceiling = Math.min(most, customer.ceiling + units);
         customer.counter -= job.charged;
     }
 
-    /**
-     * With chance a over all requests; of a part that must be refused, first what is worth least. Here the
-     * design, whose chance is the same for all, is departed from: at 14 gateways that earned a tenth of all.
-     */
+    /** Admits this share of all requests, rejecting the least valuable first. The original design admitted
+     * all with the same probability; at 14 gateways the change gained a tenth of the total value. */
     private boolean letIn(double let, Request request) {
         if (let >= 1) {
             return true;
@@ -514,14 +506,14 @@
         double dearer = 0;
         double same = 0;
         for (int i = 0; i < asked.length; i++) {
-            dearer += settings.classes().get(i).worth() > worth ? asked[i] : 0;
-            same += settings.classes().get(i).worth() == worth ? asked[i] : 0;
+            dearer += settings.classes().get(i).value() > worth ? asked[i] : 0;
+            same += settings.classes().get(i).value() == worth ? asked[i] : 0;
         }
         return random.nextDouble() < (let - dearer) / Math.max(same, 1e-9);
     }
 
     private double worth(Request request) {
-        return settings.classes().get(request.requestClass()).worth();
+        return settings.classes().get(request.requestClass()).value();
     }
 
     private double mostOverdrawn(Customer customer) {
@@ -535,7 +527,8 @@
 
     /** The plan's rate; for a cap on attempts out, the rate that keeps it out while no backend is slow. */
     private double rate(Plan plan) {
-        return plan.rate() > 0 ? plan.rate() : plan.mostOut() * meanUnits * SECOND / meanUnloaded();
+        return plan.ratePerSecond() > 0 ? plan.ratePerSecond()
+                : plan.maxConcurrency() * meanUnits * SECOND / meanUnloaded();
     }
 
     /** ns that an attempt takes while no backend is slow, over the classes as they are asked. */
@@ -548,7 +541,7 @@
     }
 
     private double burst(Plan plan) {
-        return plan.rate() > 0 ? plan.burst() : plan.mostOut() * meanUnits;
+        return plan.ratePerSecond() > 0 ? plan.burstUnits() : plan.maxConcurrency() * meanUnits;
     }
 
     private void refill(Customer customer, long now) {
@@ -560,8 +553,8 @@
         }
         double gap = customer.setSize * meanUnits * SECOND / Math.max(rate(plan), 1e-9);
         customer.let += (1 - customer.let) * (1 - Math.exp(-seconds * SECOND / Math.max(LET_BACK, gap)));
-        customer.ceiling = Math.min(plan.ceilingBurst() / customer.setSize,
-                customer.ceiling + plan.ceilingRate() / customer.setSize * seconds);
+        customer.ceiling = Math.min(plan.ceilingBurstUnits() / customer.setSize,
+                customer.ceiling + plan.ceilingRatePerSecond() / customer.setSize * seconds);
         long slice = sliceOf(now);
         for (long s = Math.max(customer.slice + 1, slice - RING + 1); s <= slice; s++) {
             customer.letThen[index(s)] = customer.let;
@@ -631,13 +624,14 @@
 
     /** A cap on attempts out: this gateway's even part, one at least; what is over it is held. */
     private boolean mayOpen(Customer customer) {
-        return customer.plan.mostOut() <= 0
+        return customer.plan.maxConcurrency() <= 0
                 || customer.out < partOfCap(customer, customer.waiting.peekFirst().request);
     }
 
     /** Too late to be of worth: its slot does more for another. */
     private boolean hopeless(Job job, long now) {
-        boolean worthLate = job.kind.lateValue() > 0 && held <= 1 && now + timeNeeded(job) <= job.leavesAt;
+        boolean worthLate = job.kind.lateValueShare() > 0 && held <= 1
+                && now + timeNeeded(job) <= job.leavesAt;
         return now + timeNeeded(job) > job.arrivedAt + timeGiven(job) && !worthLate;
     }
 
@@ -651,10 +645,11 @@
         if (job.at == null) {
             jobs.remove(job.request.id());
         }
-        boolean harmless = !job.mayHaveRun && job.at == null || job.kind.effect() == Effect.REPEATABLE
-                || job.kind.effect() == Effect.KEYED && job.kind.group() == Group.ALL;
+        boolean harmless = !job.mayHaveRun && job.at == null
+                || job.kind.idempotency() == Idempotency.IDEMPOTENT
+                || job.kind.idempotency() == Idempotency.KEYED && job.kind.dedupScope() == DedupScope.ALL;
         if (harmless) {
-            out.refuse(job.request.id(), 0);
+            out.reject(job.request.id(), 0);
         } else {
             out.fail(job.request.id());
         }
@@ -732,7 +727,7 @@
      * use a backend one more or less that favours it shows: some got half as much again as others.
      */
     private Server inTurn(Server best) {
-        if (sharers >= settings.gateways()) {
+        if (sharers >= settings.gatewayCount()) {
             return best;
         }
         double noise = Math.sqrt(spread * PACE_WEIGHT / (2 - PACE_WEIGHT));
@@ -749,17 +744,15 @@
 
     /** Its trial at one that answers badly may cost a request: one that can be repeated. */
     private boolean mayTry(Job job, Server server, long now) {
-        boolean repeatable = job.kind.effect() != Effect.ONCE;
+        boolean repeatable = job.kind.idempotency() != Idempotency.NOT_IDEMPOTENT;
         return !server.unwell || repeatable || now >= server.blockedUntil + UNSAFE_TRIAL;
     }
 
-    /**
-     * Expected time to finish there, against a usual backend: pace times one and what is out for its size. An
-     * idle one is no cheaper for being large: many gateways with nothing out would all send to the largest.
-     */
+    /** Relative expected completion time: pace times (1 + load per weight). A large idle backend costs no
+     * less than a small one, or many gateways with nothing in flight would all send to the largest. */
     private double cost(Server server, long now) {
         double cost = pace(server, now) * (1 + (server.out + 0.5 * server.waiting) / sizeOf(server));
-        boolean crosses = settings.crossZonePrice() > 0 && server.entry.zone() != settings.zone();
+        boolean crosses = settings.crossZoneCost() > 0 && server.entry.zone() != settings.zone();
         return crosses ? cost * (1 + CROSS_EXTRA) : cost;
     }
 
@@ -803,14 +796,15 @@
     }
 
     private double sizeOf(Server server) {
-        return (server.entry.size() > 0 ? server.entry.size() : 1) / meanSize;
+        return (server.entry.weight() > 0 ? server.entry.weight() : 1) / meanSize;
     }
 
     private boolean keepsKey(Job job, Server server) {
-        if (!job.mayHaveRun || job.kind.effect() != Effect.KEYED || job.kind.group() == Group.ALL) {
+        if (!job.mayHaveRun || job.kind.idempotency() != Idempotency.KEYED
+                || job.kind.dedupScope() == DedupScope.ALL) {
             return true;
         }
-        return job.kind.group() == Group.ZONE ? server.entry.zone() == job.ranAt.entry.zone()
+        return job.kind.dedupScope() == DedupScope.ZONE ? server.entry.zone() == job.ranAt.entry.zone()
                 : server.entry.cell() == job.ranAt.entry.cell();
     }
 
@@ -852,7 +846,8 @@
      */
     private long timeout(Job job) {
         double least = STALLED * usual[job.request.requestClass()];
-        return job.customer.plan.mostOut() <= 0 ? 0 : (long) Math.max(job.kind.aimNs() * SLOT_AIM, least);
+        return job.customer.plan.maxConcurrency() <= 0 ? 0
+                : (long) Math.max(job.kind.targetLatencyNanos() * SLOT_AIM, least);
     }
 
     /** The quadratic charge: units, and units once more for each typical request's worth of them. */
@@ -869,16 +864,17 @@
     // ---- It is answered ---------------------------------------------------------------------------------
 
     @Override
-    public void answered(long now, Answer answer) {
+    public void onAttemptEnd(long now, AttemptReport answer) {
         Job job = jobs.get(answer.requestId());
-        Server server = servers.get(answer.backend());
-        if (answer.usedPercent() >= 0 && job != null) {
+        Server server = servers.get(answer.backendId());
+        if (answer.quotaUsedPercent() >= 0 && job != null) {
             refill(job.customer, now);
-            read(job.customer, answer.usedPercent(), now);
+            read(job.customer, answer.quotaUsedPercent(), now);
         }
         if (server != null && answer.load() != null) {
-            server.waiting = Double.isNaN(answer.load().waiting()) ? 0 : answer.load().waiting();
-            server.busy = Double.isNaN(answer.load().busy()) ? 0 : answer.load().busy();
+            server.waiting = Double.isNaN(answer.load().queuedRequests()) ? 0
+                    : answer.load().queuedRequests();
+            server.busy = Double.isNaN(answer.load().cpuUtilization()) ? 0 : answer.load().cpuUtilization();
         }
         if (job == null || job.at == null) {
             return;
@@ -897,10 +893,10 @@
             job.firstMaybeRunAt = job.sentAt;
             job.ranAt = server;
         }
-        if (answer.settledUnits() > 0) {
-            settle(job, answer.settledUnits());
+        if (answer.actualUnits() > 0) {
+            settle(job, answer.actualUnits());
         }
-        if (answer.ended() || job.ended) {
+        if (answer.requestEnded() || job.ended) {
             job.ended = true;
             jobs.remove(answer.requestId());
             giveBackUnsent(job, now);
@@ -916,25 +912,25 @@
         Customer customer = job.customer;
         double more = units - job.request.units();
         customer.counter += charge(customer, units) - charge(customer, job.request.units());
-        if (customer.plan.rate() > 0) {
+        if (customer.plan.ratePerSecond() > 0) {
             draw(customer, more);
         }
     }
 
     private boolean mayTryAgain(Job job, long now) {
-        if (job.attempts >= settings.mostAttempts() || retries < 1 || now + ANSWER_MARGIN >= job.leavesAt) {
+        if (job.attempts >= settings.maxAttempts() || retries < 1 || now + ANSWER_MARGIN >= job.leavesAt) {
             return false;
         }
-        return !job.mayHaveRun || job.kind.effect() == Effect.REPEATABLE
-                || job.kind.effect() == Effect.KEYED && insideWindow(job, now);
+        return !job.mayHaveRun || job.kind.idempotency() == Idempotency.IDEMPOTENT
+                || job.kind.idempotency() == Idempotency.KEYED && insideWindow(job, now);
     }
 
     private boolean insideWindow(Job job, long now) {
-        return now + WINDOW_MARGIN < job.firstMaybeRunAt + job.kind.windowNs();
+        return now + WINDOW_MARGIN < job.firstMaybeRunAt + job.kind.dedupWindowNanos();
     }
 
     /** What an outcome says of its backend. */
-    private void judge(Server server, Job job, Answer answer, long now) {
+    private void judge(Server server, Job job, AttemptReport answer, long now) {
         Outcome outcome = answer.outcome();
         if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
             // One connection may break; a process that died refuses connections or breaks all of them.
@@ -971,7 +967,7 @@
             trust(server);
         }
         int kind = job.request.requestClass();
-        double took = answer.tookNs();
+        double took = answer.durationNanos();
         if (outcome == Outcome.TIMED_OUT) {
             // How long one was waited for that never came tells when it was given up: of its backend alone it
             // says something. A few of them would cut the bound on all, and drive the usual latency to many
@@ -983,7 +979,7 @@
             return;
         }
         // The bound on all in flight from here: each backend alone tells a gateway among many too little.
-        double full = Math.max(BOUND_PACE * unloaded[kind], BOUND_AIM * job.kind.aimNs());
+        double full = Math.max(BOUND_PACE * unloaded[kind], BOUND_AIM * job.kind.targetLatencyNanos());
         double stretch = took / full / Math.max(1, pace(server, now));
         fleetPace += FLEET_WEIGHT * (Math.min(MOST_STRETCH, stretch) - fleetPace);
         if (fleetPace > 1) {
@@ -1005,7 +1001,7 @@
         usual[kind] += Math.max(CLASS_WEIGHT, 1.0 / ++answers[kind]) * (took - usual[kind]);
         unloaded[kind] = Math.min(unloaded[kind] * (1 + 0.0001), usual[kind]);
         double slow = server.pace * usual[kind];
-        if (slow > Math.max(FULL_PACE * unloaded[kind], AIM_SHARE * job.kind.aimNs())) {
+        if (slow > Math.max(FULL_PACE * unloaded[kind], AIM_SHARE * job.kind.targetLatencyNanos())) {
             if (now > server.cutAt + slow) {
                 server.limit = Math.max(leastLimit(), Math.min(server.limit, server.out + 1) * LIMIT_CUT);
                 server.cutAt = now;
@@ -1062,7 +1058,8 @@
     // ---- The meter --------------------------------------------------------------------------------------
 
     private long sliceOf(long now) {
-        return settings.meterPeriodNs() > 0 ? now / Math.max(1, settings.meterPeriodNs() / SLICES) : 0;
+        return settings.meteringPeriodNanos() > 0 ? now / Math.max(1, settings.meteringPeriodNanos() / SLICES)
+                : 0;
     }
 
     private static int index(long slice) {
@@ -1071,7 +1068,7 @@
 
     /** Takes in a reading if it is a new period's: many answers repeat one, and none names its period. */
     private void read(Customer customer, int percent, long now) {
-        double period = settings.meterPeriodNs();
+        double period = settings.meteringPeriodNanos();
         if (period <= 0) {
             return;
         }
@@ -1098,7 +1095,7 @@
             let += customer.letThen[index(s)] / SLICES;
         }
         double used = percent / 100.0;
-        if (customer.plan.rate() <= 0) {
+        if (customer.plan.ratePerSecond() <= 0) {
             // Of a cap it tells the most out at once in a period, which is above the mean by chance.
             customer.let = Math.min(1, let * CAP_IN_USE / Math.max(CAP_IN_USE / 2, used));
             return;
@@ -1112,7 +1109,7 @@
     // ---- The list, cold backends, health ----------------------------------------------------------------
 
     @Override
-    public void listed(long now, boolean whole, List<Backend> entries) {
+    public void onBackends(long now, boolean whole, List<Backend> entries) {
         if (whole) {
             for (Server server : servers.values()) {
                 server.ready = false;
@@ -1120,14 +1117,15 @@
         }
         for (Backend entry : entries) {
             Server server = servers.computeIfAbsent(entry.id(), this::placed);
-            boolean restarted = server.entry == null || server.entry.startedAt() != entry.startedAt();
+            boolean restarted = server.entry == null
+                    || server.entry.startedAtNanos() != entry.startedAtNanos();
             server.entry = entry;
-            server.ready = entry.state() == State.READY;
+            server.ready = entry.state() == DiscoveryState.READY;
             if (server.limit == 0 || restarted) {
                 server.limit = Math.max(leastLimit(), FIRST_LIMIT / sharers);
             }
-            if (restarted && entry.startedAt() > 0) {
-                turnedCold(server, entry.startedAt());
+            if (restarted && entry.startedAtNanos() > 0) {
+                turnedCold(server, entry.startedAtNanos());
                 server.blockedUntil = 0;
                 server.doubt = 0;
                 server.unwell = false;
@@ -1139,7 +1137,7 @@
         for (Iterator<Server> it = servers.values().iterator(); it.hasNext();) {
             Server server = it.next();
             if (server.ready) {
-                sum += server.entry.size() > 0 ? server.entry.size() : 1;
+                sum += server.entry.weight() > 0 ? server.entry.weight() : 1;
                 n++;
             } else if (server.out == 0) {
                 it.remove();
@@ -1161,8 +1159,8 @@
     }
 
     @Override
-    public void sharedBy(long now, double gateways) {
-        Gateway.require(gateways >= 1, "sharedBy");
+    public void onGatewaysPerBackend(long now, double gateways) {
+        Gateway.requireInRange(gateways >= 1, "onGatewaysPerBackend");
         sharers = gateways;
     }
 
@@ -1171,19 +1169,19 @@
     }
 
     @Override
-    public void listFailed(long now) {
-        if (settings.asksForList()) {
-            out.followList();
+    public void onDiscoveryFailure(long now) {
+        if (settings.subscribesToBackends()) {
+            out.subscribeBackends();
         }
     }
 
     /** The share of its capacity that a backend surely has: it rises no slower than evenly. */
     private double warmth(Server server, long now) {
-        if (server.coldSince == Long.MIN_VALUE || now - server.coldSince >= settings.rampNs()) {
+        if (server.coldSince == Long.MIN_VALUE || now - server.coldSince >= settings.slowStartNanos()) {
             return 1;
         }
-        double age = Math.max(0, now - server.coldSince) / (double) settings.rampNs();
-        return settings.coldShare() + (1 - settings.coldShare()) * age;
+        double age = Math.max(0, now - server.coldSince) / (double) settings.slowStartNanos();
+        return settings.coldCapacityShare() + (1 - settings.coldCapacityShare()) * age;
     }
 
     private void turnedCold(Server server, long since) {
@@ -1222,18 +1220,18 @@
             }
         }
         capacity = Math.max(capacity, (allCold(now) ? LEAST_WARM_ALL_COLD : LEAST_WARM) * fleetSize);
-        double multiple = COLD_PART * settings.overloadMultiple();
+        double multiple = COLD_PART * settings.overloadFactor();
         for (int i = 0; i < cold.size(); i++) {
             Server server = cold.get(i);
             double credit = server.coldCredit;
             if (credit >= 1 && now > server.coldCreditUntil) {
                 credit -= 1;
-                server.coldCreditUntil = now + settings.overloadSpanNs();
+                server.coldCreditUntil = now + settings.overloadNanos();
             }
             double part = warmth(server, now) * sizeOf(server) / capacity;
             server.coldCredit = Math.min(COLD_SAVED, credit + multiple * part);
             if (credit < 1 && server.coldCredit >= 1) {
-                server.coldCreditUntil = now + settings.overloadSpanNs();
+                server.coldCreditUntil = now + settings.overloadNanos();
             }
         }
     }
@@ -1241,14 +1239,15 @@
     // ---- The clock --------------------------------------------------------------------------------------
 
     @Override
-    public void woken(long now, int token) {
+    public void onTimer(long now, int token) {
         looking &= token != LOOK;
         ArrayList<Job> due = new ArrayList<>(0);
         for (int i = 0; i < waiting.size(); i++) {
             for (Job job : waiting.get(i).waiting) {
                 if (now + ANSWER_MARGIN >= job.leavesAt || hopeless(job, now)
-                        || job.attempts == 0 && now - job.arrivedAt >= job.request.holdNs()
-                        || job.mayHaveRun && job.kind.effect() == Effect.KEYED && !insideWindow(job, now)) {
+                        || job.attempts == 0 && now - job.arrivedAt >= job.request.maxQueueNanos()
+                        || job.mayHaveRun && job.kind.idempotency() == Idempotency.KEYED
+                                && !insideWindow(job, now)) {
                     due.add(job);
                 }
             }
@@ -1264,12 +1263,12 @@
     private void look() {
         if (held > 0 && !looking) {
             looking = true;
-            out.wakeIn(LOOK, LOOK_EVERY);
+            out.startTimer(LOOK, LOOK_EVERY);
         }
     }
 
     @Override
-    public void departed(long now, long requestId) {
+    public void onRequestCancelled(long now, long requestId) {
         Job job = jobs.get(requestId);
         if (job == null) {
             return;
--- a/decision/src/main/java/nettletrail/decision/SettingsReader.java
+++ b/decision/src/main/java/nettletrail/decision/GatewaySettingsReader.java
@@ -9,23 +9,23 @@
  * Reads the settings, as the {@code start} event's text or as the same lines made of a configuration: path=value.
  * Unknown keys are ignored; a key that is absent has the default given at its place below, in most cases 0.
  */
-public final class SettingsReader {
+public final class GatewaySettingsReader {
     /** What the settings call the values of a load report that the module uses. */
-    public static final String WAITING = "pending";
-    public static final String BUSY = "cpu_share";
-    public static final String SERVED = "served_ps";
+    public static final String QUEUED_REQUESTS = "pending";
+    public static final String CPU_UTILIZATION = "cpu_share";
+    public static final String REQUESTS_PER_SECOND = "served_ps";
 
     private static final long LONGEST_DEADLINE = 3_000_000_000L;
 
     private final Map<String, String> values = new HashMap<>();
 
-    public SettingsReader(String text) {
+    public GatewaySettingsReader(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
             if (equals > 0) {
                 values.put(line.substring(0, equals), line.substring(equals + 1).strip());
             } else if (!line.isBlank()) {
-                throw new WireFault("settings: no '=' in line '" + line + "'");
+                throw new InvalidInputException("settings: no '=' in line '" + line + "'");
             }
         }
     }
@@ -39,15 +39,15 @@
         for (int i = 0; i < count("TiersOfService.count"); i++) {
             plans.add(plan("TiersOfService." + i + "."));
         }
-        return new Gateway.Settings(count("Balancers", 1), count("Zone"), seed, time("Step"),
+        return new Gateway.Settings(count("Balancers", 1), count("Zone"), seed, durationNanos("Step"),
                 count("Ceilings.MaxAttempts", 1), text("Discovery", "push").equals("ask"),
-                number("Obligations.ColdFrom", 1), time("Obligations.RampTime"),
-                number("Obligations.OverloadFactor", 1), time("Obligations.Fall"), number("Charges.CrossZone", 0),
-                time("FamilyInfo.Metering"), classes, plans);
+                number("Obligations.ColdFrom", 1), durationNanos("Obligations.RampTime"),
+                number("Obligations.OverloadFactor", 1), durationNanos("Obligations.Fall"),
+                number("Charges.CrossZone", 0), durationNanos("FamilyInfo.Metering"), classes, plans);
     }
 
     /** This gateway's number among all, from 0; below 0 where the settings don't tell it. */
-    public int index() {
+    public int gatewayIndex() {
         double index = number("Index", -1);
         return index >= 0 && index < count("Balancers", 1) ? (int) index : -1;
     }
@@ -59,25 +59,27 @@
             case "false" -> false;
             default -> throw malformed("Aperture.Enabled");
         };
-        return new ApertureSettings(enabled, count("Aperture.Least", absent.least()),
-                count("Aperture.DoorsPerBackend", absent.doorsPerBackend()));
+        return new ApertureSettings(enabled, count("Aperture.Least", absent.minBackends()),
+                count("Aperture.DoorsPerBackend", absent.minGatewaysPerBackend()));
     }
 
     /** The names of a load report's values, in their order on the wire. */
-    public List<String> reportFields() {
+    public List<String> loadReportFields() {
         return list("Report.Fields");
     }
 
     /** The most units that a request takes; 0 if the settings don't tell. */
-    public double mostUnits() {
+    public double maxUnitsPerRequest() {
         return number("FamilyInfo.MostUnits", 0);
     }
 
-    /** The longest that a client waits, ns: over all classes, 3 s where none tells (the most that the protocol knows). */
-    public long longestDeadlineNs() {
+    /**
+     * The longest that a client waits, ns: over all classes, 3 s where none tells (the most that the protocol knows).
+     */
+    public long maxDeadlineNanos() {
         long longest = 0;
         for (int i = 0; i < count("Services.count"); i++) {
-            longest = Math.max(longest, time("Services." + i + ".Deadline"));
+            longest = Math.max(longest, durationNanos("Services." + i + ".Deadline"));
         }
         return longest > 0 ? longest : LONGEST_DEADLINE;
     }
@@ -98,21 +100,22 @@
     }
 
     private Gateway.RequestClass requestClass(String at) {
-        long deadline = time(at + "Deadline");
-        Gateway.Effect effect = switch (text(at + "Effect", "single_shot")) {
-            case "free" -> Gateway.Effect.REPEATABLE;
-            case "guarded" -> Gateway.Effect.KEYED;
-            case "single_shot" -> Gateway.Effect.ONCE;
+        long deadline = durationNanos(at + "Deadline");
+        Gateway.Idempotency effect = switch (text(at + "Effect", "single_shot")) {
+            case "free" -> Gateway.Idempotency.IDEMPOTENT;
+            case "guarded" -> Gateway.Idempotency.KEYED;
+            case "single_shot" -> Gateway.Idempotency.NOT_IDEMPOTENT;
             default -> throw malformed(at + "Effect");
         };
-        Gateway.Group group = switch (text(at + "DedupScope", "cell")) {
-            case "all" -> Gateway.Group.ALL;
-            case "zone" -> Gateway.Group.ZONE;
-            default -> Gateway.Group.CELL;
+        Gateway.DedupScope group = switch (text(at + "DedupScope", "cell")) {
+            case "all" -> Gateway.DedupScope.ALL;
+            case "zone" -> Gateway.DedupScope.ZONE;
+            default -> Gateway.DedupScope.CELL;
         };
-        long aim = values.containsKey(at + "Aim") ? time(at + "Aim") : deadline > 0 ? deadline : LONGEST_DEADLINE;
+        long aim = values.containsKey(at + "Aim") ? durationNanos(at + "Aim")
+                : deadline > 0 ? deadline : LONGEST_DEADLINE;
         return new Gateway.RequestClass(Math.max(1, aim),
-                number(at + "Worth", 1), number(at + "LateValue", 0), effect, group, time(at + "Window"));
+                number(at + "Worth", 1), number(at + "LateValue", 0), effect, group, durationNanos(at + "Window"));
     }
 
     private Gateway.Plan plan(String at) {
@@ -139,7 +142,7 @@
     }
 
     /** A span of time in ns. */
-    public long time(String key) {
+    public long durationNanos(String key) {
         return (long) number(key, 0);
     }
 
@@ -159,7 +162,7 @@
         throw malformed(key);
     }
 
-    private WireFault malformed(String key) {
-        return new WireFault("settings: malformed value '" + values.get(key) + "' of " + key);
+    private InvalidInputException malformed(String key) {
+        return new InvalidInputException("settings: malformed value '" + values.get(key) + "' of " + key);
     }
 }
--- a/decision/src/main/java/nettletrail/decision/WireFault.java
+++ b/decision/src/main/java/nettletrail/decision/InvalidInputException.java
@@ -1,10 +1,10 @@
 package nettletrail.decision;
 
 /** Input that is not as the wire's page has it; the message names what and where. */
-public final class WireFault extends RuntimeException {
+public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public WireFault(String message) {
+    public InvalidInputException(String message) {
         super(message);
     }
 }
--- a/decision/src/test/java/nettletrail/decision/ApertureGatewayTest.java
+++ b/decision/src/test/java/nettletrail/decision/ApertureGatewayTest.java
@@ -12,16 +12,16 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
-import nettletrail.decision.Gateway.Answer;
+import nettletrail.decision.Gateway.AttemptReport;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.Effect;
-import nettletrail.decision.Gateway.Group;
+import nettletrail.decision.Gateway.DedupScope;
+import nettletrail.decision.Gateway.DiscoveryState;
+import nettletrail.decision.Gateway.Idempotency;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.Gateway.Plan;
 import nettletrail.decision.Gateway.Request;
 import nettletrail.decision.Gateway.RequestClass;
 import nettletrail.decision.Gateway.Settings;
-import nettletrail.decision.Gateway.State;
 import org.junit.jupiter.api.Test;
 
 /** What a module behind an aperture is told, and what becomes of its requests. */
@@ -34,67 +34,68 @@
         final List<String> calls = new ArrayList<>();
 
         @Override
-        public void listed(long now, boolean whole, List<Backend> entries) {
+        public void onBackends(long now, boolean whole, List<Backend> entries) {
             calls.add("listed " + now + " " + whole + " " + entries);
         }
 
         @Override
-        public void sharedBy(long now, double gateways) {
+        public void onGatewaysPerBackend(long now, double gateways) {
             calls.add("sharedBy " + now + " " + gateways);
         }
 
         @Override
-        public void listFailed(long now) {
+        public void onDiscoveryFailure(long now) {
             calls.add("listFailed " + now);
         }
 
         @Override
-        public void arrived(long now, Request request) {
+        public void onRequest(long now, Request request) {
             calls.add("arrived " + now + " " + request);
         }
 
         @Override
-        public void answered(long now, Answer answer) {
+        public void onAttemptEnd(long now, AttemptReport answer) {
             calls.add("answered " + now + " " + answer);
         }
 
         @Override
-        public void departed(long now, long requestId) {
+        public void onRequestCancelled(long now, long requestId) {
             calls.add("departed " + now + " " + requestId);
         }
 
         @Override
-        public void woken(long now, int token) {
+        public void onTimer(long now, int token) {
             calls.add("woken " + now + " " + token);
         }
     }
 
     private static Settings settings(int gateways) {
         return new Settings(gateways, 0, 7, 1_000_000, 4, false, 0.17, 17 * SECOND, 3, 3 * SECOND / 2, 0, 0,
-                List.of(new RequestClass(SECOND, 1, 0, Effect.REPEATABLE, Group.ALL, 0)),
+                List.of(new RequestClass(SECOND, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0)),
                 List.of(new Plan(0, 0, 0, 0, 0, 0, 0, 0, 1)));
     }
 
-    private static Backend backend(long id, State state, long startedAt) {
+    private static Backend backend(long id, DiscoveryState state, long startedAt) {
         return new Backend(id, (int) (id % 3), 0, 0, state, 1, startedAt);
     }
 
     private static List<Backend> ready(int count) {
-        return IntStream.rangeClosed(1, count).mapToObj(id -> backend(id, State.READY, 0)).toList();
+        return IntStream.rangeClosed(1, count).mapToObj(id -> backend(id, DiscoveryState.READY, 0)).toList();
     }
 
     private static void play(Gateway gateway, int backends) {
-        gateway.listed(1, false, ready(2));
-        gateway.listed(1, true, ready(backends));
-        gateway.listed(2, false, List.of());
-        gateway.arrived(3, new Request(1, 0, 0, 9, 1, 1, SECOND));
-        gateway.listed(4, false, List.of(backend(3, State.DRAINING, 0), backend(3, State.GONE, 0),
-                backend(77, State.GONE, 0), backend(3, State.READY, 4), backend(3, State.READY, 4)));
-        gateway.answered(5, new Answer(1, 0, 2, Outcome.OK, true, 1, -1, 0, null));
-        gateway.listFailed(6);
-        gateway.departed(7, 1);
-        gateway.woken(8, 1);
-        gateway.listed(9, true, List.of());
+        gateway.onBackends(1, false, ready(2));
+        gateway.onBackends(1, true, ready(backends));
+        gateway.onBackends(2, false, List.of());
+        gateway.onRequest(3, new Request(1, 0, 0, 9, 1, 1, SECOND));
+        gateway.onBackends(4, false, List.of(backend(3, DiscoveryState.DRAINING, 0), backend(3, DiscoveryState.GONE, 0),
+                backend(77, DiscoveryState.GONE, 0), backend(3, DiscoveryState.READY, 4),
+                backend(3, DiscoveryState.READY, 4)));
+        gateway.onAttemptEnd(5, new AttemptReport(1, 0, 2, Outcome.OK, true, 1, -1, 0, null));
+        gateway.onDiscoveryFailure(6);
+        gateway.onRequestCancelled(7, 1);
+        gateway.onTimer(8, 1);
+        gateway.onBackends(9, true, List.of());
     }
 
     @Test
@@ -103,7 +104,7 @@
             Heard without = new Heard();
             play(without, 256);
             Heard with = new Heard();
-            Gateway gateway = ApertureGateway.around(with, settings(40), index, ApertureSettings.DEFAULT);
+            Gateway gateway = ApertureGateway.wrap(with, settings(40), index, ApertureSettings.DEFAULT);
             assertInstanceOf(ApertureGateway.class, gateway);
             play(gateway, 256);
             assertEquals(without.calls, with.calls);
@@ -113,21 +114,21 @@
     @Test
     void itIsLeftOutWhereItCouldChangeNothing() {
         Heard module = new Heard();
-        assertSame(module, ApertureGateway.around(module, settings(40), 3, ApertureSettings.OFF));
-        assertSame(module, ApertureGateway.around(module, settings(40), -1, ApertureSettings.DEFAULT));
-        assertSame(module, ApertureGateway.around(module, settings(40), 40, ApertureSettings.DEFAULT));
-        assertSame(module, ApertureGateway.around(module, settings(8), 3, ApertureSettings.DEFAULT));
-        assertNotSame(module, ApertureGateway.around(module, settings(9), 8, ApertureSettings.DEFAULT));
+        assertSame(module, ApertureGateway.wrap(module, settings(40), 3, ApertureSettings.OFF));
+        assertSame(module, ApertureGateway.wrap(module, settings(40), -1, ApertureSettings.DEFAULT));
+        assertSame(module, ApertureGateway.wrap(module, settings(40), 40, ApertureSettings.DEFAULT));
+        assertSame(module, ApertureGateway.wrap(module, settings(8), 3, ApertureSettings.DEFAULT));
+        assertNotSame(module, ApertureGateway.wrap(module, settings(9), 8, ApertureSettings.DEFAULT));
     }
 
     @Test
     void theModuleHearsFirstHowManyShareEachBackend() {
         Heard heard = new Heard();
-        Gateway gateway = ApertureGateway.around(heard, settings(10), 0, SMALL);
-        gateway.listed(5, true, ready(4));
-        gateway.listed(6, true, ready(60));
-        gateway.listed(7, true, ready(60));
-        gateway.listed(8, true, ready(4));
+        Gateway gateway = ApertureGateway.wrap(heard, settings(10), 0, SMALL);
+        gateway.onBackends(5, true, ready(4));
+        gateway.onBackends(6, true, ready(60));
+        gateway.onBackends(7, true, ready(60));
+        gateway.onBackends(8, true, ready(4));
         assertEquals(List.of("listed 5", "sharedBy 6 2.0", "listed 6", "listed 7", "sharedBy 8 10.0", "listed 8"),
                 heard.calls.stream().map(each -> each.startsWith("listed") ? each.substring(0, 8) : each).toList());
     }
@@ -135,14 +136,14 @@
     @Test
     void aChangeOutsideTheSetIsNotToldAtAll() {
         Heard heard = new Heard();
-        Gateway gateway = ApertureGateway.around(heard, settings(10), 0, SMALL);
+        Gateway gateway = ApertureGateway.wrap(heard, settings(10), 0, SMALL);
         Aperture same = new Aperture(SMALL, 10, 0, false);
-        gateway.listed(5, true, ready(60));
+        gateway.onBackends(5, true, ready(60));
         same.listed(true, ready(60));
         Backend outside = ready(60).stream().filter(each -> !same.set().contains(each)).findFirst().orElseThrow();
         heard.calls.clear();
-        gateway.listed(6, false, List.of(backend(outside.id(), State.DRAINING, 0)));
-        gateway.listed(7, false, List.of(backend(outside.id(), State.READY, 7)));
+        gateway.onBackends(6, false, List.of(backend(outside.id(), DiscoveryState.DRAINING, 0)));
+        gateway.onBackends(7, false, List.of(backend(outside.id(), DiscoveryState.READY, 7)));
         assertEquals(List.of(), heard.calls);
     }
 
@@ -150,15 +151,15 @@
     @Test
     void entriesOfTheSetComeUnchanged() {
         Heard heard = new Heard();
-        Gateway gateway = ApertureGateway.around(heard, settings(10), 0, SMALL);
+        Gateway gateway = ApertureGateway.wrap(heard, settings(10), 0, SMALL);
         Aperture same = new Aperture(SMALL, 10, 0, false);
-        gateway.listed(5, true, ready(60));
+        gateway.onBackends(5, true, ready(60));
         same.listed(true, ready(60));
         long id = same.set().get(0).id();
-        for (Backend told : List.of(backend(id, State.READY, 123), backend(id, State.DRAINING, 123),
-                backend(id, State.GONE, 123))) {
+        for (Backend told : List.of(backend(id, DiscoveryState.READY, 123), backend(id, DiscoveryState.DRAINING, 123),
+                backend(id, DiscoveryState.GONE, 123))) {
             heard.calls.clear();
-            gateway.listed(6, false, List.of(told));
+            gateway.onBackends(6, false, List.of(told));
             assertTrue(heard.calls.get(0).contains(told.toString()), heard.calls + "");
         }
     }
@@ -175,7 +176,7 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterNs) {
+        public void reject(long requestId, long retryAfterNs) {
             refused.add(requestId);
         }
 
@@ -185,10 +186,10 @@
         }
 
         @Override
-        public void wakeIn(int token, long ns) { }
+        public void startTimer(int token, long ns) { }
 
         @Override
-        public void followList() { }
+        public void subscribeBackends() { }
 
         @Override
         public void log(String line) { }
@@ -199,9 +200,10 @@
         actions.sent.clear();
         for (int i = 0; i < count; i++) {
             long now = from + i * SECOND / 100;
-            gateway.arrived(now, new Request(from + i, 0, 0, i % 50, 1, 1, SECOND));
+            gateway.onRequest(now, new Request(from + i, 0, 0, i % 50, 1, 1, SECOND));
             if (actions.sent.size() > i) {
-                gateway.answered(now + SECOND / 1_000, new Answer(from + i, 0, actions.sent.get(i), Outcome.OK, true,
+                gateway.onAttemptEnd(now + SECOND / 1_000,
+                        new AttemptReport(from + i, 0, actions.sent.get(i), Outcome.OK, true,
                         SECOND / 5, -1, 0, null));
             }
         }
@@ -214,17 +216,18 @@
         Set<Long> all = new HashSet<>();
         for (int index = 0; index < 10; index++) {
             Doors actions = new Doors();
-            Gateway gateway = ApertureGateway.around(new Brain(settings(10), 1_000, actions), settings(10), index, SMALL);
+            Gateway gateway = ApertureGateway.wrap(new GatewayDecider(settings(10), 1_000, actions), settings(10),
+                    index, SMALL);
             Aperture same = new Aperture(SMALL, 10, index, false);
-            gateway.listed(1_000, true, ready(60));
+            gateway.onBackends(1_000, true, ready(60));
             same.listed(true, ready(60));
             Set<Long> set = new HashSet<>(same.set().stream().map(Backend::id).toList());
             Set<Long> used = sends(gateway, actions, 2_000, 600);
             assertEquals(600, actions.sent.size());
             assertEquals(set, used);
             all.addAll(used);
-            List<Backend> gone = List.of(backend(set.iterator().next(), State.GONE, 0));
-            gateway.listed(9 * SECOND, false, gone);
+            List<Backend> gone = List.of(backend(set.iterator().next(), DiscoveryState.GONE, 0));
+            gateway.onBackends(9 * SECOND, false, gone);
             same.listed(false, gone);
             assertEquals(new HashSet<>(same.set().stream().map(Backend::id).toList()),
                     sends(gateway, actions, 10 * SECOND, 600));
@@ -236,17 +239,18 @@
 
     @Test
     void theSettingsTellTheNumberAndMaySetTheFigures() {
-        SettingsReader plain = new SettingsReader("Balancers=3\nIndex=2");
-        assertEquals(2, plain.index());
+        GatewaySettingsReader plain = new GatewaySettingsReader("Balancers=3\nIndex=2");
+        assertEquals(2, plain.gatewayIndex());
         assertSame(ApertureSettings.DEFAULT.enabled(), plain.aperture(ApertureSettings.DEFAULT).enabled());
         assertEquals(ApertureSettings.DEFAULT, plain.aperture(ApertureSettings.DEFAULT));
-        assertEquals(-1, new SettingsReader("Balancers=3").index());
-        assertEquals(-1, new SettingsReader("Balancers=3\nIndex=3").index());
-        assertEquals(-1, new SettingsReader("Balancers=3\nIndex=-1").index());
-        assertEquals(new ApertureSettings(false, 6, 2), new SettingsReader(
+        assertEquals(-1, new GatewaySettingsReader("Balancers=3").gatewayIndex());
+        assertEquals(-1, new GatewaySettingsReader("Balancers=3\nIndex=3").gatewayIndex());
+        assertEquals(-1, new GatewaySettingsReader("Balancers=3\nIndex=-1").gatewayIndex());
+        assertEquals(new ApertureSettings(false, 6, 2), new GatewaySettingsReader(
                 "Aperture.Enabled=false\nAperture.Least=6\nAperture.DoorsPerBackend=2").aperture(ApertureSettings.DEFAULT));
-        assertThrows(WireFault.class, () -> new SettingsReader("Aperture.Enabled=no").aperture(ApertureSettings.OFF));
+        assertThrows(InvalidInputException.class,
+                () -> new GatewaySettingsReader("Aperture.Enabled=no").aperture(ApertureSettings.OFF));
         assertThrows(IllegalArgumentException.class,
-                () -> new SettingsReader("Aperture.Least=0").aperture(ApertureSettings.DEFAULT));
+                () -> new GatewaySettingsReader("Aperture.Least=0").aperture(ApertureSettings.DEFAULT));
     }
 }
--- a/decision/src/test/java/nettletrail/decision/ApertureTest.java
+++ b/decision/src/test/java/nettletrail/decision/ApertureTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.State;
+import nettletrail.decision.Gateway.DiscoveryState;
 import org.junit.jupiter.api.Test;
 
 /** Each property over drawn fleets: 1 to 480 gateways, up to 8,000 backends in one to five uneven zones. */
@@ -53,7 +53,7 @@
 
         Backend add(int zone) {
             long id = ++nextId * 2_654_435_761L;
-            Backend made = new Backend(id, zone, 0, (int) (id >> 3 & 0xff), State.READY, 1, 0);
+            Backend made = new Backend(id, zone, 0, (int) (id >> 3 & 0xff), DiscoveryState.READY, 1, 0);
             list.put(made.id(), made);
             return made;
         }
@@ -80,13 +80,14 @@
         /** s of the class comment. */
         double share() {
             double largest = zones().values().stream().mapToLong(each -> each).max().orElse(1);
-            return Math.min(doors, Math.max(Math.max(settings.doorsPerBackend(),
-                    settings.least() * (double) doors / list.size()), doors / largest));
+            return Math.min(doors, Math.max(Math.max(settings.minGatewaysPerBackend(),
+                    settings.minBackends() * (double) doors / list.size()), doors / largest));
         }
     }
 
-    private static Backend as(Backend entry, State state) {
-        return new Backend(entry.id(), entry.zone(), entry.kind(), entry.cell(), state, entry.size(), entry.startedAt());
+    private static Backend as(Backend entry, DiscoveryState state) {
+        return new Backend(entry.id(), entry.zone(), entry.machineType(), entry.cell(), state, entry.weight(),
+                entry.startedAtNanos());
     }
 
     private static Set<Long> ids(List<Backend> entries) {
@@ -312,7 +313,7 @@
                 told.clear();
             }
             for (Backend each : news.entries()) {
-                if (each.state() == State.GONE) {
+                if (each.state() == DiscoveryState.GONE) {
                     assertTrue(told.remove(each.id()) != null || aperture.all(), "never told: " + each);
                 } else {
                     told.put(each.id(), each);
@@ -340,14 +341,14 @@
             Backend entry = fleet.list.isEmpty() || kind == 0 && fleet.list.size() < 2 * most
                     ? fleet.add(fleet.random.nextInt(6)) : fleet.any();
             Backend told = switch (kind) {
-                case 1, 2 -> as(entry, State.GONE);
-                case 3, 4 -> as(entry, State.DRAINING);
-                case 5 -> new Backend(entry.id(), entry.zone(), 0, entry.cell(), State.READY, 1, 1 + n);
+                case 1, 2 -> as(entry, DiscoveryState.GONE);
+                case 3, 4 -> as(entry, DiscoveryState.DRAINING);
+                case 5 -> new Backend(entry.id(), entry.zone(), 0, entry.cell(), DiscoveryState.READY, 1, 1 + n);
                 case 6 -> new Backend(entry.id(), fleet.random.nextInt(6), 0, entry.cell(), entry.state(), 2, 0);
                 default -> entry;
             };
             changes.put(told.id(), told);
-            if (told.state() == State.GONE) {
+            if (told.state() == DiscoveryState.GONE) {
                 fleet.list.remove(told.id());
             } else {
                 fleet.list.put(told.id(), told);
@@ -396,17 +397,17 @@
         for (int i = 0; i < 40; i++) {
             Set<Long> before = ids(aperture.set());
             List<Backend> set = aperture.set();
-            Backend drained = as(set.get(fleet.random.nextInt(set.size())), State.DRAINING);
+            Backend drained = as(set.get(fleet.random.nextInt(set.size())), DiscoveryState.DRAINING);
             fleet.list.put(drained.id(), drained);
             aperture.listed(false, List.of(drained));
             Set<Long> after = ids(aperture.set());
             before.removeAll(after);
             // Itself it may leave where another's drain had brought it in.
             assertTrue(before.isEmpty() || before.equals(Set.of(drained.id())) && !arc.contains(drained.id()), before + "");
-            Map<Integer, Long> ready = aperture.set().stream().filter(each -> each.state() == State.READY)
+            Map<Integer, Long> ready = aperture.set().stream().filter(each -> each.state() == DiscoveryState.READY)
                     .collect(Collectors.groupingBy(Backend::zone, Collectors.counting()));
             first.forEach((zone, ids) -> assertEquals(Math.min(ids.size(), fleet.entries().stream()
-                    .filter(each -> each.zone() == zone && each.state() == State.READY).count()),
+                    .filter(each -> each.zone() == zone && each.state() == DiscoveryState.READY).count()),
                     ready.getOrDefault(zone, 0L)));
         }
     }
@@ -416,7 +417,7 @@
     void cellsStandTogetherWhereRepeatsAreDroppedByCell() {
         Aperture aperture = new Aperture(new ApertureSettings(true, 40, 2), 20, 3, true);
         List<Backend> list = IntStream.range(0, 400).mapToObj(i ->
-                new Backend(i, 0, 0, i % 100, State.READY, 1, 0)).toList();
+                new Backend(i, 0, 0, i % 100, DiscoveryState.READY, 1, 0)).toList();
         aperture.listed(true, list);
         Map<Integer, Long> cells = aperture.set().stream()
                 .collect(Collectors.groupingBy(Backend::cell, Collectors.counting()));
@@ -436,10 +437,10 @@
             for (int i = 0; i < rounds; i++) {
                 Backend gone = fleet.entries().get(0);
                 fleet.list.remove(gone.id());
-                aperture.listed(false, List.of(as(gone, State.GONE)));
+                aperture.listed(false, List.of(as(gone, DiscoveryState.GONE)));
                 Backend made = fleet.add(gone.zone());
                 aperture.listed(false, List.of(made));
-                aperture.listed(false, List.of(as(made, State.READY)));
+                aperture.listed(false, List.of(as(made, DiscoveryState.READY)));
             }
             return (System.nanoTime() - from) / 3e3 / rounds;
         };
--- a/decision/src/test/java/nettletrail/decision/CapRateTest.java
+++ b/decision/src/test/java/nettletrail/decision/CapRateTest.java
@@ -4,16 +4,16 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettletrail.decision.Gateway.Answer;
+import nettletrail.decision.Gateway.AttemptReport;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.Effect;
-import nettletrail.decision.Gateway.Group;
+import nettletrail.decision.Gateway.DedupScope;
+import nettletrail.decision.Gateway.DiscoveryState;
+import nettletrail.decision.Gateway.Idempotency;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.Gateway.Plan;
 import nettletrail.decision.Gateway.Request;
 import nettletrail.decision.Gateway.RequestClass;
 import nettletrail.decision.Gateway.Settings;
-import nettletrail.decision.Gateway.State;
 import org.junit.jupiter.api.Test;
 
 /** The rate that a cap on attempts out stands for follows what is asked, whichever class the settings name first. */
@@ -28,28 +28,29 @@
     /** One place at one backend: what comes next when it is free is the lowest counter's. */
     private static final class OnePlace implements Gateway.Actions {
         private final List<Long> sent = new ArrayList<>();
-        private final Brain brain;
+        private final GatewayDecider brain;
         private long now = 1_000 * SECOND;
         private long id;
 
         OnePlace() {
-            RequestClass slow = new RequestClass(10 * SECOND, 1, 0, Effect.REPEATABLE, Group.ALL, 0);
-            RequestClass quick = new RequestClass(SECOND, 1, 0, Effect.REPEATABLE, Group.ALL, 0);
+            RequestClass slow = new RequestClass(10 * SECOND, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
+            RequestClass quick = new RequestClass(SECOND, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
             Plan capped = new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1);
             Plan rated = new Plan(4, 100, 0, 0, 0, 0, 1, 0, 1);
             Plan free = new Plan(0, 0, 0, 0, 0, 0, 0, 0, 1);
-            brain = new Brain(new Settings(12, 0, 7, 2 * MS, 1, false, 0.2, 10 * SECOND, 2, 2 * SECOND, 0, SECOND,
+            brain = new GatewayDecider(new Settings(12, 0, 7, 2 * MS, 1, false, 0.2, 10 * SECOND, 2, 2 * SECOND, 0,
+                    SECOND,
                     List.of(slow, quick), List.of(capped, rated, free)), now, this);
-            brain.listed(now, true, List.of(new Backend(1, 0, 0, 0, State.READY, 1, 0)));
+            brain.onBackends(now, true, List.of(new Backend(1, 0, 0, 0, DiscoveryState.READY, 1, 0)));
         }
 
         long arrive(int plan) {
-            brain.arrived(now, new Request(++id, QUICK, plan, plan + 1, 1, 1, 3 * SECOND));
+            brain.onRequest(now, new Request(++id, QUICK, plan, plan + 1, 1, 1, 3 * SECOND));
             return id;
         }
 
         void answer(long request) {
-            brain.answered(now, new Answer(request, 0, 1, Outcome.OK, true, 200 * MS, -1, 0, null));
+            brain.onAttemptEnd(now, new AttemptReport(request, 0, 1, Outcome.OK, true, 200 * MS, -1, 0, null));
         }
 
         @Override
@@ -58,7 +59,7 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterNs) {
+        public void reject(long requestId, long retryAfterNs) {
             throw new AssertionError("refused " + requestId);
         }
 
@@ -68,10 +69,10 @@
         }
 
         @Override
-        public void wakeIn(int token, long ns) { }
+        public void startTimer(int token, long ns) { }
 
         @Override
-        public void followList() { }
+        public void subscribeBackends() { }
 
         @Override
         public void log(String line) { }
--- a/decision/src/test/java/nettletrail/decision/ColdFleetTest.java
+++ b/decision/src/test/java/nettletrail/decision/ColdFleetTest.java
@@ -9,16 +9,16 @@
 import java.util.Locale;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import nettletrail.decision.Gateway.Answer;
+import nettletrail.decision.Gateway.AttemptReport;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.Effect;
-import nettletrail.decision.Gateway.Group;
+import nettletrail.decision.Gateway.DedupScope;
+import nettletrail.decision.Gateway.DiscoveryState;
+import nettletrail.decision.Gateway.Idempotency;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.Gateway.Plan;
 import nettletrail.decision.Gateway.Request;
 import nettletrail.decision.Gateway.RequestClass;
 import nettletrail.decision.Gateway.Settings;
-import nettletrail.decision.Gateway.State;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -103,7 +103,7 @@
         final int backends;
         final Case play;
         final SplittableRandom chance;
-        final List<Brain> gateways = new ArrayList<>();
+        final List<GatewayDecider> gateways = new ArrayList<>();
         final boolean[] told;
         final double[] upTo;
         final List<Machine> machines = new ArrayList<>();
@@ -122,7 +122,7 @@
             chance = new SplittableRandom(seed);
             told = new boolean[doors];
             upTo = new double[doors];
-            RequestClass look = new RequestClass(SECOND, 2, 0, Effect.REPEATABLE, Group.ALL, 0);
+            RequestClass look = new RequestClass(SECOND, 2, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
             boolean priced = play == Case.ZONE || play == Case.UNEVEN_ZONES || play == Case.OTHERS_LOST;
             for (int i = 0; i <= backends; i++) {
                 machines.add(new Machine());
@@ -130,14 +130,15 @@
             double sum = 0;
             double[] zones = play == Case.UNEVEN_ZONES ? new double[] {0.6, 0.3, 0.1} : new double[] {1, 1, 1};
             for (int i = 0; i < doors; i++) {
-                gateways.add(new Brain(new Settings(doors, i % 3, chance.nextLong(), MS, 4, false, COLD_SHARE, RAMP,
+                gateways.add(new GatewayDecider(new Settings(doors, i % 3, chance.nextLong(), MS, 4, false, COLD_SHARE,
+                        RAMP,
                         MULTIPLE, SPAN, priced ? 0.01 : 0, 0, List.of(look),
                         List.of(new Plan(0, 0, 0, 0, 0, 0, 0, 0, 1))), now, actions(i)));
                 // Some get several times the mean, as much as chance gives where each has its own clients.
                 sum += zones[i % 3] * (0.3 - Math.log(1 - chance.nextDouble()));
                 upTo[i] = sum;
             }
-            tell(all(), id -> State.READY, 0);
+            tell(all(), id -> DiscoveryState.READY, 0);
         }
 
         private List<Integer> all() {
@@ -158,7 +159,7 @@
         }
 
         private interface States {
-            State of(int id);
+            DiscoveryState of(int id);
         }
 
         private void tell(List<Integer> doorsTold, States states, long startedAt) {
@@ -167,7 +168,7 @@
                 list.add(new Backend(id, id % 3, 0, 0, states.of(id), 1, hit(id) ? startedAt : 0));
             }
             for (int door : doorsTold) {
-                gateways.get(door).listed(now, true, list);
+                gateways.get(door).onBackends(now, true, list);
                 told[door] = startedAt > 0;
             }
         }
@@ -180,7 +181,7 @@
                 }
 
                 @Override
-                public void refuse(long requestId, long retryAfterNs) {
+                public void reject(long requestId, long retryAfterNs) {
                     sums.refused += now >= start + BACK_AT ? 1 : 0;
                 }
 
@@ -188,12 +189,12 @@
                 public void fail(long requestId) { }
 
                 @Override
-                public void wakeIn(int token, long ns) {
-                    in(ns, () -> gateways.get(door).woken(now, token));
+                public void startTimer(int token, long ns) {
+                    in(ns, () -> gateways.get(door).onTimer(now, token));
                 }
 
                 @Override
-                public void followList() { }
+                public void subscribeBackends() { }
 
                 @Override
                 public void log(String line) { }
@@ -236,7 +237,7 @@
             in(after, () -> {
                 boolean ok = end == Outcome.OK;
                 sums.served += ok && now >= start + BACK_AT && after <= SECOND ? 1 : 0;
-                gateways.get(door).answered(now, new Answer(requestId, 0, id, end, ok, after, -1, 0, null));
+                gateways.get(door).onAttemptEnd(now, new AttemptReport(requestId, 0, id, end, ok, after, -1, 0, null));
             });
         }
 
@@ -283,7 +284,7 @@
                 }
                 sums.arrived += now >= start + BACK_AT ? 1 : 0;
                 long id = ++requests;
-                gateways.get(low).arrived(now, new Request(id, 0, 0, id % 300, 1, doors, 3 * SECOND));
+                gateways.get(low).onRequest(now, new Request(id, 0, 0, id % 300, 1, doors, 3 * SECOND));
             }
             in((long) (-Math.log(1 - chance.nextDouble()) * SECOND / peak), this::arrival);
         }
@@ -309,7 +310,7 @@
                     machines.get(id).up &= !hit(id);
                 }
                 if (listsGone) {
-                    tell(all(), id -> hit(id) ? State.GONE : State.READY, 0);
+                    tell(all(), id -> hit(id) ? DiscoveryState.GONE : DiscoveryState.READY, 0);
                 }
             });
             in(BACK_AT, () -> {
@@ -324,13 +325,14 @@
             });
             for (int door : all()) {
                 long late = play == Case.ONE_BY_ONE ? chance.nextLong(4 * SECOND) : dead ? 2 * SECOND : 0;
-                in(BACK_AT + late, () -> tell(List.of(door), id -> State.READY, start + BACK_AT));
+                in(BACK_AT + late, () -> tell(List.of(door), id -> DiscoveryState.READY, start + BACK_AT));
             }
             if (play == Case.OTHERS_LOST) {
                 in(TURNS_AT, () -> lose(false));
-                in(TURNS_AT + SECOND / 2, () -> tell(all(), id -> id % 3 == 0 ? State.READY : State.GONE, start + BACK_AT));
+                in(TURNS_AT + SECOND / 2, () -> tell(all(), id -> id % 3 == 0 ? DiscoveryState.READY
+                        : DiscoveryState.GONE, start + BACK_AT));
                 in(TURNS_BACK_AT, () -> lose(true));
-                in(TURNS_BACK_AT, () -> tell(all(), id -> State.READY, start + BACK_AT));
+                in(TURNS_BACK_AT, () -> tell(all(), id -> DiscoveryState.READY, start + BACK_AT));
             }
             if (play == Case.OTHERS_SLOW) {
                 in(TURNS_AT, () -> slow(3));
--- a/decision/src/test/java/nettletrail/decision/EmbeddingExample.java
+++ b/decision/src/test/java/nettletrail/decision/EmbeddingExample.java
@@ -2,16 +2,16 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import nettletrail.decision.Gateway.Answer;
+import nettletrail.decision.Gateway.AttemptReport;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.Effect;
-import nettletrail.decision.Gateway.Group;
+import nettletrail.decision.Gateway.DedupScope;
+import nettletrail.decision.Gateway.DiscoveryState;
+import nettletrail.decision.Gateway.Idempotency;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.Gateway.Plan;
 import nettletrail.decision.Gateway.Request;
 import nettletrail.decision.Gateway.RequestClass;
 import nettletrail.decision.Gateway.Settings;
-import nettletrail.decision.Gateway.State;
 
 final class EmbeddingExample {
     static final long SECOND = 1_000_000_000L;
@@ -25,7 +25,7 @@
             }
 
             @Override
-            public void refuse(long requestId, long retryAfterNs) {
+            public void reject(long requestId, long retryAfterNs) {
                 done.add("refuse " + requestId);
             }
 
@@ -35,26 +35,26 @@
             }
 
             @Override
-            public void wakeIn(int token, long ns) { } // set a timer that calls woken(now, token)
+            public void startTimer(int token, long ns) { } // set a timer that calls onTimer(now, token)
 
             @Override
-            public void followList() { }
+            public void subscribeBackends() { }
 
             @Override
             public void log(String line) {
                 System.err.println(line);
             }
         };
-        RequestClass lookup = new RequestClass(SECOND, 1, 0, Effect.REPEATABLE, Group.ALL, 0);
+        RequestClass lookup = new RequestClass(SECOND, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
         Plan small = new Plan(5, 10, 0, 0, 0, 0, 0.5, 0, 1); // 5 units a second, 10 at once
         Settings settings = new Settings(2, 0, 42, 2_000_000, 3, false, 0.25, 15 * SECOND, 3, 3 * SECOND, 0, SECOND,
                 List.of(lookup), List.of(small));
         long now = 0;
-        Gateway gateway = new Brain(settings, now, actions);
-        gateway.listed(now, true, List.of(new Backend(7, 0, 0, 0, State.READY, 1, 0)));
-        gateway.arrived(now, new Request(1, 0, 0, 1001, 1, 2, 4 * SECOND));
+        Gateway gateway = new GatewayDecider(settings, now, actions);
+        gateway.onBackends(now, true, List.of(new Backend(7, 0, 0, 0, DiscoveryState.READY, 1, 0)));
+        gateway.onRequest(now, new Request(1, 0, 0, 1001, 1, 2, 4 * SECOND));
         now += SECOND / 10;
-        gateway.answered(now, new Answer(1, 0, 7, Outcome.OK, true, SECOND / 10, 40, 0, null));
+        gateway.onAttemptEnd(now, new AttemptReport(1, 0, 7, Outcome.OK, true, SECOND / 10, 40, 0, null));
         return done;
     }
 }
--- a/decision/src/test/java/nettletrail/decision/BrainTest.java
+++ b/decision/src/test/java/nettletrail/decision/GatewayDeciderTest.java
@@ -11,18 +11,18 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import nettletrail.decision.Gateway.Answer;
+import nettletrail.decision.Gateway.AttemptReport;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.Effect;
-import nettletrail.decision.Gateway.Group;
+import nettletrail.decision.Gateway.DedupScope;
+import nettletrail.decision.Gateway.DiscoveryState;
+import nettletrail.decision.Gateway.Idempotency;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.Gateway.Plan;
 import nettletrail.decision.Gateway.Request;
 import nettletrail.decision.Gateway.RequestClass;
 import nettletrail.decision.Gateway.Settings;
-import nettletrail.decision.Gateway.State;
 
-class BrainTest {
+class GatewayDeciderTest {
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
     static final Plan FREE = new Plan(0, 0, 0, 0, 0, 0, 0, 0, 1);
@@ -34,33 +34,34 @@
         final Map<Long, Integer> attempts = new HashMap<>();
         final Map<Long, Long> timeouts = new HashMap<>();
         long now = 1_000 * SECOND;
-        final Brain brain;
+        final GatewayDecider brain;
 
-        Door(int gateways, Effect effect, Plan plan) {
+        Door(int gateways, Idempotency effect, Plan plan) {
             this(gateways, effect, plan, 3);
         }
 
-        Door(int gateways, Effect effect, Plan plan, int backends) {
+        Door(int gateways, Idempotency effect, Plan plan, int backends) {
             this(gateways, effect, plan, backends, 7);
         }
 
-        Door(int gateways, Effect effect, Plan plan, int backends, long seed) {
-            brain = new Brain(settings(gateways, effect, plan, seed), now, this);
+        Door(int gateways, Idempotency effect, Plan plan, int backends, long seed) {
+            brain = new GatewayDecider(settings(gateways, effect, plan, seed), now, this);
             List<Backend> list = new ArrayList<>();
             for (int i = 1; i <= backends; i++) {
-                list.add(backend(i, State.READY, 0));
+                list.add(backend(i, DiscoveryState.READY, 0));
             }
-            brain.listed(now, true, list);
+            brain.onBackends(now, true, list);
         }
 
         void arrive(long id, long customer, double units, int setSize) {
-            brain.arrived(now, new Request(id, 0, 0, customer, units, setSize, 3 * SECOND));
+            brain.onRequest(now, new Request(id, 0, 0, customer, units, setSize, 3 * SECOND));
         }
 
         void answer(long id, Outcome outcome, int percent, double settled) {
             long backend = sentTo.get(id);
             boolean ended = outcome == Outcome.OK;
-            brain.answered(now, new Answer(id, attempts.get(id) - 1, backend, outcome, ended, 50 * MS, percent,
+            brain.onAttemptEnd(now, new AttemptReport(id, attempts.get(id) - 1, backend, outcome, ended, 50 * MS,
+                    percent,
                     settled, null));
         }
 
@@ -72,7 +73,7 @@
         void pass(long ns) {
             for (long until = now + ns; now < until;) {
                 now += 10 * MS;
-                brain.woken(now, 0);
+                brain.onTimer(now, 0);
             }
         }
 
@@ -97,7 +98,7 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterNs) {
+        public void reject(long requestId, long retryAfterNs) {
             log.add("refuse " + requestId);
         }
 
@@ -107,10 +108,10 @@
         }
 
         @Override
-        public void wakeIn(int token, long ns) { }
+        public void startTimer(int token, long ns) { }
 
         @Override
-        public void followList() {
+        public void subscribeBackends() {
             log.add("follow");
         }
 
@@ -118,17 +119,17 @@
         public void log(String line) { }
     }
 
-    static Settings settings(int gateways, Effect effect, Plan plan) {
+    static Settings settings(int gateways, Idempotency effect, Plan plan) {
         return settings(gateways, effect, plan, 7);
     }
 
-    static Settings settings(int gateways, Effect effect, Plan plan, long seed) {
-        RequestClass kind = new RequestClass(2 * SECOND, 1, 0, effect, Group.ALL, 1 * SECOND);
+    static Settings settings(int gateways, Idempotency effect, Plan plan, long seed) {
+        RequestClass kind = new RequestClass(2 * SECOND, 1, 0, effect, DedupScope.ALL, 1 * SECOND);
         return new Settings(gateways, 0, seed, 2 * MS, 4, false, 0.2, 10 * SECOND, 2, 2 * SECOND, 0, SECOND,
                 List.of(kind), List.of(plan));
     }
 
-    static Backend backend(long id, State state, long startedAt) {
+    static Backend backend(long id, DiscoveryState state, long startedAt) {
         return new Backend(id, 0, 0, 0, state, 1, startedAt);
     }
 
@@ -138,7 +139,7 @@
 
     /** One backend with one slot that request 1 holds, so that all that follows waits. */
     static Door busyDoor() {
-        Door door = new Door(12, Effect.REPEATABLE, FREE, 1);
+        Door door = new Door(12, Idempotency.IDEMPOTENT, FREE, 1);
         door.arrive(1, 99, 1, 2);
         assertTrue(door.sent(1));
         return door;
@@ -216,7 +217,7 @@
 
     @Test
     void eachGatewayLetsInItsPartOfTheStore() {
-        Door door = new Door(2, Effect.REPEATABLE, quota(1, 4));
+        Door door = new Door(2, Idempotency.IDEMPOTENT, quota(1, 4));
         int sent = 0;
         for (long id = 1; id <= 20; id++) {
             door.arrive(id, 5, 1, 2);
@@ -233,7 +234,7 @@
     @Test
     void aPartBelowOneRequestStillLetsTheFirstIn() {
         for (int seed = 0; seed < 60; seed++) {
-            Door door = new Door(60, Effect.REPEATABLE, quota(1, 3), 3, seed);
+            Door door = new Door(60, Idempotency.IDEMPOTENT, quota(1, 3), 3, seed);
             door.arrive(1, 5, 1, 60);
             assertTrue(door.sent(1));
             door.answer(1, Outcome.OK, 0, 0);
@@ -242,7 +243,7 @@
 
     /** Letting in again and again, with a reading each period; how many were let in. */
     static int letIn(int percent, boolean repeat) {
-        Door door = new Door(4, Effect.REPEATABLE, quota(4, 8));
+        Door door = new Door(4, Idempotency.IDEMPOTENT, quota(4, 8));
         int in = 0;
         long id = 1;
         for (int tick = 0; tick < 400; tick++) {
@@ -268,8 +269,8 @@
 
     @Test
     void aRepeatedReadingIsOneReading() {
-        Door once = new Door(4, Effect.REPEATABLE, quota(4, 40));
-        Door often = new Door(4, Effect.REPEATABLE, quota(4, 40));
+        Door once = new Door(4, Idempotency.IDEMPOTENT, quota(4, 40));
+        Door often = new Door(4, Idempotency.IDEMPOTENT, quota(4, 40));
         for (Door door : List.of(once, often)) {
             for (long id = 1; id <= 30; id++) {
                 door.arrive(id, 5, 1, 4);
@@ -291,7 +292,7 @@
             if (outcome == Outcome.OK) {
                 continue;
             }
-            Door door = new Door(2, Effect.ONCE, FREE);
+            Door door = new Door(2, Idempotency.NOT_IDEMPOTENT, FREE);
             door.arrive(1, 5, 1, 2);
             door.answer(1, outcome, -1, 0);
             if (outcome.mayHaveRun) {
@@ -304,7 +305,7 @@
 
     @Test
     void aKeyedRequestIsSentAgainOnlyInsideItsWindow() {
-        Door door = new Door(2, Effect.KEYED, FREE);
+        Door door = new Door(2, Idempotency.KEYED, FREE);
         door.arrive(1, 5, 1, 2);
         door.pass(500 * MS);
         door.answer(1, Outcome.RESET, -1, 0);
@@ -316,7 +317,7 @@
 
     @Test
     void aHeldRequestIsAnsweredBeforeItsClientLeaves() {
-        Door door = new Door(2, Effect.ONCE, FREE, 0);
+        Door door = new Door(2, Idempotency.NOT_IDEMPOTENT, FREE, 0);
         door.arrive(1, 5, 1, 2);
         assertFalse(door.refused(1));
         door.pass(3 * SECOND);
@@ -347,10 +348,10 @@
 
     @Test
     void aClassOnceSlowIsStillSent() {
-        Door door = new Door(12, Effect.REPEATABLE, FREE, 1);
+        Door door = new Door(12, Idempotency.IDEMPOTENT, FREE, 1);
         for (long id = 1; id <= 80; id++) {
             door.arrive(id, 5, 1, 2);
-            door.brain.answered(door.now, new Answer(id, 0, 1, Outcome.OK, true, 2 * SECOND, -1, 0, null));
+            door.brain.onAttemptEnd(door.now, new AttemptReport(id, 0, 1, Outcome.OK, true, 2 * SECOND, -1, 0, null));
             door.pass(6 * SECOND);
         }
         door.arrive(101, 5, 1, 2);
@@ -362,7 +363,7 @@
 
     @Test
     void idleCustomersAreForgottenOnlyWithAFullStore() {
-        Door door = new Door(1, Effect.REPEATABLE, quota(0.01, 2));
+        Door door = new Door(1, Idempotency.IDEMPOTENT, quota(0.01, 2));
         door.arrive(1, 5, 1, 1);
         door.arrive(2, 5, 1, 1);
         door.ok(1);
@@ -378,7 +379,7 @@
 
     @Test
     void oneThatCannotBeForgottenHoldsUpNobody() {
-        Door door = new Door(1, Effect.REPEATABLE, quota(0.01, 2));
+        Door door = new Door(1, Idempotency.IDEMPOTENT, quota(0.01, 2));
         door.arrive(1, 1, 2, 1); // its store takes 200 s to fill again
         door.ok(1);
         for (long id = 2; id <= 101; id++) {
@@ -395,40 +396,40 @@
 
     @Test
     void aClientAboutToLeaveIsAnsweredAtOnce() {
-        Door door = new Door(2, Effect.ONCE, FREE, 0);
-        door.brain.arrived(door.now, new Request(1, 0, 0, 5, 1, 2, 0));
+        Door door = new Door(2, Idempotency.NOT_IDEMPOTENT, FREE, 0);
+        door.brain.onRequest(door.now, new Request(1, 0, 0, 5, 1, 2, 0));
         assertEquals(List.of("refuse 1"), door.log);
     }
 
     @Test
     void anAttemptThatEndsWithTheClientsTimeIsFailed() {
-        Door door = new Door(2, Effect.ONCE, FREE);
+        Door door = new Door(2, Idempotency.NOT_IDEMPOTENT, FREE);
         door.arrive(1, 5, 1, 2);
         door.pass(3 * SECOND);
         door.answer(1, Outcome.TIMED_OUT, -1, 0);
         assertEquals(List.of("send 1", "fail 1"), door.log);
-        door.brain.departed(door.now, 1);
+        door.brain.onRequestCancelled(door.now, 1);
         assertEquals(2, door.log.size(), "a late word on an ended request changes nothing");
     }
 
     @Test
     void aDrainingBackendGetsNothingNewUntilItIsBack() {
-        Door door = new Door(2, Effect.REPEATABLE, FREE, 1);
-        door.brain.listed(door.now, false, List.of(backend(1, State.DRAINING, 0)));
+        Door door = new Door(2, Idempotency.IDEMPOTENT, FREE, 1);
+        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.DRAINING, 0)));
         door.arrive(1, 5, 1, 2);
         assertFalse(door.sent(1));
-        door.brain.listed(door.now, false, List.of(backend(1, State.READY, 0)));
+        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.READY, 0)));
         assertTrue(door.sent(1), "the drain was withdrawn");
-        door.brain.listed(door.now, true, List.of(backend(2, State.READY, 0)));
+        door.brain.onBackends(door.now, true, List.of(backend(2, DiscoveryState.READY, 0)));
         door.arrive(2, 5, 1, 2);
         assertEquals(2L, door.sentTo.get(2L), "absent from a whole list is gone");
     }
 
     @Test
     void aNewStartTimeMakesABackendCold() {
-        Door door = new Door(1, Effect.REPEATABLE, FREE, 2);
+        Door door = new Door(1, Idempotency.IDEMPOTENT, FREE, 2);
         assertTrue(sentToFirst(door, 1) > 60);
-        door.brain.listed(door.now, false, List.of(backend(1, State.READY, door.now)));
+        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.READY, door.now)));
         int cold = sentToFirst(door, 1000);
         assertTrue(cold >= 4 && cold <= 60, "sent to the cold one: " + cold);
     }
@@ -451,7 +452,7 @@
 
     @Test
     void aBackendThatCannotBeReachedIsLeftAloneAndTriedAgain() {
-        Door door = new Door(1, Effect.REPEATABLE, FREE, 3);
+        Door door = new Door(1, Idempotency.IDEMPOTENT, FREE, 3);
         door.arrive(1, 5, 1, 2);
         long dead = door.sentTo.get(1L);
         door.answer(1, Outcome.CONNECT_FAILED, -1, 0);
@@ -471,7 +472,7 @@
 
     @Test
     void oneBrokenConnectionIsNotADeathButThreeAre() {
-        Door door = new Door(1, Effect.ONCE, FREE, 2);
+        Door door = new Door(1, Idempotency.NOT_IDEMPOTENT, FREE, 2);
         long id = 0;
         for (int broken = 0; broken < 3; broken++) {
             long first = ++id;
@@ -491,7 +492,7 @@
 
     @Test
     void aPartOfACapUnderOneSlotIsOneSlot() {
-        Door door = new Door(8, Effect.REPEATABLE, new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1));
+        Door door = new Door(8, Idempotency.IDEMPOTENT, new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1));
         door.pass(10 * SECOND); // before, two at once would tell of a customer who asks for several caps
         door.arrive(1, 5, 1, 8);
         door.arrive(2, 5, 1, 8);
@@ -507,7 +508,7 @@
     @Test
     void theCeilingIsKeptInEvenPartsAndAfterARestartStartsFromNothing() {
         Plan plan = new Plan(100, 100, 0, 2, 8, 2, 1, 0, 1);
-        Door door = new Door(2, Effect.REPEATABLE, plan);
+        Door door = new Door(2, Idempotency.IDEMPOTENT, plan);
         for (long id = 1; id <= 10; id++) {
             door.arrive(id, 5, 1, 2);
         }
@@ -522,7 +523,7 @@
     /** Nobody spent of it since the start: on days of ever new customers, refusing their first requests cost most. */
     @Test
     void aCustomerFirstSeenLateFindsWhatHasFilledSinceTheStart() {
-        Door door = new Door(2, Effect.REPEATABLE, new Plan(100, 100, 0, 2, 8, 2, 1, 0, 1));
+        Door door = new Door(2, Idempotency.IDEMPOTENT, new Plan(100, 100, 0, 2, 8, 2, 1, 0, 1));
         door.pass(20 * SECOND);
         for (long id = 1; id <= 10; id++) {
             door.arrive(id, 5, 1, 2);
@@ -533,11 +534,11 @@
     @Test
     void aHoldDoesNotLetTheCeilingFillUpBehindIt() {
         Plan plan = new Plan(100, 100, 0, 2, 8, 2, 1, 0, 1);
-        Door door = new Door(2, Effect.REPEATABLE, plan, 1);
+        Door door = new Door(2, Idempotency.IDEMPOTENT, plan, 1);
         door.arrive(1, 5, 1, 2);
         door.ok(1);
         door.pass(20 * SECOND);
-        door.brain.listed(door.now, false, List.of(backend(1, State.DRAINING, 0)));
+        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.DRAINING, 0)));
         for (long id = 11; id <= 14; id++) {
             door.arrive(id, 5, 1, 2);
         }
@@ -545,14 +546,14 @@
         for (long id = 21; id <= 24; id++) {
             door.arrive(id, 5, 1, 2);
         }
-        door.brain.listed(door.now, false, List.of(backend(1, State.READY, 0)));
+        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.READY, 0)));
         assertEquals(1 + 4, door.sentTo.size(), door.log.toString());
     }
 
     @Test
     void attemptsOutStayUnderThisGatewaysPartOfTheCap() {
         Plan plan = new Plan(0, 0, 4, 0, 0, 0, 1, 0, 1);
-        Door door = new Door(2, Effect.REPEATABLE, plan);
+        Door door = new Door(2, Idempotency.IDEMPOTENT, plan);
         for (long id = 1; id <= 4; id++) {
             door.arrive(id, 5, 1, 2);
         }
@@ -564,7 +565,7 @@
     /** Measured by a store, half of what a cap could have kept out was refused. */
     @Test
     void whatIsOverACapIsHeldWhileItsAimCanBeMet() {
-        Door door = new Door(1, Effect.REPEATABLE, new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1));
+        Door door = new Door(1, Idempotency.IDEMPOTENT, new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1));
         for (long id = 1; id <= 5; id++) {
             door.arrive(id, 5, 1, 1);
         }
@@ -582,11 +583,11 @@
     /** A connection that fell silent kept a customer's one slot until its client's time was up. */
     @Test
     void anAttemptThatStaysSilentGivesItsSlotOfACapFree() {
-        Door door = new Door(1, Effect.REPEATABLE, new Plan(0, 0, 1, 0, 0, 0, 1, 0, 1));
+        Door door = new Door(1, Idempotency.IDEMPOTENT, new Plan(0, 0, 1, 0, 0, 0, 1, 0, 1));
         door.arrive(1, 5, 1, 1);
-        long aim = settings(1, Effect.REPEATABLE, FREE, 7).classes().get(0).aimNs();
+        long aim = settings(1, Idempotency.IDEMPOTENT, FREE, 7).classes().get(0).targetLatencyNanos();
         assertEquals(aim * 3 / 2, door.timeouts.get(1L));
-        Door free = new Door(1, Effect.REPEATABLE, FREE);
+        Door free = new Door(1, Idempotency.IDEMPOTENT, FREE);
         free.arrive(1, 5, 1, 1);
         assertEquals(0, free.timeouts.get(1L), "elsewhere what is cut short would only run twice");
     }
@@ -594,14 +595,14 @@
     /** A part rounded up, at each of several gateways, is over the cap in sum. */
     @Test
     void aPartOfACapIsWholeSlots() {
-        Door door = new Door(2, Effect.REPEATABLE, new Plan(0, 0, 3, 0, 0, 0, 1, 0, 1));
+        Door door = new Door(2, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 1, 0, 1));
         door.arrive(1, 5, 1, 2);
         door.arrive(2, 5, 1, 2);
         assertEquals(1, door.sentTo.size());
     }
 
     /** Plays a seeded muddle of events and returns all that the module did. */
-    static List<String> muddle(long seed, Effect effect) {
+    static List<String> muddle(long seed, Idempotency effect) {
         Door door = new Door(3, effect, new Plan(20, 20, 0, 40, 40, 4, 1, 0, 1), 4);
         SplittableRandom random = new SplittableRandom(seed);
         List<Long> open = new ArrayList<>();
@@ -629,8 +630,8 @@
                 door.answer(which, outcome, random.nextInt(200), random.nextInt(4));
             }
             if (random.nextInt(100) == 0) {
-                State state = State.values()[random.nextInt(3)];
-                door.brain.listed(door.now, false, List.of(backend(1 + random.nextInt(4), state, 0)));
+                DiscoveryState state = DiscoveryState.values()[random.nextInt(3)];
+                door.brain.onBackends(door.now, false, List.of(backend(1 + random.nextInt(4), state, 0)));
             }
             for (; mark < door.log.size(); mark++) {
                 String[] words = door.log.get(mark).split(" ");
@@ -639,10 +640,12 @@
                 boolean ran = mayHaveRun.getOrDefault(which, false);
                 if (words[0].equals("send")) {
                     assertFalse(open.contains(which), "two attempts out for " + which);
-                    assertFalse(ran && effect == Effect.ONCE, "sent again though it may have run: " + which);
+                    assertFalse(ran && effect == Idempotency.NOT_IDEMPOTENT, "sent again though it may have run: "
+                            + which);
                     open.add(which);
                 } else {
-                    assertFalse(ran && effect == Effect.ONCE && words[0].equals("refuse"), "refused " + which);
+                    assertFalse(ran && effect == Idempotency.NOT_IDEMPOTENT && words[0].equals("refuse"), "refused "
+                            + which);
                     assertTrue(door.now <= arrivedAt.get(which) + 3 * SECOND || ran || open.contains(which)
                             || door.attempts.getOrDefault(which, 0) > 0, "late answer for " + which);
                     finals.merge(which, 1, Integer::sum);
@@ -654,7 +657,7 @@
 
     @Test
     void sameEventsAndSeedGiveTheSameActionsWithinTheRules() {
-        for (Effect effect : Effect.values()) {
+        for (Idempotency effect : Idempotency.values()) {
             for (long seed = 1; seed <= 5; seed++) {
                 List<String> first = muddle(seed, effect);
                 assertTrue(first.size() > 1000);
@@ -670,7 +673,7 @@
         assertEquals("Settings.classes is missing", assertThrows(IllegalArgumentException.class,
                 () -> new Settings(1, 0, 7, 1, 1, false, 0.2, 1, 2, 1, 0, 1, null, List.of())).getMessage());
         assertEquals("settings is missing", assertThrows(IllegalArgumentException.class,
-                () -> new Brain(null, 0, null)).getMessage());
+                () -> new GatewayDecider(null, 0, null)).getMessage());
     }
 
     /**
@@ -685,11 +688,11 @@
         SplittableRandom random = new SplittableRandom(5);
         List<Door> doors = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            doors.add(new Door(gateways, Effect.REPEATABLE, FREE, backends, i));
+            doors.add(new Door(gateways, Idempotency.IDEMPOTENT, FREE, backends, i));
         }
         long started = doors.get(0).now;
         for (Door door : doors) {
-            door.brain.listed(started, false, List.of(backend(1, State.READY, started)));
+            door.brain.onBackends(started, false, List.of(backend(1, DiscoveryState.READY, started)));
         }
         int toCold = 0;
         int toAll = 0;
@@ -716,13 +719,13 @@
      */
     @Test
     void theBoundOnAllInFlightClosesWhenTheFleetIsSlow() {
-        Door door = new Door(20, Effect.REPEATABLE, FREE, 40);
+        Door door = new Door(20, Idempotency.IDEMPOTENT, FREE, 40);
         int before = burst(door, 1_000);
         for (long id = 1; id <= 60; id++) {
             door.arrive(id, 5, 1, 2);
             if (door.sent(id)) {
                 door.now += 100 * MS;
-                door.brain.answered(door.now, new Answer(id, 0, door.sentTo.get(id), Outcome.OK, true,
+                door.brain.onAttemptEnd(door.now, new AttemptReport(id, 0, door.sentTo.get(id), Outcome.OK, true,
                         1_500 * MS, -1, 0, null));
             }
         }
@@ -731,14 +734,17 @@
         assertTrue(after >= 1 && after <= before / 2, "closed to " + after + " from " + before);
     }
 
-    /** On real sockets a slow start cut the bound to 1.6, and it stayed there: one request at a time, for the whole day. */
+    /**
+     * On real sockets a slow start cut the bound to 1.6, and it stayed there: one request at a time, for the whole day.
+     */
     @Test
     void theBoundGrowsAgainFromItsLeast() {
-        Door door = new Door(2, Effect.REPEATABLE, FREE, 9);
+        Door door = new Door(2, Idempotency.IDEMPOTENT, FREE, 9);
         door.arrive(1, 5, 1, 2);
         door.arrive(2, 5, 1, 2);
         door.now += 100 * MS;
-        door.brain.answered(door.now, new Answer(1, 0, door.sentTo.get(1L), Outcome.OK, true, 1_500 * MS, -1, 0, null));
+        door.brain.onAttemptEnd(door.now, new AttemptReport(1, 0, door.sentTo.get(1L), Outcome.OK, true, 1_500 * MS, -1,
+                0, null));
         door.ok(2);
         for (long id = 3; id <= 60; id++) {
             door.arrive(id, 5, 1, 2);
@@ -761,7 +767,7 @@
             if (door.sent(id)) {
                 door.ok(id);
             } else {
-                door.brain.departed(door.now, id);
+                door.brain.onRequestCancelled(door.now, id);
             }
         }
         return sent;
@@ -772,9 +778,9 @@
     void idleBackendsAreNoCheaperForBeingLarge() {
         int toLarge = 0;
         for (int seed = 0; seed < 200; seed++) {
-            Door door = new Door(400, Effect.REPEATABLE, FREE, 0, seed);
-            door.brain.listed(door.now, true, List.of(new Backend(1, 0, 0, 0, State.READY, 4, 0),
-                    new Backend(2, 0, 1, 0, State.READY, 2.5, 0)));
+            Door door = new Door(400, Idempotency.IDEMPOTENT, FREE, 0, seed);
+            door.brain.onBackends(door.now, true, List.of(new Backend(1, 0, 0, 0, DiscoveryState.READY, 4, 0),
+                    new Backend(2, 0, 1, 0, DiscoveryState.READY, 2.5, 0)));
             door.arrive(1, 5, 1, 2);
             toLarge += door.sentTo.get(1L) == 1 ? 1 : 0;
         }
@@ -784,12 +790,12 @@
     /** give_up days: what its client would not wait for is work for nobody. */
     @Test
     void aClientWithLessTimeThanAnswersTakeIsRefusedAtOnce() {
-        Door door = new Door(20, Effect.REPEATABLE, FREE, 4);
+        Door door = new Door(20, Idempotency.IDEMPOTENT, FREE, 4);
         door.arrive(1, 5, 1, 2);
         door.ok(1);
-        door.brain.arrived(door.now, new Request(2, 0, 0, 5, 1, 2, 40 * MS));
+        door.brain.onRequest(door.now, new Request(2, 0, 0, 5, 1, 2, 40 * MS));
         assertTrue(door.refused(2) && !door.sent(2));
-        door.brain.arrived(door.now, new Request(3, 0, 0, 5, 1, 2, SECOND));
+        door.brain.onRequest(door.now, new Request(3, 0, 0, 5, 1, 2, SECOND));
         assertTrue(door.sent(3));
     }
 
@@ -803,7 +809,7 @@
         Plan plan = new Plan(1_000, 9_000, 0, 40, 400, 40, 1, 0, 1); // 40 a second, 400 at once, 40 below nothing
         List<Door> doors = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            doors.add(new Door(gateways, Effect.REPEATABLE, plan, 3, i));
+            doors.add(new Door(gateways, Idempotency.IDEMPOTENT, plan, 3, i));
         }
         int sent = 0;
         long id = 1;
@@ -830,12 +836,12 @@
             if (outcome == Outcome.OK) {
                 continue;
             }
-            Door door = new Door(1, Effect.ONCE, plan, 40);
+            Door door = new Door(1, Idempotency.NOT_IDEMPOTENT, plan, 40);
             for (long id = 1; id <= 3; id++) {
                 door.arrive(id, 5, 1, 1);
                 assertTrue(door.sent(id), outcome + " " + id);
                 long backend = door.sentTo.get(id);
-                door.brain.answered(door.now, new Answer(id, 0, backend, outcome, true, MS, -1, 0, null));
+                door.brain.onAttemptEnd(door.now, new AttemptReport(id, 0, backend, outcome, true, MS, -1, 0, null));
             }
             boolean cameNowhere = outcome == Outcome.NEVER_SENT || outcome == Outcome.CONNECT_FAILED;
             for (long id = 4; id <= 6; id++) {
@@ -847,13 +853,16 @@
         }
     }
 
-    /** Where a front must say within a budget where a request goes, the module gives it up by then, by a wake of its own. */
+    /**
+     * Where a front must say within a budget where a request goes, the module gives it up by then, by a wake of its
+     * own.
+     */
     @Test
     void aHoldEndsWhenItsFrontHasToSay() {
         List<Long> wakes = new ArrayList<>();
-        Door door = new Door(12, Effect.ONCE, FREE, 1) {
+        Door door = new Door(12, Idempotency.NOT_IDEMPOTENT, FREE, 1) {
             @Override
-            public void wakeIn(int token, long ns) {
+            public void startTimer(int token, long ns) {
                 if (token == 1) {
                     wakes.add(ns);
                 }
@@ -861,14 +870,14 @@
         };
         door.arrive(1, 99, 1, 2);
         door.arrive(2, 98, 1, 2);
-        door.brain.arrived(door.now, new Request(3, 0, 0, 97, 1, 2, 3 * SECOND, 12 * MS));
+        door.brain.onRequest(door.now, new Request(3, 0, 0, 97, 1, 2, 3 * SECOND, 12 * MS));
         assertEquals(List.of(12 * MS), wakes);
         assertFalse(door.refused(3) || door.sent(3));
         door.now += 12 * MS - 1;
-        door.brain.woken(door.now, 1);
+        door.brain.onTimer(door.now, 1);
         assertFalse(door.refused(3));
         door.now += 1;
-        door.brain.woken(door.now, 1);
+        door.brain.onTimer(door.now, 1);
         assertTrue(door.refused(3));
         assertFalse(door.refused(2), "others are held on");
         door.ok(1);
@@ -880,13 +889,14 @@
     @Test
     void connectionsThatBreakFarApartBlockNoBackend() {
         for (long apart : new long[] {MS, 5 * SECOND}) {
-            Door door = new Door(1, Effect.REPEATABLE, FREE, 1);
+            Door door = new Door(1, Idempotency.IDEMPOTENT, FREE, 1);
             for (long id = 1; id <= 3; id++) {
                 door.arrive(id, 5, 1, 1);
-                door.brain.answered(door.now, new Answer(id, 0, 1, Outcome.RESET, true, MS, -1, 0, null));
+                door.brain.onAttemptEnd(door.now, new AttemptReport(id, 0, 1, Outcome.RESET, true, MS, -1, 0, null));
                 door.pass(apart);
             }
-            door.brain.listed(door.now, false, List.of(backend(2, State.READY, 0), backend(3, State.READY, 0)));
+            door.brain.onBackends(door.now, false,
+                    List.of(backend(2, DiscoveryState.READY, 0), backend(3, DiscoveryState.READY, 0)));
             int there = 0;
             for (long id = 4; id <= 12; id++) {
                 door.arrive(id, 5, 1, 1);
@@ -902,22 +912,23 @@
      */
     @Test
     void anAttemptIsHeldAgainstItsOwnClasssUsualTime() {
-        RequestClass quick = new RequestClass(250 * MS, 1, 0, Effect.REPEATABLE, Group.ALL, 0);
-        RequestClass slow = new RequestClass(5 * SECOND, 1, 0, Effect.REPEATABLE, Group.ALL, 0);
+        RequestClass quick = new RequestClass(250 * MS, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
+        RequestClass slow = new RequestClass(5 * SECOND, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
         List<Long> to = new ArrayList<>();
-        Door actions = new Door(1, Effect.REPEATABLE, FREE) {
+        Door actions = new Door(1, Idempotency.IDEMPOTENT, FREE) {
             @Override
             public void send(long requestId, long backendId, long timeoutNs) {
                 to.add(backendId);
             }
         };
-        Brain brain = new Brain(new Settings(1, 0, 7, 2 * MS, 4, false, 0.2, 10 * SECOND, 2, 2 * SECOND, 0, SECOND,
+        GatewayDecider brain = new GatewayDecider(new Settings(1, 0, 7, 2 * MS, 4, false, 0.2, 10 * SECOND, 2,
+                2 * SECOND, 0, SECOND,
                 List.of(quick, slow), List.of(FREE)), 0, actions);
-        brain.listed(0, true, List.of(backend(1, State.READY, 0)));
-        brain.arrived(0, new Request(1, 1, 0, 1, 1, 1, 9 * SECOND)); // of the slow class, which takes a second
-        brain.listed(0, true, List.of(backend(1, State.READY, 0), backend(2, State.READY, 0)));
+        brain.onBackends(0, true, List.of(backend(1, DiscoveryState.READY, 0)));
+        brain.onRequest(0, new Request(1, 1, 0, 1, 1, 1, 9 * SECOND)); // of the slow class, which takes a second
+        brain.onBackends(0, true, List.of(backend(1, DiscoveryState.READY, 0), backend(2, DiscoveryState.READY, 0)));
         for (long id = 2; id <= 6; id++) {
-            brain.arrived(500 * MS, new Request(id, 0, 0, 1, 1, 1, 9 * SECOND));
+            brain.onRequest(500 * MS, new Request(id, 0, 0, 1, 1, 1, 9 * SECOND));
         }
         assertEquals(6, to.size());
         assertEquals(3, to.stream().filter(each -> each == 1).count(), "as many at each: " + to);
--- a/decision/src/test/java/nettletrail/decision/LimitsTest.java
+++ b/decision/src/test/java/nettletrail/decision/LimitsTest.java
@@ -10,7 +10,7 @@
 
 /** The size the operators set for the module, and the README's example. */
 class LimitsTest {
-    private static final Path MODULE = Path.of("src/main/java/nettletrail/decision/Brain.java");
+    private static final Path MODULE = Path.of("src/main/java/nettletrail/decision/GatewayDecider.java");
 
     @Test
     void theModuleIsShortAndNamesItsInterface() throws IOException {
--- a/decision/src/test/java/nettletrail/decision/ManyGatewaysTest.java
+++ b/decision/src/test/java/nettletrail/decision/ManyGatewaysTest.java
@@ -9,17 +9,17 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.LongPredicate;
-import nettletrail.decision.BrainTest.Door;
-import nettletrail.decision.Gateway.Answer;
+import nettletrail.decision.Gateway.AttemptReport;
 import nettletrail.decision.Gateway.Backend;
-import nettletrail.decision.Gateway.Effect;
-import nettletrail.decision.Gateway.Group;
+import nettletrail.decision.Gateway.DedupScope;
+import nettletrail.decision.Gateway.DiscoveryState;
+import nettletrail.decision.Gateway.Idempotency;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.Gateway.Plan;
 import nettletrail.decision.Gateway.Request;
 import nettletrail.decision.Gateway.RequestClass;
 import nettletrail.decision.Gateway.Settings;
-import nettletrail.decision.Gateway.State;
+import nettletrail.decision.GatewayDeciderTest.Door;
 import org.junit.jupiter.api.Test;
 
 /** What is harmless at one gateway and hurts in the sum of many, each of which sees few requests. */
@@ -41,7 +41,7 @@
     private static final class Fleet {
         private record Event(long at, long order, Runnable run) { }
 
-        final List<Brain> gateways = new ArrayList<>();
+        final List<GatewayDecider> gateways = new ArrayList<>();
         final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at() != b.at()
                 ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
         final SplittableRandom chance = new SplittableRandom(11);
@@ -59,11 +59,11 @@
 
         Fleet(Backends backends) {
             this.backends = backends;
-            RequestClass look = new RequestClass(SECOND, 2, 0, Effect.REPEATABLE, Group.ALL, 0);
-            RequestClass buy = new RequestClass(SECOND, 5, 0, Effect.ONCE, Group.ALL, 0);
+            RequestClass look = new RequestClass(SECOND, 2, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
+            RequestClass buy = new RequestClass(SECOND, 5, 0, Idempotency.NOT_IDEMPOTENT, DedupScope.ALL, 0);
             List<Backend> list = new ArrayList<>();
             for (long id = 1; id <= BACKENDS; id++) {
-                list.add(BrainTest.backend(id, State.READY, 0));
+                list.add(GatewayDeciderTest.backend(id, DiscoveryState.READY, 0));
             }
             for (int i = 0; i < GATEWAYS; i++) {
                 int at = i;
@@ -74,7 +74,7 @@
                     }
 
                     @Override
-                    public void refuse(long requestId, long retryAfterNs) {
+                    public void reject(long requestId, long retryAfterNs) {
                         refused += counts() ? 1 : 0;
                     }
 
@@ -84,20 +84,21 @@
                     }
 
                     @Override
-                    public void wakeIn(int token, long ns) {
-                        in(ns, () -> gateways.get(at).woken(now, token));
+                    public void startTimer(int token, long ns) {
+                        in(ns, () -> gateways.get(at).onTimer(now, token));
                     }
 
                     @Override
-                    public void followList() { }
+                    public void subscribeBackends() { }
 
                     @Override
                     public void log(String line) { }
                 };
-                Brain brain = new Brain(new Settings(GATEWAYS, 0, 100 + i, MS, 4, false, 0.17, 17 * SECOND, 3,
+                GatewayDecider brain = new GatewayDecider(
+                        new Settings(GATEWAYS, 0, 100 + i, MS, 4, false, 0.17, 17 * SECOND, 3,
                         3 * SECOND / 2, 0, SECOND, List.of(look, buy), List.of(FREE)), now, actions);
                 gateways.add(brain);
-                brain.listed(now, true, list);
+                brain.onBackends(now, true, list);
             }
         }
 
@@ -119,7 +120,7 @@
             in(says.afterNs(), () -> {
                 boolean ok = says.outcome() == Outcome.OK;
                 served += ok && counts() ? 1 : 0;
-                gateways.get(at).answered(now, new Answer(requestId, 0, backendId, says.outcome(), ok,
+                gateways.get(at).onAttemptEnd(now, new AttemptReport(requestId, 0, backendId, says.outcome(), ok,
                         says.afterNs(), -1, 0, null));
             });
         }
@@ -132,7 +133,7 @@
                 long requestId = id;
                 in(id * SECOND / perSecond, () -> {
                     arrived += counts() ? 1 : 0;
-                    gateways.get(chance.nextInt(GATEWAYS)).arrived(now, new Request(requestId,
+                    gateways.get(chance.nextInt(GATEWAYS)).onRequest(now, new Request(requestId,
                             (int) (requestId % 2), 0, requestId % 500, 1, GATEWAYS, 4 * SECOND));
                 });
             }
@@ -206,7 +207,7 @@
         SplittableRandom chance = new SplittableRandom(23);
         List<Door> doors = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            doors.add(new Door(100, Effect.REPEATABLE, BrainTest.quota(9.5, 24), 3, i));
+            doors.add(new Door(100, Idempotency.IDEMPOTENT, GatewayDeciderTest.quota(9.5, 24), 3, i));
         }
         double store = 24;
         int within = 0;
@@ -244,7 +245,7 @@
         SplittableRandom chance = new SplittableRandom(5);
         List<Door> doors = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            doors.add(new Door(12, Effect.REPEATABLE, BrainTest.quota(1.2, 12), 3, i));
+            doors.add(new Door(12, Idempotency.IDEMPOTENT, GatewayDeciderTest.quota(1.2, 12), 3, i));
         }
         for (long id = 1; id <= 300 * perSecond; id++) {
             for (Door door : doors) {
@@ -265,20 +266,23 @@
     void ofAnExcessTheLeastWorthIsRefusedFirst() {
         int[] sent = new int[2];
         int[] asked = new int[2];
-        RequestClass look = new RequestClass(SECOND, 2, 0, Effect.REPEATABLE, Group.ALL, 0);
-        RequestClass buy = new RequestClass(SECOND, 5, 0, Effect.ONCE, Group.ALL, 0);
-        Door door = new Door(12, Effect.REPEATABLE, FREE, 3);
-        Brain brain = new Brain(new Settings(12, 0, 3, MS, 4, false, 0.2, SECOND, 3, SECOND, 0, SECOND,
-                List.of(look, buy), List.of(BrainTest.quota(12, 12))), door.now, door);
-        brain.listed(door.now, true, List.of(BrainTest.backend(1, State.READY, 0), BrainTest.backend(2, State.READY, 0)));
+        RequestClass look = new RequestClass(SECOND, 2, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
+        RequestClass buy = new RequestClass(SECOND, 5, 0, Idempotency.NOT_IDEMPOTENT, DedupScope.ALL, 0);
+        Door door = new Door(12, Idempotency.IDEMPOTENT, FREE, 3);
+        GatewayDecider brain = new GatewayDecider(new Settings(12, 0, 3, MS, 4, false, 0.2, SECOND, 3, SECOND, 0,
+                SECOND,
+                List.of(look, buy), List.of(GatewayDeciderTest.quota(12, 12))), door.now, door);
+        brain.onBackends(door.now, true, List.of(GatewayDeciderTest.backend(1, DiscoveryState.READY, 0),
+                GatewayDeciderTest.backend(2, DiscoveryState.READY, 0)));
         for (long id = 1; id <= 2_000; id++) {
             door.now += 200 * MS;
             int kind = (int) (id % 2);
-            brain.arrived(door.now, new Request(id, kind, 0, 5, 1, 12, 4 * SECOND));
+            brain.onRequest(door.now, new Request(id, kind, 0, 5, 1, 12, 4 * SECOND));
             asked[kind]++;
             if (door.sent(id)) {
                 sent[kind]++;
-                brain.answered(door.now, new Answer(id, 0, door.sentTo.get(id), Outcome.OK, true, 50 * MS, 160, 0, null));
+                brain.onAttemptEnd(door.now, new AttemptReport(id, 0, door.sentTo.get(id), Outcome.OK, true, 50 * MS,
+                        160, 0, null));
             }
         }
         assertTrue(sent[1] > 3 * sent[0], sent[1] + " dear and " + sent[0] + " cheap ones of " + asked[0] + " each");
@@ -289,7 +293,7 @@
     @Test
     void oneMoreSlotOfACapWhileTheMeterTellsOfRoom() {
         for (int percent : new int[] {-1, 50, 240}) {
-            Door door = new Door(12, Effect.REPEATABLE, new Plan(0, 0, 3, 0, 0, 0, 1, 0, 1));
+            Door door = new Door(12, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 1, 0, 1));
             door.arrive(1, 5, 1, 12);
             door.answer(1, Outcome.OK, percent, 0);
             door.pass(3 * SECOND);
@@ -322,7 +326,7 @@
         SplittableRandom chance = new SplittableRandom(17);
         List<Door> doors = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            doors.add(new Door(100, Effect.REPEATABLE, new Plan(0, 0, 3, 0, 0, 0, 0.8, 0, 1), 3, i));
+            doors.add(new Door(100, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 0.8, 0, 1), 3, i));
         }
         PriorityQueue<Out> out = new PriorityQueue<>((a, b) -> Long.compare(a.until(), b.until()));
         double[] sums = new double[3];
--- a/ext-proc/src/main/java/nettletrail/extproc/DryRun.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/DryRun.java
@@ -33,9 +33,9 @@
 import nettletrail.core.Log;
 import nettletrail.core.LoopClock;
 import nettletrail.core.Report;
-import nettletrail.decision.Brain;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewayDecider;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * Asks of nobody, within the process and before the first proxy can connect: a JVM interprets what it has not run
@@ -64,14 +64,15 @@
     private int ended;
     private int forwarded;
 
-    private DryRun(EventLoopGroup group, ExtProcSettings own, SettingsReader reader, Gateway.Settings deployment)
+    private DryRun(EventLoopGroup group, ExtProcSettings own, GatewaySettingsReader reader, Gateway.Settings deployment)
             throws IOException {
         loop = group.next();
         settings = deployment;
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
         Processor processor = new Processor(loop, own, new Intake(reader, deployment));
-        dispatcher = new Dispatcher(loop, new LoopClock(), Bound.NONE, List.of(processor), reader, deployment, Brain::new);
+        dispatcher = new Dispatcher(loop, new LoopClock(), Bound.NONE, List.of(processor), reader, deployment,
+                GatewayDecider::new);
         processor.open(dispatcher);
         Answers answers = new Answers(own);
         Report.Reader reports = new Report.Reader(reader);
@@ -92,7 +93,8 @@
     }
 
     /** Runs it to its end; called off the event loop. Never fails a start. */
-    static void run(EventLoopGroup group, ExtProcSettings own, SettingsReader reader, Gateway.Settings deployment) {
+    static void run(EventLoopGroup group, ExtProcSettings own, GatewaySettingsReader reader,
+            Gateway.Settings deployment) {
         try {
             new DryRun(group, own, reader, deployment).run();
         } catch (IOException | RuntimeException e) {
@@ -105,7 +107,7 @@
     private void run() throws InterruptedException {
         loop.execute(() -> {
             dispatcher.listed(true, List.of(new Endpoint(NODE, "dry", new InetSocketAddress(
-                    InetAddress.getLoopbackAddress(), 9), "", "", 0, Gateway.State.READY, 1, 0)));
+                    InetAddress.getLoopbackAddress(), 9), "", "", 0, Gateway.DiscoveryState.READY, 1, 0)));
             for (int i = 0; i < AT_ONCE; i++) {
                 next();
             }
@@ -127,7 +129,7 @@
 
     private ProcessingRequest ask(int number) {
         int kind = number % classes.size();
-        boolean get = settings.classes().get(kind).effect() == Gateway.Effect.REPEATABLE;
+        boolean get = settings.classes().get(kind).idempotency() == Gateway.Idempotency.IDEMPOTENT;
         HeaderMap.Builder headers = HeaderMap.newBuilder();
         add(headers, ":method", get ? "GET" : "POST");
         add(headers, ":path", "/api/dry");
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
@@ -29,7 +29,7 @@
 import nettletrail.core.Log;
 import nettletrail.core.Report;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.http.RequestDecoder;
 
 /**
@@ -49,7 +49,7 @@
 
     private final ExtProcSettings settings;
     private final EventLoopGroup group;
-    private final SettingsReader reader;
+    private final GatewaySettingsReader reader;
     private final Gateway.Settings deployment;
     private final boolean dryRun;
     private final EventLoop loop;
@@ -65,12 +65,12 @@
     }
 
     /** The same without a dry run: it starts at once and is cold. */
-    static ExtProcServer cold(ExtProcSettings settings, EventLoopGroup group, SettingsReader reader,
+    static ExtProcServer cold(ExtProcSettings settings, EventLoopGroup group, GatewaySettingsReader reader,
             Gateway.Settings deployment) {
         return new ExtProcServer(settings, group, reader, deployment, false);
     }
 
-    private ExtProcServer(ExtProcSettings settings, EventLoopGroup group, SettingsReader reader,
+    private ExtProcServer(ExtProcSettings settings, EventLoopGroup group, GatewaySettingsReader reader,
             Gateway.Settings deployment, boolean dryRun) {
         this.settings = settings;
         this.group = group;
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcSettings.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcSettings.java
@@ -31,9 +31,9 @@
     private static final long MS = 1_000_000L;
 
     public ExtProcSettings {
-        Gateway.require(listen != null || httpListen != null, "ExtProcSettings.listen");
-        Gateway.require(reserveNs > 0 && reserveNs < budgetNs, "ExtProcSettings.reserveNs");
-        Gateway.require(mostOpen <= mostIds, "ExtProcSettings.mostOpen");
+        Gateway.requireInRange(listen != null || httpListen != null, "ExtProcSettings.listen");
+        Gateway.requireInRange(reserveNs > 0 && reserveNs < budgetNs, "ExtProcSettings.reserveNs");
+        Gateway.requireInRange(mostOpen <= mostIds, "ExtProcSettings.mostOpen");
     }
 
     /** The section's keys. */
--- a/ext-proc/src/main/java/nettletrail/extproc/Processor.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/Processor.java
@@ -21,8 +21,8 @@
 import nettletrail.core.Intake;
 import nettletrail.core.Log;
 import nettletrail.core.Report;
+import nettletrail.decision.Gateway.DiscoveryState;
 import nettletrail.decision.Gateway.Outcome;
-import nettletrail.decision.Gateway.State;
 
 /**
  * Asks of other proxies, from the first word to the outcome, for both ways of asking. An ask is a request of the
@@ -398,7 +398,7 @@
         }
         for (Endpoint entry : entries) {
             Endpoint known = endpoints.get(entry.id());
-            if (entry.state() != State.READY) {
+            if (entry.state() != DiscoveryState.READY) {
                 endpoints.remove(entry.id());
             } else if (entry.address() != null) {
                 endpoints.put(entry.id(), entry);
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
@@ -162,7 +162,7 @@
         }
 
         @Override
-        public void arrived(long now, Request request) {
+        public void onRequest(long now, Request request) {
             told.add(request);
             arrivals.add(request.id());
             if (sendTo != 0) {
@@ -171,22 +171,22 @@
         }
 
         @Override
-        public void answered(long now, Answer answer) {
+        public void onAttemptEnd(long now, AttemptReport answer) {
             told.add(answer);
         }
 
         @Override
-        public void departed(long now, long requestId) {
+        public void onRequestCancelled(long now, long requestId) {
             told.add(requestId);
         }
 
         @Override
-        public void listed(long now, boolean whole, List<Backend> entries) { }
+        public void onBackends(long now, boolean whole, List<Backend> entries) { }
 
         @Override
-        public void listFailed(long now) { }
+        public void onDiscoveryFailure(long now) { }
 
         @Override
-        public void woken(long now, int token) { }
+        public void onTimer(long now, int token) { }
     }
 }
--- a/ext-proc/src/test/java/nettletrail/extproc/HardCasesTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/HardCasesTest.java
@@ -70,15 +70,15 @@
                 .getFieldsOrThrow("x-gateway-destination-endpoint").getStringValue());
         Gateway.Request told = module.heard(Gateway.Request.class);
         assertEquals(1, told.requestClass());
-        assertEquals(10_000_000L, told.holdNs(), "budget less reserve");
+        assertEquals(10_000_000L, told.maxQueueNanos(), "budget less reserve");
         peer.outcome(200, "x-quota-used", "42", "x-units-charged", "3.5", "x-pressure", "pending=4,cpu_share=0.5");
         assertTrue(peer.next().hasResponseHeaders());
-        Gateway.Answer answer = module.heard(Gateway.Answer.class);
+        Gateway.AttemptReport answer = module.heard(Gateway.AttemptReport.class);
         assertEquals(Outcome.OK, answer.outcome());
-        assertTrue(answer.ended());
-        assertEquals(42, answer.usedPercent());
-        assertEquals(3.5, answer.settledUnits());
-        assertEquals(4, answer.load().waiting());
+        assertTrue(answer.requestEnded());
+        assertEquals(42, answer.quotaUsedPercent());
+        assertEquals(3.5, answer.actualUnits());
+        assertEquals(4, answer.load().queuedRequests());
         peer.complete();
         assertEquals(Status.Code.OK, peer.end().getCode());
     }
@@ -96,7 +96,7 @@
         rig.start(module.module());
         AskPeer peer = new AskPeer(rig.connection()).ask(ExtProcRig.submit("a1"));
         long id = module.heard(Gateway.Request.class).id();
-        module.act(rig, actions -> actions.refuse(id, 1_200_000_000L));
+        module.act(rig, actions -> actions.reject(id, 1_200_000_000L));
         ProcessingResponse answer = peer.next();
         assertEquals(429, answer.getImmediateResponse().getStatus().getCodeValue());
         assertTrue(answer.getImmediateResponse().getHeaders().getSetHeadersList().stream().anyMatch(header ->
@@ -137,14 +137,14 @@
         }
         if (when.equals("answered")) {
             asked.outcome(200).next();
-            module.heard(Gateway.Answer.class);
+            module.heard(Gateway.AttemptReport.class);
         } else if (when.equals("broken")) {
             asked.outcome(503);
             assertEquals(502, asked.immediate(), "503 would say that trying again is harmless");
-            assertEquals(Outcome.RESET, module.heard(Gateway.Answer.class).outcome());
+            assertEquals(Outcome.RESET, module.heard(Gateway.AttemptReport.class).outcome());
         } else if (when.equals("turned-away")) {
             asked.outcome(503, "x-turned-away", "1").next();
-            assertEquals(Outcome.FULL, module.heard(Gateway.Answer.class).outcome());
+            assertEquals(Outcome.FULL, module.heard(Gateway.AttemptReport.class).outcome());
         }
         Map<String, String> again = ExtProcRig.with(ExtProcRig.submit("a1"), "x-envoy-attempt-count", "2");
         AskPeer second = where.equals("stream") ? asked.ask(again)
@@ -160,16 +160,16 @@
             forwards++;
             second.outcome(200);
             assertTrue(second.next().hasResponseHeaders());
-            assertEquals(Outcome.OK, module.heard(Gateway.Answer.class).outcome());
+            assertEquals(Outcome.OK, module.heard(Gateway.AttemptReport.class).outcome());
         } else {
             assertEquals(when.equals("turned-away") ? 429 : 502, second.immediate());
         }
         assertEquals(1, forwards);
         if (when.equals("forwarded") && !where.equals("stream")) {
             asked.outcome(200).next();
-            assertEquals(Outcome.OK, module.heard(Gateway.Answer.class).outcome());
+            assertEquals(Outcome.OK, module.heard(Gateway.AttemptReport.class).outcome());
         }
-        module.told.removeIf(told -> told instanceof Gateway.Answer);
+        module.told.removeIf(told -> told instanceof Gateway.AttemptReport);
         assertEquals(0, module.told.size(), "nothing more reached the module: " + module.told);
     }
 
@@ -210,7 +210,7 @@
         peer.cancel();
         assertEquals(id, module.heard(Long.class), "the module hears that it is over and gives back what it drew");
         module.act(rig, actions -> actions.send(id, NODE, 0));
-        assertEquals(Outcome.NEVER_SENT, module.heard(Gateway.Answer.class).outcome());
+        assertEquals(Outcome.NEVER_SENT, module.heard(Gateway.AttemptReport.class).outcome());
         Map<String, String> again = ExtProcRig.with(ExtProcRig.submit("a1"), "x-envoy-attempt-count", "2");
         AskPeer second = new AskPeer(rig.connection()).ask(again);
         long next = module.heard(Gateway.Request.class).id();
@@ -233,9 +233,9 @@
             case "complete" -> peer.complete();
             default -> connection.shutdownNow();
         }
-        Gateway.Answer answer = module.heard(Gateway.Answer.class);
+        Gateway.AttemptReport answer = module.heard(Gateway.AttemptReport.class);
         assertEquals(Outcome.CANCELLED, answer.outcome());
-        assertTrue(answer.outcome().mayHaveRun && answer.ended());
+        assertTrue(answer.outcome().mayHaveRun && answer.requestEnded());
         assertEquals(502, new AskPeer(rig.connection()).ask(ExtProcRig.submit("a1")).immediate());
     }
 
@@ -247,7 +247,7 @@
         AskPeer peer = new AskPeer(rig.connection()).ask(hurried);
         peer.forwarded();
         module.heard(Gateway.Request.class);
-        assertEquals(Outcome.TIMED_OUT, module.heard(Gateway.Answer.class).outcome());
+        assertEquals(Outcome.TIMED_OUT, module.heard(Gateway.AttemptReport.class).outcome());
         module.heard(Long.class);
         peer.outcome(200);
         assertTrue(peer.next().hasResponseHeaders(), "the client still gets its one answer");
@@ -267,7 +267,7 @@
         peer.outcome(200).next();
         peer.outcome(500);
         assertTrue(peer.next().hasResponseHeaders());
-        assertEquals(Outcome.OK, module.heard(Gateway.Answer.class).outcome());
+        assertEquals(Outcome.OK, module.heard(Gateway.AttemptReport.class).outcome());
         assertTrue(module.told.isEmpty());
     }
 
@@ -318,13 +318,13 @@
         long id = module.heard(Gateway.Request.class).id();
         module.act(rig, actions -> {
             rig.front().carrier().listed(false, java.util.List.of(new Endpoint(NODE, "s-1", null, "a", "m1", 1,
-                    Gateway.State.DRAINING, 1, 0)));
+                    Gateway.DiscoveryState.DRAINING, 1, 0)));
             actions.send(id, NODE, 0);
         });
-        Gateway.Answer answer = module.heard(Gateway.Answer.class);
+        Gateway.AttemptReport answer = module.heard(Gateway.AttemptReport.class);
         assertEquals(Outcome.NEVER_SENT, answer.outcome());
-        assertFalse(answer.ended(), "the module may choose another");
-        module.act(rig, actions -> actions.refuse(id, 0));
+        assertFalse(answer.requestEnded(), "the module may choose another");
+        module.act(rig, actions -> actions.reject(id, 0));
         assertEquals(429, peer.immediate());
     }
 
@@ -344,7 +344,7 @@
         Thread draining = new Thread(() -> rig.door().drain());
         draining.start();
         module.act(rig, actions -> { }); // the drain has begun or comes next on the loop
-        module.act(rig, actions -> actions.refuse(second, 0));
+        module.act(rig, actions -> actions.reject(second, 0));
         assertEquals(429, undecided.immediate());
         handedOut.outcome(200);
         assertTrue(handedOut.next().hasResponseHeaders());
--- a/ext-proc/src/test/java/nettletrail/extproc/HttpAsksTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/HttpAsksTest.java
@@ -112,9 +112,9 @@
                     forward.headers().get("x-gateway-destination-endpoint"));
             module.heard(Gateway.Request.class);
             assertEquals(200, caller.outcome("a1", "200").status());
-            Gateway.Answer told = module.heard(Gateway.Answer.class);
+            Gateway.AttemptReport told = module.heard(Gateway.AttemptReport.class);
             assertEquals(Outcome.OK, told.outcome());
-            assertEquals(17, told.usedPercent());
+            assertEquals(17, told.quotaUsedPercent());
             assertEquals(409, caller.outcome("a1", "500").status(), "told before");
             assertEquals(404, caller.outcome("a2", "200").status(), "never handed out");
             Answer again = caller.call("GET", "/v1/ask", order);
@@ -137,7 +137,7 @@
                 assertEquals(200, caller.call("GET", "/v1/ask", ExtProcRig.submit(each[0])).status());
                 module.heard(Gateway.Request.class);
                 assertEquals(200, caller.outcome(each[0], each[1]).status());
-                assertEquals(Outcome.valueOf(each[2]), module.heard(Gateway.Answer.class).outcome());
+                assertEquals(Outcome.valueOf(each[2]), module.heard(Gateway.AttemptReport.class).outcome());
             }
         }
     }
@@ -150,7 +150,7 @@
         try (Caller caller = new Caller()) {
             caller.write("GET", "/v1/ask?deny=403", ExtProcRig.submit("a1"));
             long id = module.heard(Gateway.Request.class).id();
-            module.act(rig, actions -> actions.refuse(id, 3_000_000_000L));
+            module.act(rig, actions -> actions.reject(id, 3_000_000_000L));
             Answer refused = caller.read();
             assertEquals(403, refused.status());
             assertEquals("429", refused.headers().get("x-gateway-status"));
@@ -194,7 +194,7 @@
             caller.write("GET", "/v1/ask", ExtProcRig.submit("a1")).write("GET", "/v1/ask", ExtProcRig.submit("a2"));
             long first = module.heard(Gateway.Request.class).id();
             assertNull(module.told.peek(), "the second waits");
-            module.act(rig, actions -> actions.refuse(first, 0));
+            module.act(rig, actions -> actions.reject(first, 0));
             long second = module.heard(Gateway.Request.class).id();
             module.act(rig, actions -> actions.send(second, NODE, 0));
             assertEquals(429, caller.read().status());
--- a/front-door/src/main/java/nettletrail/core/Admission.java
+++ b/front-door/src/main/java/nettletrail/core/Admission.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import java.util.function.Predicate;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * Whether a request may come in at all by what it brings to prove it, asked before the bound and the module hear of it, and
@@ -20,7 +20,8 @@
          * @param clock the loop's
          * @throws IllegalArgumentException if it can't with these settings; the message names the key
          */
-        Admission make(String name, EventLoop loop, LoopClock clock, SettingsReader reader, Gateway.Settings settings);
+        Admission make(String name, EventLoop loop, LoopClock clock, GatewaySettingsReader reader,
+                Gateway.Settings settings);
     }
 
     /** What is said of a request. */
--- a/front-door/src/main/java/nettletrail/core/Bound.java
+++ b/front-door/src/main/java/nettletrail/core/Bound.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.EventLoop;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * A bound on what may be let in beside those that the module holds: it can turn a request away before the module hears of
@@ -18,7 +18,7 @@
          * @param name this front door's, unique in the installation
          * @throws IllegalArgumentException if it can't with these settings; the message names the key
          */
-        Bound make(String name, EventLoop loop, SettingsReader reader, Gateway.Settings settings);
+        Bound make(String name, EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings);
     }
 
     /** Whether the request may be let in; if so its units are taken. */
--- a/front-door/src/main/java/nettletrail/core/Dispatcher.java
+++ b/front-door/src/main/java/nettletrail/core/Dispatcher.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * Each live request and its attempts, and the only place that touches the decision module: it turns what happens
@@ -73,7 +73,7 @@
                 end(this);
             } else if (!over) {
                 end(this);
-                event(new Rare("departure", this, () -> gateway.departed(now(), id)));
+                event(new Rare("departure", this, () -> gateway.onRequestCancelled(now(), id)));
                 // Without a carriage it is just being started, and its carrier will hear that it is not wanted.
                 if (last != null && last.carriage != null && last.carriage.unsent()) {
                     timedOut(last); // nobody waits for it: it shall not cost a backend work
@@ -128,15 +128,15 @@
 
         @Override
         void happen() {
-            gateway.arrived(now, told);
+            gateway.onRequest(now, told);
         }
     }
 
     private final class Ended extends Event {
         private final long now;
-        private final Gateway.Answer told;
+        private final Gateway.AttemptReport told;
 
-        Ended(Live request, long now, Gateway.Answer told) {
+        Ended(Live request, long now, Gateway.AttemptReport told) {
             super("outcome", request);
             this.now = now;
             this.told = told;
@@ -144,7 +144,7 @@
 
         @Override
         void happen() {
-            gateway.answered(now, told);
+            gateway.onAttemptEnd(now, told);
         }
     }
 
@@ -246,7 +246,8 @@
                 bound.metered(live.arrival, report.usedPercent());
             }
             long took = clock.came(sentAt - clockOffset) + clockOffset - sentAt;
-            Gateway.Answer told = new Gateway.Answer(live.id, number, backendId(), outcome, live.over, took,
+            Gateway.AttemptReport told = new Gateway.AttemptReport(live.id, number, backendId(), outcome, live.over,
+                    took,
                     report.usedPercent(), charged, report.load());
             forget(live);
             event(new Ended(live, now, told));
@@ -283,14 +284,15 @@
      * @param carriers all that attempts are ever carried by
      * @param settings read by the same reader
      */
-    public Dispatcher(EventLoop loop, LoopClock clock, Bound bound, List<Carrier> carriers, SettingsReader reader,
+    public Dispatcher(EventLoop loop, LoopClock clock, Bound bound, List<Carrier> carriers,
+            GatewaySettingsReader reader,
             Gateway.Settings settings, Maker module) {
         this(loop, clock, Admission.NONE, bound, carriers, reader, settings, module);
     }
 
     /** The same where not all may come in. */
     public Dispatcher(EventLoop loop, LoopClock clock, Admission admission, Bound bound, List<Carrier> carriers,
-            SettingsReader reader, Gateway.Settings settings, Maker module) {
+            GatewaySettingsReader reader, Gateway.Settings settings, Maker module) {
         this.admission = admission;
         this.bound = bound;
         this.loop = loop;
@@ -298,7 +300,7 @@
         this.carriers = List.copyOf(carriers);
         zones = reader.list("Dcs");
         kinds = reader.list("Flavors");
-        mostTaken = reader.longestDeadlineNs();
+        mostTaken = reader.maxDeadlineNanos();
         gateway = module.make(settings, now(), this);
         admission.tells(this::turnAway);
     }
@@ -395,7 +397,7 @@
         for (Live each : new ArrayList<>(live.values())) {
             if (!each.over && !each.outside && each.out == 0 && whose.test(each.arrival)) {
                 withdraw(each, denial);
-                event(new Rare("withdrawal", each, () -> gateway.departed(now(), each.id)));
+                event(new Rare("withdrawal", each, () -> gateway.onRequestCancelled(now(), each.id)));
             }
         }
     }
@@ -467,13 +469,13 @@
         // is told after the list, or the module would send it to the same backend again.
         if (inside) {
             // Heard by a look before a send: that carrier must know it now, the module after what it is at.
-            events.addLast(new Rare("list", null, () -> gateway.listed(now(), whole, told)));
+            events.addLast(new Rare("list", null, () -> gateway.onBackends(now(), whole, told)));
             carriers.forEach(carrier -> carrier.listed(whole, entries));
             return;
         }
         event(new Rare("list", null, () -> {
             carriers.forEach(carrier -> carrier.listed(whole, entries));
-            gateway.listed(now(), whole, told);
+            gateway.onBackends(now(), whole, told);
         }));
     }
 
@@ -495,7 +497,7 @@
 
     @Override
     public void listFailed() {
-        event(new Rare("list failure", null, () -> gateway.listFailed(now())));
+        event(new Rare("list failure", null, () -> gateway.onDiscoveryFailure(now())));
     }
 
     /** Its time is up: attempts are closed and told, and if the module leaves it at that, it has failed. */
@@ -515,7 +517,7 @@
                 } else {
                     request.client.failed(504);
                 }
-                gateway.departed(now(), request.id);
+                gateway.onRequestCancelled(now(), request.id);
             }
         }));
     }
@@ -608,7 +610,8 @@
         if (request == null || request.over || ending) {
             // Its client left, a fault ended it, or nobody will hear the answer: a send now would run for nobody.
             boolean over = request == null || request.over;
-            Gateway.Answer told = new Gateway.Answer(requestId, 0, backendId, Gateway.Outcome.NEVER_SENT, over, 0, -1,
+            Gateway.AttemptReport told = new Gateway.AttemptReport(requestId, 0, backendId, Gateway.Outcome.NEVER_SENT,
+                    over, 0, -1,
                     0, null);
             event(new Ended(null, now, told));
             return;
@@ -628,7 +631,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterNs) {
+    public void reject(long requestId, long retryAfterNs) {
         Live request = live.get(requestId);
         if (request != null && !request.over) {
             end(request);
@@ -646,14 +649,14 @@
     }
 
     @Override
-    public void wakeIn(int token, long ns) {
-        loop.schedule(() -> event(new Rare("timer", null, () -> gateway.woken(now(), token))), ns,
+    public void startTimer(int token, long ns) {
+        loop.schedule(() -> event(new Rare("timer", null, () -> gateway.onTimer(now(), token))), ns,
                 TimeUnit.NANOSECONDS);
     }
 
     /** Nothing to do: the watch runs from the start to the end, whoever asks. */
     @Override
-    public void followList() { }
+    public void subscribeBackends() { }
 
     @Override
     public void log(String line) {
--- a/front-door/src/main/java/nettletrail/core/Endpoint.java
+++ b/front-door/src/main/java/nettletrail/core/Endpoint.java
@@ -16,7 +16,7 @@
  * @param sinceMs wall clock of its last start in ms of Unix time, 0 for long ago
  */
 public record Endpoint(long id, String name, SocketAddress address, String zone, String type, int group,
-        Gateway.State state, double weight, long sinceMs) {
+        Gateway.DiscoveryState state, double weight, long sinceMs) {
 
     /** Hears what the list says. Called on the event loop. */
     public interface Listener {
--- a/front-door/src/main/java/nettletrail/core/Front.java
+++ b/front-door/src/main/java/nettletrail/core/Front.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * A further way in for requests, beside the socket front door and in the same process: it takes them on through the
@@ -13,7 +13,7 @@
 public interface Front {
     /** Makes one; nothing is opened yet. */
     interface Maker {
-        Front make(EventLoopGroup group, SettingsReader reader, Gateway.Settings settings);
+        Front make(EventLoopGroup group, GatewaySettingsReader reader, Gateway.Settings settings);
     }
 
     /** What attempts of its requests are carried by. */
--- a/front-door/src/main/java/nettletrail/core/Intake.java
+++ b/front-door/src/main/java/nettletrail/core/Intake.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.function.Function;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * What a request must look like to be taken on, whichever front it comes through. All that it names is held against
@@ -31,16 +31,16 @@
     private final Gateway.Settings settings;
     private final double mostUnits;
 
-    public Intake(SettingsReader reader, Gateway.Settings settings) {
+    public Intake(GatewaySettingsReader reader, Gateway.Settings settings) {
         this.settings = settings;
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
-        mostUnits = reader.mostUnits() > 0 ? reader.mostUnits() : held(settings.plans());
+        mostUnits = reader.maxUnitsPerRequest() > 0 ? reader.maxUnitsPerRequest() : held(settings.plans());
     }
 
     /** Where the settings don't tell the largest request, one that no plan's store could hold is none. */
     private static double held(List<Gateway.Plan> plans) {
-        return plans.stream().mapToDouble(plan -> Math.max(plan.burst(), plan.mostOut())).max().orElse(1);
+        return plans.stream().mapToDouble(plan -> Math.max(plan.burstUnits(), plan.maxConcurrency())).max().orElse(1);
     }
 
     /**
@@ -65,7 +65,7 @@
         double units = Pairs.number(quota, "units");
         long spread = Pairs.whole(Pairs.value(quota, "spread"));
         long first = Pairs.whole(Pairs.value(quota, "first"));
-        int gateways = settings.gateways();
+        int gateways = settings.gatewayCount();
         boolean twice = Pairs.twice(quota, "units") || Pairs.twice(quota, "spread") || Pairs.twice(quota, "first");
         if (twice || !(units > 0 && units <= mostUnits) || spread < 1 || spread > gateways || first < 0 || first >= gateways) {
             return null;
@@ -102,7 +102,7 @@
             return fault(REMAINING, headers, "must be whole milliseconds from 0 to " + MOST_REMAINING_MS);
         }
         return fault(QUOTA, headers, "must be units=U,spread=N,first=F, each once, with U above 0 and at most " + mostUnits
-                + ", N from 1 to " + settings.gateways() + ", F from 0 to " + (settings.gateways() - 1));
+                + ", N from 1 to " + settings.gatewayCount() + ", F from 0 to " + (settings.gatewayCount() - 1));
     }
 
     private static String fault(AsciiString name, Function<CharSequence, String> headers, String rule) {
@@ -111,12 +111,12 @@
 
     /** Whether it must not run twice. */
     public boolean unsafe(Arrival arrival) {
-        return settings.classes().get(arrival.requestClass()).effect() != Gateway.Effect.REPEATABLE;
+        return settings.classes().get(arrival.requestClass()).idempotency() != Gateway.Idempotency.IDEMPOTENT;
     }
 
     /** The method follows from the class: another is malformed, for it would say which may be sent again. */
     public HttpMethod method(int requestClass) {
-        boolean repeatable = settings.classes().get(requestClass).effect() == Gateway.Effect.REPEATABLE;
+        boolean repeatable = settings.classes().get(requestClass).idempotency() == Gateway.Idempotency.IDEMPOTENT;
         return repeatable ? HttpMethod.GET : HttpMethod.POST;
     }
 
--- a/front-door/src/main/java/nettletrail/core/Members.java
+++ b/front-door/src/main/java/nettletrail/core/Members.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * Which other front doors there are, as far as this one can know. Two questions with two answers, and whoever asks names
@@ -25,7 +25,7 @@
          * @param loop the front door's, on which listeners are told
          * @throws IllegalArgumentException if it can't with these settings; the message names the key
          */
-        Members make(String name, EventLoop loop, SettingsReader reader, Gateway.Settings settings);
+        Members make(String name, EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings);
     }
 
     /**
--- a/front-door/src/main/java/nettletrail/core/Report.java
+++ b/front-door/src/main/java/nettletrail/core/Report.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Function;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * What a backend's answer tells beside its body.
@@ -13,7 +13,7 @@
  * @param charged true units of a good answer, 0 if not told
  * @param load the backend's load, or null
  */
-public record Report(int usedPercent, double charged, Gateway.Load load) {
+public record Report(int usedPercent, double charged, Gateway.LoadReport load) {
     public static final AsciiString USED = AsciiString.cached("X-Quota-Used");
     public static final AsciiString CHARGED = AsciiString.cached("X-Units-Charged");
     public static final AsciiString LOAD = AsciiString.cached("X-Pressure");
@@ -31,9 +31,10 @@
         private final List<String> fields;
         private final double mostCharged;
 
-        public Reader(SettingsReader settings) {
-            fields = settings.reportFields();
-            mostCharged = settings.mostUnits() > 0 ? MOST_OVER_GUESS * settings.mostUnits() : Double.MAX_VALUE;
+        public Reader(GatewaySettingsReader settings) {
+            fields = settings.loadReportFields();
+            mostCharged = settings.maxUnitsPerRequest() > 0 ? MOST_OVER_GUESS * settings.maxUnitsPerRequest()
+                    : Double.MAX_VALUE;
         }
 
         /** Made of an answer's headers, asked for by name; a header that is absent is null. */
@@ -46,15 +47,16 @@
         }
 
         /** The header names its values as the settings do, in whatever order. */
-        private Gateway.Load load(String text) {
+        private Gateway.LoadReport load(String text) {
             if (fields.isEmpty() || text == null) {
                 return null;
             }
-            Gateway.Load load = new Gateway.Load(value(text, SettingsReader.WAITING),
-                    value(text, SettingsReader.BUSY), value(text, SettingsReader.SERVED));
-            boolean none = Double.isNaN(load.waiting()) && Double.isNaN(load.busy())
-                    && Double.isNaN(load.servedPerS());
-            return none || load.waiting() > MOST_LOAD || load.busy() > MOST_LOAD ? null : load;
+            Gateway.LoadReport load = new Gateway.LoadReport(value(text, GatewaySettingsReader.QUEUED_REQUESTS),
+                    value(text, GatewaySettingsReader.CPU_UTILIZATION),
+                    value(text, GatewaySettingsReader.REQUESTS_PER_SECOND));
+            boolean none = Double.isNaN(load.queuedRequests()) && Double.isNaN(load.cpuUtilization())
+                    && Double.isNaN(load.requestsPerSecond());
+            return none || load.queuedRequests() > MOST_LOAD || load.cpuUtilization() > MOST_LOAD ? null : load;
         }
 
         private double value(String text, String field) {
--- a/front-door/src/main/java/nettletrail/discovery/DiscoveryClient.java
+++ b/front-door/src/main/java/nettletrail/discovery/DiscoveryClient.java
@@ -331,15 +331,15 @@
     }
 
     private static Endpoint endpoint(String name, Map<?, ?> entry) {
-        Gateway.State state = switch (String.valueOf(entry.get("status"))) {
-            case "SERVING" -> Gateway.State.READY;
-            case "DELETED" -> Gateway.State.GONE;
-            default -> Gateway.State.DRAINING; // a word not known here is no leave to send
+        Gateway.DiscoveryState state = switch (String.valueOf(entry.get("status"))) {
+            case "SERVING" -> Gateway.DiscoveryState.READY;
+            case "DELETED" -> Gateway.DiscoveryState.GONE;
+            default -> Gateway.DiscoveryState.DRAINING; // a word not known here is no leave to send
         };
         InetSocketAddress address = entry.get("address") instanceof String text ? Endpoint.address(text) : null;
-        if (address == null && state == Gateway.State.READY) {
+        if (address == null && state == Gateway.DiscoveryState.READY) {
             Log.line("discovery: " + name + " has no address that can be used");
-            state = Gateway.State.DRAINING;
+            state = Gateway.DiscoveryState.DRAINING;
         }
         return new Endpoint(Endpoint.id(name), name, address, String.valueOf(entry.get("zone")), String.valueOf(entry.get("type")),
                 entry.get("group") instanceof Number n ? n.intValue() : 0, state,
--- a/front-door/src/main/java/nettletrail/door/Config.java
+++ b/front-door/src/main/java/nettletrail/door/Config.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import nettletrail.core.Endpoint;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 
 /**
  * What a front door is told at its start.
@@ -23,7 +23,7 @@
  * @param settings the deployment's settings
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        Map<?, ?> known, SettingsReader settings) {
+        Map<?, ?> known, GatewaySettingsReader settings) {
 
     /** A configuration that can't be used; the message is one line that says why. */
     public static final class Unusable extends Exception {
@@ -47,7 +47,7 @@
         StringBuilder text = new StringBuilder();
         flatten("", object(file, "settings"), text);
         return new Config(name, listen, discovery, seed(file), sockets, object(file, "known"),
-                new SettingsReader(text.toString()));
+                new GatewaySettingsReader(text.toString()));
     }
 
     /** Where the file, perhaps replaced since the start, says that discovery's agent listens now. */
--- a/front-door/src/main/java/nettletrail/door/DryRun.java
+++ b/front-door/src/main/java/nettletrail/door/DryRun.java
@@ -27,7 +27,7 @@
 import nettletrail.core.LoopClock;
 import nettletrail.core.Report;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.http.ClientHandler;
 import nettletrail.upstream.BackendPool;
 
@@ -49,7 +49,7 @@
             Unpooled.copiedBuffer("HTTP/1.1 200", StandardCharsets.US_ASCII));
 
     private final EventLoop loop;
-    private final SettingsReader reader;
+    private final GatewaySettingsReader reader;
     private final Gateway.Settings settings;
     private final List<String> classes;
     private final List<String> plans;
@@ -65,7 +65,7 @@
     private int answered;
     private int served;
 
-    DryRun(EventLoop loop, SettingsReader reader, Gateway.Settings settings) {
+    DryRun(EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings) {
         this.loop = loop;
         this.reader = reader;
         this.settings = settings;
@@ -83,7 +83,8 @@
         this.then = then;
         startedAt = System.nanoTime();
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
-        dispatcher.listed(true, List.of(new Endpoint(BACKEND, "", backend, "", "", 0, Gateway.State.READY, 1, 0)));
+        dispatcher.listed(true, List.of(new Endpoint(BACKEND, "", backend, "", "", 0, Gateway.DiscoveryState.READY, 1,
+                0)));
         listen(backend, new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel made) {
@@ -127,7 +128,7 @@
     /** Of each class and plan in turn, within the smallest quota. */
     private String request(int number) {
         int kind = number % classes.size();
-        boolean get = settings.classes().get(kind).effect() == Gateway.Effect.REPEATABLE;
+        boolean get = settings.classes().get(kind).idempotency() == Gateway.Idempotency.IDEMPOTENT;
         String body = get ? "" : "dry run";
         return (get ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: service.internal\r\n"
                 + "X-Txn: %016x\r\nX-Lane: %s\r\nX-Plan: %s\r\nX-Customer: %016x\r\nX-Remaining-Ms: 1000\r\n".formatted(
@@ -167,7 +168,7 @@
     /** A backend that answers each request at once, with all that an answer may tell. */
     private final class Answering extends ChannelInboundHandlerAdapter {
         private final String answer = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nX-Quota-Used: 10\r\nX-Units-Charged: 1\r\n"
-                + "X-Pressure: " + String.join("=0,", reader.reportFields()) + "=0\r\n\r\ndry run";
+                + "X-Pressure: " + String.join("=0,", reader.loadReportFields()) + "=0\r\n\r\ndry run";
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
--- a/front-door/src/main/java/nettletrail/door/FrontDoor.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoor.java
@@ -37,9 +37,9 @@
 import nettletrail.core.Unread;
 import nettletrail.decision.ApertureGateway;
 import nettletrail.decision.ApertureSettings;
-import nettletrail.decision.Brain;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.WireFault;
+import nettletrail.decision.GatewayDecider;
+import nettletrail.decision.InvalidInputException;
 import nettletrail.discovery.DiscoveryClient;
 import nettletrail.http.ClientHandler;
 import nettletrail.upstream.BackendPool;
@@ -106,7 +106,7 @@
     private volatile boolean draining;
 
     /** The project's own. */
-    public static final Dispatcher.Maker MODULE = Brain::new;
+    public static final Dispatcher.Maker MODULE = GatewayDecider::new;
 
     /** No lambda: one that isn't in the archive of classes costs each start more. */
     private static final class BehindAperture implements Dispatcher.Maker {
@@ -122,7 +122,7 @@
 
         @Override
         public Gateway make(Gateway.Settings told, long now, Gateway.Actions actions) {
-            return ApertureGateway.around(module.make(told, now, actions), told, index, aperture);
+            return ApertureGateway.wrap(module.make(told, now, actions), told, index, aperture);
         }
     }
 
@@ -132,8 +132,9 @@
         int shared = config.sockets() - OTHER_SOCKETS;
         mostClients = shared / 2;
         roomyClients = config.sockets() / 4;
-        pool = new BackendPool(loop, new Report.Reader(config.settings()), config.settings().time("Ceilings.ConnectTimeout"),
-                config.settings().time("Ceilings.ConnIdle"), shared - mostClients);
+        pool = new BackendPool(loop, new Report.Reader(config.settings()),
+                config.settings().durationNanos("Ceilings.ConnectTimeout"),
+                config.settings().durationNanos("Ceilings.ConnIdle"), shared - mostClients);
         List<Carrier> carriers = new ArrayList<>(List.of(pool));
         for (Front.Maker each : more.fronts()) {
             Front front = each.make(group, config.settings(), settings);
@@ -144,7 +145,7 @@
         bound = more.bound().make(config.name(), loop, config.settings(), settings);
         bound.knows(members);
         admission = more.admission().make(config.name(), loop, clock, config.settings(), settings);
-        int index = config.settings().index();
+        int index = config.settings().gatewayIndex();
         ApertureSettings aperture = config.settings().aperture(more.aperture());
         dispatcher = new Dispatcher(loop, clock, admission, bound, carriers, config.settings(), settings,
                 new BehindAperture(module, index, aperture));
@@ -164,7 +165,7 @@
         FrontDoor door;
         try {
             door = prepare(Config.read(env), MODULE, more);
-        } catch (Config.Unusable | WireFault | IllegalArgumentException e) {
+        } catch (Config.Unusable | InvalidInputException | IllegalArgumentException e) {
             System.err.println("nettletrail: " + e.getMessage());
             System.exit(2);
             return;
@@ -321,7 +322,7 @@
 
     /** The longest that a client waits, by the settings. */
     private long longestMs() {
-        return Math.min(MOST_LONGEST_MS, config.settings().longestDeadlineNs() / 1_000_000);
+        return Math.min(MOST_LONGEST_MS, config.settings().maxDeadlineNanos() / 1_000_000);
     }
 
     /** From SIGTERM to the end at the latest: all the time of a request that came last; before SIGKILL. */
--- a/front-door/src/main/java/nettletrail/door/Main.java
+++ b/front-door/src/main/java/nettletrail/door/Main.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import nettletrail.core.Additions;
-import nettletrail.decision.WireFault;
+import nettletrail.decision.InvalidInputException;
 import nettletrail.sim.WireHost;
 
 /**
@@ -27,7 +27,7 @@
     private static void adapt() {
         try {
             new WireHost(System.in, System.out).run();
-        } catch (WireFault | IOException e) {
+        } catch (InvalidInputException | IOException e) {
             System.err.println("nettletrail: " + e.getMessage());
             System.exit(1);
         }
