--- a/front-door/src/main/java/nettletrail/sim/WireHost.java
+++ b/front-door/src/main/java/nettletrail/sim/WireHost.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 import nettletrail.decision.ApertureGateway;
 import nettletrail.decision.ApertureSettings;
-import nettletrail.decision.Brain;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
-import nettletrail.decision.WireFault;
+import nettletrail.decision.GatewayDecider;
+import nettletrail.decision.GatewaySettingsReader;
+import nettletrail.decision.InvalidInputException;
 
 /** Hosts instances of the module on the simulator's wire: framing and translation, nothing else. */
 public final class WireHost {
@@ -51,7 +51,8 @@
             int count = header.getInt(16);
             String where = "batch " + Integer.toUnsignedString(batch);
             if (length < 0 || length > MOST_FRAME || count < 0 || (long) count * EVENT_SIZE > length) {
-                throw new WireFault(where + ": " + Integer.toUnsignedString(count) + " records do not fit in "
+                throw new InvalidInputException(where + ": " + Integer.toUnsignedString(count)
+                        + " records do not fit in "
                         + Integer.toUnsignedString(length) + " bytes");
             }
             if (body.capacity() < length) {
@@ -60,7 +61,7 @@
             try {
                 in.readFully(body.array(), 0, length);
             } catch (EOFException e) {
-                throw new WireFault(where + ": input ended inside the frame");
+                throw new InvalidInputException(where + ": input ended inside the frame");
             }
             actions.clear().position(REPLY_HEADER);
             texts.clear();
@@ -75,7 +76,7 @@
     private boolean readHeader(ByteBuffer header) throws IOException {
         int got = in.readNBytes(header.array(), 0, BATCH_HEADER);
         if (got != 0 && got < BATCH_HEADER) {
-            throw new WireFault("input ended inside a batch header, after " + got + " bytes");
+            throw new InvalidInputException("input ended inside a batch header, after " + got + " bytes");
         }
         return got == BATCH_HEADER;
     }
@@ -96,8 +97,8 @@
                     body.getInt(at + 16), StandardCharsets.UTF_8);
             try {
                 doors.put(number, new Door(number, text, body.getLong(at + 4), now));
-            } catch (WireFault | IllegalArgumentException e) {
-                throw new WireFault(where + " (start of instance " + number + "): " + e.getMessage());
+            } catch (InvalidInputException | IllegalArgumentException e) {
+                throw new InvalidInputException(where + " (start of instance " + number + "): " + e.getMessage());
             }
             return;
         }
@@ -106,15 +107,16 @@
             return;
         }
         if (code < 1000 || code > 1100 || code % 10 != 0) {
-            throw new WireFault(where + ": unknown event code " + code);
+            throw new InvalidInputException(where + ": unknown event code " + code);
         }
         Door door = doors.get(number);
         if (door == null) {
-            throw new WireFault(where + ": event " + code + " for instance " + number + ", which was never started");
+            throw new InvalidInputException(where + ": event " + code + " for instance " + number
+                    + ", which was never started");
         }
         try {
             dispatch(code, door, now, at, tail, end, where);
-        } catch (WireFault e) {
+        } catch (InvalidInputException e) {
             throw e;
         } catch (RuntimeException e) {
             door.fault(e);
@@ -128,34 +130,34 @@
                 int first = tailStart(at + 13, tail, end, ENTRY_SIZE, where);
                 int rows = body.getInt(at + 17);
                 if (kind == 3) {
-                    door.brain.listFailed(now);
+                    door.brain.onDiscoveryFailure(now);
                 } else {
                     List<Gateway.Backend> entries = new ArrayList<>(rows);
                     for (int i = 0; i < rows; i++) {
                         entries.add(entry(first + i * ENTRY_SIZE, where));
                     }
-                    door.brain.listed(now, kind != 1, entries);
+                    door.brain.onBackends(now, kind != 1, entries);
                 }
             }
-            case 1020 -> door.brain.arrived(now, new Gateway.Request(body.getLong(at + 4),
+            case 1020 -> door.brain.onRequest(now, new Gateway.Request(body.getLong(at + 4),
                     body.getShort(at + 12) & 0xffff, body.getShort(at + 14) & 0xffff, body.getLong(at + 32),
                     body.getFloat(at + 28), Math.max(1, Math.round(body.getFloat(at + 16))), body.getLong(at + 20)));
-            case 1040 -> door.brain.answered(now, new Gateway.Answer(body.getLong(at + 4),
+            case 1040 -> door.brain.onAttemptEnd(now, new Gateway.AttemptReport(body.getLong(at + 4),
                     body.getShort(at + 25) & 0xffff, body.getInt(at + 29) & 0xffffffffL,
                     outcome(body.getShort(at + 27) & 0xffff, where), body.get(at + 12) != 0, body.getLong(at + 13),
                     (body.getShort(at + 21) & 0xffff) - 1, body.getShort(at + 23) & 0xffff, door.load(at + 33)));
-            case 1050 -> door.brain.departed(now, body.getLong(at + 4));
-            case 1060 -> door.brain.woken(now, body.getInt(at + 4));
+            case 1050 -> door.brain.onRequestCancelled(now, body.getLong(at + 4));
+            case 1060 -> door.brain.onTimer(now, body.getInt(at + 4));
             default -> { } // begun, probe_result, whisper, added: nothing that the module asks for
         }
     }
 
     private Gateway.Backend entry(int at, String where) {
-        Gateway.State state = switch (body.get(at + 10)) {
-            case 0 -> Gateway.State.GONE;
-            case 1 -> Gateway.State.READY;
-            case 2 -> Gateway.State.DRAINING;
-            default -> throw new WireFault(where + ": unknown backend condition " + body.get(at + 10));
+        Gateway.DiscoveryState state = switch (body.get(at + 10)) {
+            case 0 -> Gateway.DiscoveryState.GONE;
+            case 1 -> Gateway.DiscoveryState.READY;
+            case 2 -> Gateway.DiscoveryState.DRAINING;
+            default -> throw new InvalidInputException(where + ": unknown backend condition " + body.get(at + 10));
         };
         return new Gateway.Backend(body.getInt(at) & 0xffffffffL, body.getShort(at + 4) & 0xffff,
                 body.getShort(at + 6) & 0xffff, body.getShort(at + 8) & 0xffff, state, body.getFloat(at + 11),
@@ -172,7 +174,7 @@
             case 598 -> Gateway.Outcome.RESET;
             case 499 -> Gateway.Outcome.CANCELLED;
             case 410 -> Gateway.Outcome.NEVER_SENT;
-            default -> throw new WireFault(where + ": unknown outcome " + status);
+            default -> throw new InvalidInputException(where + ": unknown outcome " + status);
         };
     }
 
@@ -181,7 +183,8 @@
         long offset = body.getInt(field) & 0xffffffffL;
         long length = (body.getInt(field + 4) & 0xffffffffL) * size;
         if (tail + offset + length > end) {
-            throw new WireFault(where + ": " + length + " bytes at " + offset + " run past the end of the frame");
+            throw new InvalidInputException(where + ": " + length + " bytes at " + offset
+                    + " run past the end of the frame");
         }
         return (int) (tail + offset);
     }
@@ -207,20 +210,20 @@
 
         Door(int number, String text, long seed, long now) {
             this.number = (short) number;
-            SettingsReader reader = new SettingsReader(text);
-            List<String> fields = reader.reportFields();
-            waitingAt = fields.indexOf(SettingsReader.WAITING);
-            busyAt = fields.indexOf(SettingsReader.BUSY);
-            servedAt = fields.indexOf(SettingsReader.SERVED);
+            GatewaySettingsReader reader = new GatewaySettingsReader(text);
+            List<String> fields = reader.loadReportFields();
+            waitingAt = fields.indexOf(GatewaySettingsReader.QUEUED_REQUESTS);
+            busyAt = fields.indexOf(GatewaySettingsReader.CPU_UTILIZATION);
+            servedAt = fields.indexOf(GatewaySettingsReader.REQUESTS_PER_SECOND);
             Gateway.Settings settings = reader.settings(seed);
-            brain = ApertureGateway.around(new Brain(settings, now, this), settings, reader.index(),
+            brain = ApertureGateway.wrap(new GatewayDecider(settings, now, this), settings, reader.gatewayIndex(),
                     reader.aperture(ApertureSettings.DEFAULT));
         }
 
-        Gateway.Load load(int at) {
+        Gateway.LoadReport load(int at) {
             int n = body.get(at);
             return n <= 0 ? null
-                    : new Gateway.Load(value(at, n, waitingAt), value(at, n, busyAt), value(at, n, servedAt));
+                    : new Gateway.LoadReport(value(at, n, waitingAt), value(at, n, busyAt), value(at, n, servedAt));
         }
 
         private double value(int at, int n, int position) {
@@ -251,7 +254,7 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterNs) {
+        public void reject(long requestId, long retryAfterNs) {
             int at = action(1030);
             actions.putLong(at + 4, requestId).putLong(at + 12, retryAfterNs);
         }
@@ -263,13 +266,13 @@
         }
 
         @Override
-        public void wakeIn(int token, long ns) {
+        public void startTimer(int token, long ns) {
             int at = action(1050);
             actions.putInt(at + 4, token).putLong(at + 8, ns);
         }
 
         @Override
-        public void followList() {
+        public void subscribeBackends() {
             int at = action(1020);
             actions.put(at + 4, (byte) 1);
         }
--- a/front-door/src/main/java/nettletrail/upstream/BackendPool.java
+++ b/front-door/src/main/java/nettletrail/upstream/BackendPool.java
@@ -34,8 +34,8 @@
 import nettletrail.core.Fields;
 import nettletrail.core.Intake;
 import nettletrail.core.Report;
+import nettletrail.decision.Gateway.DiscoveryState;
 import nettletrail.decision.Gateway.Outcome;
-import nettletrail.decision.Gateway.State;
 
 /**
  * The connections to each backend, one request at a time on each, and how an attempt on one of them ends. An
@@ -186,7 +186,7 @@
         }
         for (Endpoint entry : entries) {
             Backend backend = backends.computeIfAbsent(entry.id(), id -> new Backend());
-            backend.open = entry.state() == State.READY;
+            backend.open = entry.state() == DiscoveryState.READY;
             // Connections to a process that is gone, or to where it is no longer, are of no use.
             boolean moved = entry.address() != null && !entry.address().equals(backend.address);
             if (moved || entry.sinceMs() != backend.sinceMs) {
--- a/front-door/src/test/java/nettletrail/core/AtTheDoorTest.java
+++ b/front-door/src/test/java/nettletrail/core/AtTheDoorTest.java
@@ -14,7 +14,7 @@
 import java.util.function.Predicate;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.Gateway.Outcome;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -62,28 +62,28 @@
 
     private final class Module implements Gateway {
         @Override
-        public void listed(long now, boolean whole, List<Backend> entries) { }
+        public void onBackends(long now, boolean whole, List<Backend> entries) { }
 
         @Override
-        public void listFailed(long now) { }
+        public void onDiscoveryFailure(long now) { }
 
         @Override
-        public void arrived(long now, Request request) {
+        public void onRequest(long now, Request request) {
             heard.add("module: arrived");
         }
 
         @Override
-        public void answered(long now, Answer answer) {
-            heard.add("module: " + answer.outcome() + (answer.ended() ? ", ended" : ""));
+        public void onAttemptEnd(long now, AttemptReport answer) {
+            heard.add("module: " + answer.outcome() + (answer.requestEnded() ? ", ended" : ""));
         }
 
         @Override
-        public void departed(long now, long requestId) {
+        public void onRequestCancelled(long now, long requestId) {
             heard.add("module: departed");
         }
 
         @Override
-        public void woken(long now, int token) { }
+        public void onTimer(long now, int token) { }
     }
 
     private final class Asker implements Client {
@@ -155,7 +155,7 @@
                 heard.add("bound: given back");
             }
         };
-        SettingsReader reader = new SettingsReader(SETTINGS);
+        GatewaySettingsReader reader = new GatewaySettingsReader(SETTINGS);
         dispatcher = new Dispatcher(loop, new LoopClock(), new Door(), bound, List.of(wire), reader, reader.settings(1),
                 (settings, now, actions) -> {
                     module = actions;
@@ -181,7 +181,7 @@
             heard("asked");
             waiting.admitted();
             heard("asked", "bound: taken", "module: arrived");
-            module.refuse(1, 0);
+            module.reject(1, 0);
             heard("asked", "bound: taken", "module: arrived", "bound: given back", "refused");
             over();
         });
--- a/front-door/src/test/java/nettletrail/door/ClientsThatLeftTest.java
+++ b/front-door/src/test/java/nettletrail/door/ClientsThatLeftTest.java
@@ -71,9 +71,9 @@
 
     /** What was asked to be sent never left, and the request is over: what it drew is given back by that. */
     private void neverSent() throws InterruptedException {
-        Gateway.Answer told = HeldModule.next(module.answers);
+        Gateway.AttemptReport told = HeldModule.next(module.answers);
         assertEquals(Gateway.Outcome.NEVER_SENT, told.outcome());
-        assertTrue(told.ended());
+        assertTrue(told.requestEnded());
     }
 
     /** However late the loop is: also where it is not, but has the event that sends before the one that tells. */
--- a/front-door/src/test/java/nettletrail/door/ConfigTest.java
+++ b/front-door/src/test/java/nettletrail/door/ConfigTest.java
@@ -31,10 +31,10 @@
             assertEquals(0xf0000000000000ffL, config.seed());
             assertEquals(List.of("look", "buy"), config.settings().names("Services"));
             assertEquals(List.of("a", "b"), config.settings().list("Dcs"));
-            assertEquals(250_000_000, config.settings().time("Ceilings.ConnectTimeout"));
+            assertEquals(250_000_000, config.settings().durationNanos("Ceilings.ConnectTimeout"));
             Gateway.Settings settings = config.settings().settings(config.seed());
-            assertEquals(Gateway.Effect.ONCE, settings.classes().get(1).effect());
-            assertEquals(1000, settings.plans().get(0).burst());
+            assertEquals(Gateway.Idempotency.NOT_IDEMPOTENT, settings.classes().get(1).idempotency());
+            assertEquals(1000, settings.plans().get(0).burstUnits());
         }
     }
 
--- a/front-door/src/test/java/nettletrail/door/DescriptorsTest.java
+++ b/front-door/src/test/java/nettletrail/door/DescriptorsTest.java
@@ -205,7 +205,7 @@
         AtomicInteger more = new AtomicInteger();
         HeldModule again = new HeldModule() {
             @Override
-            public void answered(long now, Answer told) {
+            public void onAttemptEnd(long now, AttemptReport told) {
                 if (told.outcome() == Gateway.Outcome.RESET) {
                     actions.send(told.requestId(), backend, 0);
                     more.set(Math.max(more.get(), descriptors() - before.get()));
--- a/front-door/src/test/java/nettletrail/door/FloodTest.java
+++ b/front-door/src/test/java/nettletrail/door/FloodTest.java
@@ -44,7 +44,7 @@
         module.arrival = request -> { };
         client = rig.client().write(Rig.request("look", "a", 30_000, ""));
         open = HeldModule.next(module.arrivals);
-        module.arrival = request -> module.actions.refuse(request.id(), 0);
+        module.arrival = request -> module.actions.reject(request.id(), 0);
     }
 
     @AfterEach
@@ -141,9 +141,9 @@
         module.awaitHeld();
         client.close();
         module.release();
-        Gateway.Answer told = HeldModule.next(module.answers);
+        Gateway.AttemptReport told = HeldModule.next(module.answers);
         assertEquals(Gateway.Outcome.NEVER_SENT, told.outcome());
-        assertTrue(told.ended());
+        assertTrue(told.requestEnded());
         assertTrue(module.arrivals.isEmpty());
         backend.setSoTimeout(100);
         assertThrows(SocketTimeoutException.class, backend::accept);
--- a/front-door/src/test/java/nettletrail/door/FrontDoorTest.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorTest.java
@@ -66,7 +66,7 @@
 
     /** Sends every request to the first backend of the list, once, and fails it if that fails. */
     private static class Once extends Rig.Scripted {
-        final BlockingQueue<Gateway.Answer> answers = new LinkedBlockingQueue<>();
+        final BlockingQueue<Gateway.AttemptReport> answers = new LinkedBlockingQueue<>();
         final BlockingQueue<Long> departures = new LinkedBlockingQueue<>();
         final BlockingQueue<List<Gateway.Backend>> lists = new LinkedBlockingQueue<>();
         final BlockingQueue<Gateway.Request> arrivals = new LinkedBlockingQueue<>();
@@ -74,32 +74,32 @@
         long timeoutNs;
 
         @Override
-        public void listed(long now, boolean whole, List<Backend> entries) {
+        public void onBackends(long now, boolean whole, List<Backend> entries) {
             lists.add(entries);
             backend = entries.isEmpty() ? backend : entries.get(0).id();
         }
 
         @Override
-        public void arrived(long now, Request request) {
+        public void onRequest(long now, Request request) {
             arrivals.add(request);
             actions.send(request.id(), backend, timeoutNs);
         }
 
         @Override
-        public void answered(long now, Answer answer) {
+        public void onAttemptEnd(long now, AttemptReport answer) {
             answers.add(answer);
-            if (!answer.ended()) {
+            if (!answer.requestEnded()) {
                 actions.fail(answer.requestId());
             }
         }
 
         @Override
-        public void departed(long now, long requestId) {
+        public void onRequestCancelled(long now, long requestId) {
             departures.add(requestId);
         }
 
-        Gateway.Answer answer() throws InterruptedException {
-            Gateway.Answer answer = answers.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        Gateway.AttemptReport answer() throws InterruptedException {
+            Gateway.AttemptReport answer = answers.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
             assertNotNull(answer);
             return answer;
         }
@@ -138,25 +138,25 @@
         rig.start(module.module(), serving(backend, "s-1"));
         Gateway.Backend listed = module.lists.take().get(0);
         assertEquals(1, listed.zone());
-        assertEquals(1, listed.kind());
+        assertEquals(1, listed.machineType());
         assertEquals(3, listed.cell());
         Peer client = rig.client().write(Rig.request("buy", "a", 3000, "x"));
         try (Peer server = Peer.accept(backend)) {
             server.read();
             server.answer("200 OK", "X-Quota-Used: 86\r\nX-Units-Charged: 3\r\nX-Pressure: cpu_share=0.61,pending=2\r\n", "");
             assertEquals(200, client.read().status());
-            Gateway.Answer told = module.answer();
+            Gateway.AttemptReport told = module.answer();
             assertEquals(Gateway.Outcome.OK, told.outcome());
-            assertTrue(told.ended());
-            assertEquals(86, told.usedPercent());
-            assertEquals(3, told.settledUnits());
-            assertEquals(0.61, told.load().busy());
-            assertEquals(2, told.load().waiting());
-            assertTrue(Double.isNaN(told.load().servedPerS()));
+            assertTrue(told.requestEnded());
+            assertEquals(86, told.quotaUsedPercent());
+            assertEquals(3, told.actualUnits());
+            assertEquals(0.61, told.load().cpuUtilization());
+            assertEquals(2, told.load().queuedRequests());
+            assertTrue(Double.isNaN(told.load().requestsPerSecond()));
             Gateway.Request request = module.arrivals.take();
             assertEquals(0xb4d65521L, request.customer());
             assertEquals(2, request.units());
-            assertTrue(request.patienceNs() > 2_500_000_000L && request.patienceNs() < 3_000_000_000L);
+            assertTrue(request.timeoutNanos() > 2_500_000_000L && request.timeoutNanos() < 3_000_000_000L);
 
             client.write(Rig.request("buy", "b", 3000, "x"));
             server.read();
@@ -164,8 +164,8 @@
             assertEquals(502, client.read().status());
             told = module.answer();
             assertEquals(Gateway.Outcome.ERROR, told.outcome());
-            assertEquals(-1, told.usedPercent());
-            assertEquals(0, told.settledUnits());
+            assertEquals(-1, told.quotaUsedPercent());
+            assertEquals(0, told.actualUnits());
             assertNull(told.load());
             assertEquals(0, told.attempt());
 
@@ -175,7 +175,7 @@
             client.read();
             told = module.answer();
             assertEquals(Gateway.Outcome.FULL, told.outcome());
-            assertEquals(-1, told.usedPercent());
+            assertEquals(-1, told.quotaUsedPercent());
 
             // Without that word it may have run: a refusal would invite the client to run it twice.
             client.write(Rig.request("buy", "d", 3000, "x"));
@@ -376,9 +376,9 @@
                 server.write(part);
             }
             assertEquals(502, client.read().status(), part);
-            Gateway.Answer told = module.answer();
+            Gateway.AttemptReport told = module.answer();
             assertTrue(told.outcome().mayHaveRun);
-            assertFalse(told.ended());
+            assertFalse(told.requestEnded());
         }
     }
 
@@ -553,9 +553,9 @@
                         + "\r\nX-Pressure: cpu_share=" + bad + "\r\n", "");
                 assertEquals(200, client.read().status());
             }
-            Gateway.Answer told = module.answer();
-            assertEquals(-1, told.usedPercent(), bad);
-            assertEquals(0, told.settledUnits(), bad);
+            Gateway.AttemptReport told = module.answer();
+            assertEquals(-1, told.quotaUsedPercent(), bad);
+            assertEquals(0, told.actualUnits(), bad);
             assertNull(told.load(), bad);
         }
     }
@@ -609,10 +609,10 @@
         BlockingQueue<Long> departures = new LinkedBlockingQueue<>();
         rig.start(new Rig.Scripted() {
             @Override
-            public void arrived(long now, Request request) { }
+            public void onRequest(long now, Request request) { }
 
             @Override
-            public void departed(long now, long requestId) {
+            public void onRequestCancelled(long now, long requestId) {
                 departures.add(requestId);
             }
         }.module());
@@ -631,9 +631,9 @@
             client.close();
             assertNotNull(module.departures.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
             server.answer("200 OK", "", "late");
-            Gateway.Answer told = module.answer();
+            Gateway.AttemptReport told = module.answer();
             assertEquals(Gateway.Outcome.OK, told.outcome());
-            assertTrue(told.ended());
+            assertTrue(told.requestEnded());
             assertNull(module.answers.poll());
         }
     }
@@ -656,14 +656,14 @@
     void aThrowFailsItsRequestAndNothingElse() throws Exception {
         rig.start(new Rig.Scripted() {
             @Override
-            public void arrived(long now, Request request) {
-                if (request.patienceNs() > 20_000_000_000L) {
+            public void onRequest(long now, Request request) {
+                if (request.timeoutNanos() > 20_000_000_000L) {
                     throw new IllegalStateException("a fault of the module");
                 }
-                if (request.patienceNs() > 5_000_000_000L) {
+                if (request.timeoutNanos() > 5_000_000_000L) {
                     throw new OutOfMemoryError("as Netty says when its buffers are used up");
                 }
-                actions.refuse(request.id(), 1_500_000_000L);
+                actions.reject(request.id(), 1_500_000_000L);
             }
         }.module());
         Peer client = rig.client();
@@ -687,7 +687,7 @@
             Peer client = rig.client().write(Rig.request("buy", "a", 30_000, "x"));
             assertNotNull(module.arrivals.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
             rig.watch.answer("200 OK", "", Rig.list(8, false, Rig.entry("s-1", full.getLocalPort(), "DRAINING")));
-            Gateway.Answer told = module.answer();
+            Gateway.AttemptReport told = module.answer();
             assertEquals(Gateway.Outcome.NEVER_SENT, told.outcome());
             assertEquals(502, client.read().status());
         }
@@ -702,7 +702,7 @@
         rig.watch.answer("200 OK", "", Rig.list(8, false, Rig.entry("s-1", 1, "DRAINING")));
         Gateway.Backend change = module.lists.take().get(0);
         assertEquals(first, change.id());
-        assertEquals(Gateway.State.DRAINING, change.state());
+        assertEquals(Gateway.DiscoveryState.DRAINING, change.state());
         assertTrue(rig.watch.read().start().contains("index=8&wait="));
         rig.watch.reset();
         try (Peer again = Peer.accept(rig.discovery)) {
@@ -838,7 +838,7 @@
         FrontDoor[] door = new FrontDoor[1];
         Rig.Scripted module = new Rig.Scripted() {
             @Override
-            public void arrived(long now, Request request) {
+            public void onRequest(long now, Request request) {
                 busy.countDown();
                 try {
                     crowd.await();
@@ -846,7 +846,7 @@
                     Thread.currentThread().interrupt();
                 }
                 open.add(door[0].clients());
-                actions.refuse(request.id(), 0);
+                actions.reject(request.id(), 0);
             }
         };
         rig.sockets(68); // ten for clients
@@ -943,7 +943,7 @@
                 server.read();
                 server.answer("200 OK", "", "");
                 assertEquals(200, client.read().status());
-                long told = module.answer().tookNs();
+                long told = module.answer().durationNanos();
                 // Some kernels let one more in at once: then there was no late handshake to leave out.
                 long most = handshake < 500_000_000L ? Long.MAX_VALUE : System.nanoTime() - sent - handshake / 2;
                 assertTrue(told >= 0 && told <= most, told + " ns told, the handshake took " + handshake);
@@ -958,9 +958,9 @@
         long[] at = new long[2];
         Once module = new Once() {
             @Override
-            public void arrived(long now, Request request) {
+            public void onRequest(long now, Request request) {
                 if (request.units() == 2) {
-                    super.arrived(now, request);
+                    super.onRequest(now, request);
                     return;
                 }
                 at[0] = System.nanoTime();
@@ -985,7 +985,7 @@
             server.answer("200 OK", "", "");
             assertEquals(200, client.read().status());
             assertEquals(502, other.read().status());
-            long told = module.answer().tookNs();
+            long told = module.answer().durationNanos();
             long most = at[1] - asked - (at[1] - at[0]) / 4;
             assertTrue(told >= 0 && told <= most, told + " ns told; the loop was busy for " + (at[1] - at[0]));
         }
@@ -999,7 +999,7 @@
             Gateway module = FrontDoor.MODULE.make(settings, now, actions);
             return (Gateway) java.lang.reflect.Proxy.newProxyInstance(Gateway.class.getClassLoader(),
                     new Class<?>[] {Gateway.class}, (proxy, method, given) -> {
-                        if (method.getName().equals("arrived")) {
+                        if (method.getName().equals("onRequest")) {
                             busy.countDown();
                             Thread.sleep(2_600);
                         }
--- a/front-door/src/test/java/nettletrail/door/HeldModule.java
+++ b/front-door/src/test/java/nettletrail/door/HeldModule.java
@@ -15,13 +15,13 @@
  */
 class HeldModule extends Rig.Scripted {
     final BlockingQueue<Gateway.Request> arrivals = new LinkedBlockingQueue<>();
-    final BlockingQueue<Gateway.Answer> answers = new LinkedBlockingQueue<>();
+    final BlockingQueue<Gateway.AttemptReport> answers = new LinkedBlockingQueue<>();
     final BlockingQueue<Long> departures = new LinkedBlockingQueue<>();
     private final CountDownLatch held = new CountDownLatch(1);
     private final CountDownLatch go = new CountDownLatch(1);
     /** All called on the loop. */
     volatile Consumer<Gateway.Request> arrival = this::send;
-    volatile Consumer<Gateway.Answer> answer = told -> { };
+    volatile Consumer<Gateway.AttemptReport> answer = told -> { };
     volatile Runnable afterHold = () -> { };
     /** The loop is late by so much at least when it goes on. */
     volatile long lateMs = 500;
@@ -64,12 +64,12 @@
     }
 
     @Override
-    public void listed(long now, boolean whole, java.util.List<Backend> entries) {
+    public void onBackends(long now, boolean whole, java.util.List<Backend> entries) {
         backend = entries.isEmpty() ? backend : entries.get(0).id();
     }
 
     @Override
-    public void arrived(long now, Request request) {
+    public void onRequest(long now, Request request) {
         if (request.units() == 1) {
             hold();
             actions.fail(request.id());
@@ -80,16 +80,16 @@
     }
 
     @Override
-    public void answered(long now, Answer told) {
+    public void onAttemptEnd(long now, AttemptReport told) {
         answers.add(told);
         answer.accept(told);
-        if (!told.ended()) {
+        if (!told.requestEnded()) {
             actions.fail(told.requestId()); // nothing, where the test has ended it
         }
     }
 
     @Override
-    public void departed(long now, long requestId) {
+    public void onRequestCancelled(long now, long requestId) {
         departures.add(requestId);
     }
 }
--- a/front-door/src/test/java/nettletrail/door/Rig.java
+++ b/front-door/src/test/java/nettletrail/door/Rig.java
@@ -191,19 +191,19 @@
         Gateway.Actions actions;
 
         @Override
-        public void listed(long now, boolean whole, List<Backend> entries) { }
+        public void onBackends(long now, boolean whole, List<Backend> entries) { }
 
         @Override
-        public void listFailed(long now) { }
+        public void onDiscoveryFailure(long now) { }
 
         @Override
-        public void answered(long now, Answer answer) { }
+        public void onAttemptEnd(long now, AttemptReport answer) { }
 
         @Override
-        public void departed(long now, long requestId) { }
+        public void onRequestCancelled(long now, long requestId) { }
 
         @Override
-        public void woken(long now, int token) { }
+        public void onTimer(long now, int token) { }
 
         Dispatcher.Maker module() {
             return (settings, now, asked) -> {
--- a/front-door/src/test/java/nettletrail/door/StrictHeadsTest.java
+++ b/front-door/src/test/java/nettletrail/door/StrictHeadsTest.java
@@ -36,12 +36,12 @@
             private long node;
 
             @Override
-            public void listed(long now, boolean whole, List<Backend> entries) {
+            public void onBackends(long now, boolean whole, List<Backend> entries) {
                 node = entries.isEmpty() ? node : entries.get(0).id();
             }
 
             @Override
-            public void arrived(long now, Request request) {
+            public void onRequest(long now, Request request) {
                 heard.add(request);
                 actions.send(request.id(), node, 0);
             }
--- a/front-door/src/test/java/nettletrail/sim/WireHostTest.java
+++ b/front-door/src/test/java/nettletrail/sim/WireHostTest.java
@@ -15,7 +15,7 @@
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.Set;
-import nettletrail.decision.WireFault;
+import nettletrail.decision.InvalidInputException;
 import org.junit.jupiter.api.Test;
 
 class WireHostTest {
@@ -64,7 +64,7 @@
     }
 
     private static String fault(ByteBuffer input) {
-        return assertThrows(WireFault.class, () -> run(input.array())).getMessage();
+        return assertThrows(InvalidInputException.class, () -> run(input.array())).getMessage();
     }
 
     @Test
@@ -125,7 +125,7 @@
     void malformedSettingsAreNamed() {
         assertEquals("batch 9, record 0 (start of instance 3): settings: malformed value 'many' of Balancers",
                 fault(opening(SETTINGS.replace("Balancers=1", "Balancers=many"))));
-        assertTrue(fault(opening(SETTINGS + "Obligations.ColdFrom=-1\n")).contains("Settings.coldShare"));
+        assertTrue(fault(opening(SETTINGS + "Obligations.ColdFrom=-1\n")).contains("Settings.coldCapacityShare"));
     }
 
     @Test
--- a/front-door/src/test/java/nettletrail/upstream/AnswerBeforeRequestTest.java
+++ b/front-door/src/test/java/nettletrail/upstream/AnswerBeforeRequestTest.java
@@ -25,7 +25,7 @@
 import nettletrail.core.Report;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.Gateway.Outcome;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -89,14 +89,15 @@
         try (ServerSocket backend = new ServerSocket()) {
             backend.setReceiveBufferSize(SMALL);
             backend.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            BackendPool pool = new BackendPool(group.next(), new Report.Reader(new SettingsReader("")), new Bootstrap()
+            BackendPool pool = new BackendPool(group.next(), new Report.Reader(new GatewaySettingsReader("")),
+                    new Bootstrap()
                     .group(group.next()).channel(NioSocketChannel.class).option(ChannelOption.SO_SNDBUF, SMALL),
                     Long.MAX_VALUE, 8);
             Sent sent = new Sent(new Arrival(HttpMethod.POST, "/api", "0".repeat(16), 0, 0, 1, 1, 1, 30_000, body,
                     Long.MAX_VALUE, null));
             group.next().submit(() -> {
                 pool.listed(true, List.of(new Endpoint(Endpoint.id("s-1"), "s-1", backend.getLocalSocketAddress(), "a", "m1", 0,
-                        Gateway.State.READY, 1, 0)));
+                        Gateway.DiscoveryState.READY, 1, 0)));
                 pool.start(sent);
             }).sync();
             try (Socket server = backend.accept()) {
--- a/limits/src/main/java/nettletrail/limits/LimitsBound.java
+++ b/limits/src/main/java/nettletrail/limits/LimitsBound.java
@@ -14,7 +14,7 @@
 import nettletrail.core.Log;
 import nettletrail.core.SecretFile;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.limits.LimitsDecider.Ceiling;
 import nettletrail.limits.LimitsDecider.Status;
 import nettletrail.limits.LimitsDecider.Terms;
@@ -35,7 +35,7 @@
     private final List<Future<?>> clocks = new ArrayList<>();
     private Status told;
 
-    private LimitsBound(LimitsSettings limits, String name, EventLoop loop, SettingsReader reader,
+    private LimitsBound(LimitsSettings limits, String name, EventLoop loop, GatewaySettingsReader reader,
             Gateway.Settings settings) {
         this.settings = settings;
         List<String> plans = reader.names("TiersOfService");
@@ -47,11 +47,13 @@
         }
         for (int i = 0; i < plans.size(); i++) {
             Gateway.Plan plan = settings.plans().get(i);
-            boolean own = limits.ceilings().isEmpty() && plan.ceilingRate() > 0 && plan.ceilingBurst() > 0;
-            ceilings.add(own ? new Ceiling(plan.ceilingRate(), plan.ceilingBurst()) : limits.ceilings().get(plans.get(i)));
+            boolean own = limits.ceilings().isEmpty() && plan.ceilingRatePerSecond() > 0
+                    && plan.ceilingBurstUnits() > 0;
+            ceilings.add(own ? new Ceiling(plan.ceilingRatePerSecond(), plan.ceilingBurstUnits())
+                    : limits.ceilings().get(plans.get(i)));
         }
-        periodNs = Math.max(0, reader.time("FamilyInfo.Metering"));
-        int fleet = limits.frontDoors() > 0 ? limits.frontDoors() : settings.gateways();
+        periodNs = Math.max(0, reader.durationNanos("FamilyInfo.Metering"));
+        int fleet = limits.frontDoors() > 0 ? limits.frontDoors() : settings.gatewayCount();
         Terms terms = new Terms(name + "/" + Long.toHexString(System.currentTimeMillis()) + Long.toHexString(
                 ProcessHandle.current().pid()), limits.leaseMs() * MS, TimeUnit.SECONDS.toNanos(limits.lossS()),
                 TimeUnit.SECONDS.toNanos(limits.idleS()), 2 * limits.timeoutMs() * MS, limits.floorPct() / PERCENT, fleet,
@@ -104,7 +106,7 @@
 
     @Override
     public void metered(Arrival arrival, int usedPercent) {
-        double rate = settings.plans().get(arrival.plan()).rate();
+        double rate = settings.plans().get(arrival.plan()).ratePerSecond();
         if (periodNs > 0 && rate > 0 && ceilings.get(arrival.plan()) != null) {
             double used = usedPercent / PERCENT * rate * periodNs / TimeUnit.SECONDS.toNanos(1);
             decider.metered(System.nanoTime(), arrival.customer(), used, periodNs);
--- a/members/src/main/java/nettletrail/members/MembersServer.java
+++ b/members/src/main/java/nettletrail/members/MembersServer.java
@@ -31,7 +31,7 @@
 import nettletrail.core.Log;
 import nettletrail.core.Members;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.members.Message.Datagram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -118,8 +118,8 @@
 
     /** What the operator file turns on. */
     public static Members.Maker maker(MembersSettings settings) {
-        return (String name, EventLoop loop, SettingsReader reader, Gateway.Settings told) ->
-                new MembersServer(settings, name, loop, settings.doors() > 0 ? settings.doors() : told.gateways());
+        return (String name, EventLoop loop, GatewaySettingsReader reader, Gateway.Settings told) ->
+                new MembersServer(settings, name, loop, settings.doors() > 0 ? settings.doors() : told.gatewayCount());
     }
 
     /** UDP and TCP on one port; with port 0 one that is free for both. */
--- a/tokens/src/main/java/nettletrail/tokens/IntrospectionCalls.java
+++ b/tokens/src/main/java/nettletrail/tokens/IntrospectionCalls.java
@@ -24,9 +24,9 @@
 import nettletrail.core.LoopClock;
 import nettletrail.core.Report;
 import nettletrail.core.SecretFile;
-import nettletrail.decision.Brain;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewayDecider;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.upstream.BackendPool;
 import nettletrail.upstream.HeadBytes;
 
@@ -81,20 +81,22 @@
         signed = settings.signedAnswers() ? new SignedAnswer(authority, settings.issuer(), settings.clientId(), settings.skewS(),
                 settings.freshS()) : null;
         host = settings.servers().get(0).getAddress().getHostAddress() + ":" + settings.servers().get(0).getPort();
-        SettingsReader reader = new SettingsReader(String.join("\n", "Balancers=1", "Ceilings.MaxAttempts=2",
+        GatewaySettingsReader reader = new GatewaySettingsReader(String.join("\n", "Balancers=1",
+                "Ceilings.MaxAttempts=2",
                 "Services.count=1", "Services.0.Name=introspection", "Services.0.Aim=" + settings.callMs() * AIM_NS_PER_MS,
                 "Services.0.Deadline=" + settings.callMs() * 1_000_000L, "Services.0.Effect=free", "TiersOfService.count=1",
                 "TiersOfService.0.Name=introspection", "TiersOfService.0.PerSecond=" + settings.callsPerS(),
                 "TiersOfService.0.Burst=" + settings.callsAtOnce()));
         pool = new BackendPool(loop, new Report.Reader(reader), this::head, CONNECT_TIMEOUT_NS, IDLE_NS,
                 Math.min(SERVER_SOCKETS, settings.mostOut()));
-        dispatcher = new Dispatcher(loop, clock, Bound.NONE, List.of(pool), reader, reader.settings(name.hashCode()), Brain::new);
+        dispatcher = new Dispatcher(loop, clock, Bound.NONE, List.of(pool), reader, reader.settings(name.hashCode()),
+                GatewayDecider::new);
         List<Endpoint> servers = new ArrayList<>();
         int lanes = Math.max(1, (settings.mostOut() + PLACES - 1) / PLACES / settings.servers().size());
         for (int i = 0; i < settings.servers().size() * lanes; i++) {
             String server = "introspection-" + i;
             servers.add(new Endpoint(Endpoint.id(server), server, settings.servers().get(i % settings.servers().size()), "", "", 0,
-                    Gateway.State.READY, 1, 0));
+                    Gateway.DiscoveryState.READY, 1, 0));
         }
         path = settings.path();
         loop.execute(() -> dispatcher.listed(true, servers));
--- a/tokens/src/main/java/nettletrail/tokens/TokensAdmission.java
+++ b/tokens/src/main/java/nettletrail/tokens/TokensAdmission.java
@@ -17,7 +17,7 @@
 import nettletrail.core.Log;
 import nettletrail.core.LoopClock;
 import nettletrail.decision.Gateway;
-import nettletrail.decision.SettingsReader;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.tokens.TokensDecider.Asker;
 import nettletrail.tokens.TokensDecider.Rule;
 import nettletrail.tokens.TokensDecider.Status;
@@ -51,7 +51,8 @@
     private long wakeAt = Long.MAX_VALUE;
     private Status told;
 
-    private TokensAdmission(TokensSettings settings, String name, EventLoop loop, LoopClock clock, SettingsReader reader) {
+    private TokensAdmission(TokensSettings settings, String name, EventLoop loop, LoopClock clock,
+            GatewaySettingsReader reader) {
         this.settings = settings;
         this.loop = loop;
         List<String> classes = reader.names("Services");
