--- a/app/src/main/java/nettletrail/app/App.java
+++ b/app/src/main/java/nettletrail/app/App.java
@@ -9,12 +9,12 @@
 import nettletrail.app.scale.DiscoveryProcess;
 import nettletrail.app.scale.HollowDoorsProcess;
 import nettletrail.app.scale.RelayProcess;
-import nettletrail.core.Additions;
-import nettletrail.core.Admission;
-import nettletrail.core.Bound;
-import nettletrail.core.Front;
-import nettletrail.core.Members;
-import nettletrail.core.Section;
+import nettletrail.core.Authorizer;
+import nettletrail.core.FrontDoorExtensions;
+import nettletrail.core.Frontend;
+import nettletrail.core.Membership;
+import nettletrail.core.RequestLimiter;
+import nettletrail.core.SettingsSection;
 import nettletrail.decision.ApertureSettings;
 import nettletrail.door.FrontDoor;
 import nettletrail.door.Main;
@@ -68,21 +68,22 @@
 
         @Override
         public Integer call() throws InterruptedException, OperatorFile.Unusable {
-            FrontDoor.serve(System.getenv(), file == null ? Additions.NONE : additions(OperatorFile.read(file)));
+            FrontDoor.serve(System.getenv(), file == null ? FrontDoorExtensions.NONE
+                    : additions(OperatorFile.read(file)));
             return 0;
         }
     }
 
     /** What an operator file turns on. */
-    static Additions additions(OperatorFile operator) {
-        List<Front.Maker> fronts = new ArrayList<>();
-        Bound.Maker bound = Additions.NONE.bound();
-        Admission.Maker admission = Additions.NONE.admission();
-        Members.Maker members = Additions.NONE.members();
-        ApertureSettings aperture = Additions.NONE.aperture();
+    static FrontDoorExtensions additions(OperatorFile operator) {
+        List<Frontend.Factory> fronts = new ArrayList<>();
+        RequestLimiter.Factory bound = FrontDoorExtensions.NONE.limiter();
+        Authorizer.Factory admission = FrontDoorExtensions.NONE.authorizer();
+        Membership.Factory members = FrontDoorExtensions.NONE.membership();
+        ApertureSettings aperture = FrontDoorExtensions.NONE.aperture();
         Desk desk = new Desk();
         for (Subsystem subsystem : Subsystem.ALL) {
-            Section.Values values = operator.section(subsystem.section().name());
+            SettingsSection.Values values = operator.section(subsystem.section().name());
             subsystem.begin(values);
             subsystem.front(values, desk).ifPresent(fronts::add);
             bound = subsystem.bound(values).orElse(bound);
@@ -90,7 +91,7 @@
             members = subsystem.members(values, desk).orElse(members);
             aperture = subsystem.aperture(values).orElse(aperture);
         }
-        return new Additions(fronts, bound, admission, members, aperture);
+        return new FrontDoorExtensions(fronts, bound, admission, members, aperture);
     }
 
     /** The module on the simulator's wire. */
@@ -138,10 +139,10 @@
                 return 0;
             }
             for (Subsystem subsystem : Subsystem.ALL) {
-                Section section = subsystem.section();
+                SettingsSection section = subsystem.section();
                 out.println("[" + section.name() + "]  " + section.help());
-                for (Section.Key key : section.keys()) {
-                    out.println("  " + key.name() + " = " + quoted(key.absent()) + "  " + key.help() + "; "
+                for (SettingsSection.Key key : section.keys()) {
+                    out.println("  " + key.name() + " = " + quoted(key.defaultValue()) + "  " + key.help() + "; "
                             + key.range());
                 }
             }
@@ -153,13 +154,13 @@
             out.println("# Check it with: ./nettletrail check FILE. Keys left out have the values shown here.");
             out.println("# The platform's run line doesn't read it: this needs listeners that the platform lacks.");
             for (Subsystem subsystem : Subsystem.ALL) {
-                Section section = subsystem.section();
+                SettingsSection section = subsystem.section();
                 out.println();
                 out.println("# " + section.help());
                 out.println("[" + section.name() + "]");
-                for (Section.Key key : section.keys()) {
+                for (SettingsSection.Key key : section.keys()) {
                     out.println("# " + key.help() + "; " + key.range());
-                    out.println(key.name() + " = " + quoted(key.absent()));
+                    out.println(key.name() + " = " + quoted(key.defaultValue()));
                 }
             }
         }
--- a/app/src/main/java/nettletrail/app/ControlFront.java
+++ b/app/src/main/java/nettletrail/app/ControlFront.java
@@ -25,14 +25,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import nettletrail.core.Carrier;
+import nettletrail.core.AttemptTransport;
 import nettletrail.core.Dispatcher;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Front;
+import nettletrail.core.Frontend;
 import nettletrail.core.Log;
 
 /** Where a running front door answers its operators: JSON over HTTP, on loopback only. Takes no requests on. */
-class ControlFront implements Front {
+class ControlFront implements Frontend {
     private static final int MOST_REQUEST = 1 << 16;
 
     private final EventLoopGroup group;
@@ -46,18 +46,18 @@
         this.desk = desk;
     }
 
-    private static final class NoCarrier implements Carrier {
+    private static final class NoCarrier implements AttemptTransport {
         @Override
-        public void listed(boolean whole, List<Endpoint> entries) { }
+        public void endpointsUpdated(boolean whole, List<Endpoint> entries) { }
 
         @Override
-        public Carriage start(nettletrail.core.Attempt attempt) {
+        public StartedAttempt start(nettletrail.core.BackendAttempt attempt) {
             throw new IllegalStateException("no request comes in here");
         }
     }
 
     @Override
-    public Carrier carrier() {
+    public AttemptTransport attemptTransport() {
         return new NoCarrier();
     }
 
--- a/app/src/main/java/nettletrail/app/FaultMatrix.java
+++ b/app/src/main/java/nettletrail/app/FaultMatrix.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import nettletrail.door.Config;
 import nettletrail.door.FrontDoor;
+import nettletrail.door.FrontDoorConfig;
 import nettletrail.faults.FaultRelay;
 import nettletrail.faults.Toxic;
 import nettletrail.faults.Toxic.Kind;
@@ -193,9 +193,10 @@
                 Files.writeString(file, "{\"name\":\"n0\",\"discovery\":\"\",\"seed\":\"" + Long.toHexString(seed)
                         + "\",\"limits\":{\"sockets\":1024},\"known\":" + agent.list(-1) + ",\"settings\":"
                         + SiteSettings.usual(1).json() + "}");
-                FrontDoor door = FrontDoor.start(Config.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0",
+                FrontDoor door =
+                        FrontDoor.start(FrontDoorConfig.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0",
                         "EDGE_DISCOVERY", "127.0.0.1:" + toAgent.address().getPort(), "EDGE_CONFIG", file.toString())),
-                        FrontDoor.MODULE);
+                        FrontDoor.GATEWAY_FACTORY);
                 try {
                     FaultRelay toDoor = FaultRelay.start(group, door.address(), seed + 3);
                     relays.add(toDoor);
@@ -244,7 +245,7 @@
             faulty.forEach(FaultRelay::cutAll);
             int held = -1;
             for (int i = 0; i < 300 && held != 0; i++) {
-                held = door.held();
+                held = door.activeRequestCount();
                 Thread.sleep(10);
             }
             if (held != 0) {
--- a/app/src/main/java/nettletrail/app/MeasureLimits.java
+++ b/app/src/main/java/nettletrail/app/MeasureLimits.java
@@ -14,8 +14,8 @@
 import nettletrail.app.LimitsFleet.Audit;
 import nettletrail.app.LimitsFleet.Door;
 import nettletrail.app.LimitsFleet.Load;
-import nettletrail.core.Arrival;
-import nettletrail.core.Bound;
+import nettletrail.core.InboundRequest;
+import nettletrail.core.RequestLimiter;
 import nettletrail.counter.StandInCounter;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewaySettingsReader;
@@ -307,9 +307,9 @@
         try (StandInCounter counter = new StandInCounter(loops.get(3), null)) {
             LimitsSettings limits = new LimitsSettings(counter.address(), "measure", "", Map.of("business",
                     SOCKET_CEILING), 3, 2_000, 120, 30, 25, 200, 32, 2_000, 1_000);
-            List<Bound> bounds = new ArrayList<>();
+            List<RequestLimiter> bounds = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                bounds.add(LimitsBound.maker(limits).make("n" + i, loops.get(i), reader, settings));
+                bounds.add(LimitsBound.maker(limits).create("n" + i, loops.get(i), reader, settings));
             }
             pace(loops, bounds, options.seed(), options.part(4));
             long before = cpuNs(loops);
@@ -317,8 +317,8 @@
             long requests = pace(loops, bounds, options.seed(), seconds);
             double used = (cpuNs(loops) - before) / 1e3 / requests;
             double callsEach = (double) (counter.commands() - callsBefore) / requests;
-            bounds.forEach(Bound::close);
-            List<Bound> even = List.of(new EvenSplit(), new EvenSplit(), new EvenSplit());
+            bounds.forEach(RequestLimiter::close);
+            List<RequestLimiter> even = List.of(new EvenSplit(), new EvenSplit(), new EvenSplit());
             before = cpuNs(loops);
             requests = pace(loops, even, options.seed(), seconds);
             double evenUsed = (cpuNs(loops) - before) / 1e3 / requests;
@@ -337,11 +337,11 @@
     }
 
     /** A third of each ceiling, and no counter. */
-    private static final class EvenSplit implements Bound {
+    private static final class EvenSplit implements RequestLimiter {
         private final Map<Long, FillingStore> stores = new HashMap<>();
 
         @Override
-        public boolean take(Arrival arrival) {
+        public boolean tryAcquire(InboundRequest arrival) {
             long now = System.nanoTime();
             return MeasureLimits.take(stores.computeIfAbsent(arrival.customer(),
                     id -> new FillingStore(SOCKET_CEILING.ratePerS() / 3, SOCKET_CEILING.burst() / 3, now)), now,
@@ -363,14 +363,15 @@
         return sum;
     }
 
-    private static long pace(List<EventLoop> loops, List<Bound> bounds, long seed, int seconds) throws Exception {
+    private static long pace(List<EventLoop> loops, List<RequestLimiter> bounds, long seed, int seconds)
+            throws Exception {
         long[] asked = new long[3];
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         for (int i = 0; i < 3; i++) {
             int door = i;
             SplittableRandom random = new SplittableRandom(seed + i);
             loops.get(i).submit(() -> {
-                ask(loops.get(door), bounds == null ? Bound.NONE : bounds.get(door), random, asked, door, end);
+                ask(loops.get(door), bounds == null ? RequestLimiter.NONE : bounds.get(door), random, asked, door, end);
             }).get();
         }
         Thread.sleep(seconds * 1_000L + 100);
@@ -382,12 +383,14 @@
         return sum;
     }
 
-    private static void ask(EventLoop loop, Bound bound, SplittableRandom random, long[] asked, int door, long end) {
+    private static void ask(EventLoop loop, RequestLimiter bound, SplittableRandom random, long[] asked, int door,
+            long end) {
         if (System.nanoTime() >= end) {
             return;
         }
         asked[door]++;
-        bound.take(new Arrival(null, "/", "", 0, 0, random.nextLong(20), 1 + random.nextInt(5), 3, 1_000, null,
+        bound.tryAcquire(new InboundRequest(null, "/", "", 0, 0, random.nextLong(20), 1 + random.nextInt(5), 3, 1_000,
+                null,
                 Long.MAX_VALUE));
         long gap = (long) (-Math.log(1 - random.nextDouble()) * 3e9 / REAL_RATE);
         loop.schedule(() -> ask(loop, bound, random, asked, door, end), gap, TimeUnit.NANOSECONDS);
--- a/app/src/main/java/nettletrail/app/MembersSubsystem.java
+++ b/app/src/main/java/nettletrail/app/MembersSubsystem.java
@@ -2,33 +2,33 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import nettletrail.core.Members;
-import nettletrail.core.Section;
+import nettletrail.core.Membership;
+import nettletrail.core.SettingsSection;
 import nettletrail.members.MembersServer;
 import nettletrail.members.MembersSettings;
 
 /** {@code [members]}: off, none of its classes beyond its settings' are loaded. */
 final class MembersSubsystem implements Subsystem {
-    private final Section section = MembersSettings.section();
+    private final SettingsSection section = MembersSettings.section();
 
     @Override
-    public Section section() {
+    public SettingsSection section() {
         return section;
     }
 
     @Override
-    public void check(Section.Values values, Consumer<Section.Fault> faults) {
+    public void check(SettingsSection.Values values, Consumer<SettingsSection.Fault> faults) {
         MembersSettings.check(values, faults);
     }
 
     @Override
-    public Optional<Members.Maker> members(Section.Values values, Desk desk) {
+    public Optional<Membership.Factory> members(SettingsSection.Values values, Desk desk) {
         if (!values.flag("enabled")) {
             return Optional.empty();
         }
-        Members.Maker maker = MembersServer.maker(MembersSettings.of(values));
+        Membership.Factory maker = MembersServer.maker(MembersSettings.of(values));
         return Optional.of((name, loop, reader, settings) -> {
-            Members members = maker.make(name, loop, reader, settings);
+            Membership members = maker.create(name, loop, reader, settings);
             desk.serve("members", (asked, answer) -> members.status(answer));
             return members;
         });
--- a/app/src/main/java/nettletrail/app/OperatorFile.java
+++ b/app/src/main/java/nettletrail/app/OperatorFile.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlPosition;
@@ -38,14 +38,14 @@
         }
     }
 
-    private final Map<String, Section.Values> sections;
+    private final Map<String, SettingsSection.Values> sections;
 
-    private OperatorFile(Map<String, Section.Values> sections) {
+    private OperatorFile(Map<String, SettingsSection.Values> sections) {
         this.sections = sections;
     }
 
     /** The section's values; its defaults if the file doesn't have it. */
-    Section.Values section(String name) {
+    SettingsSection.Values section(String name) {
         return sections.get(name);
     }
 
@@ -69,7 +69,7 @@
         if (!faults.isEmpty()) {
             throw new Unusable(faults);
         }
-        Map<String, Section.Values> sections = new LinkedHashMap<>();
+        Map<String, SettingsSection.Values> sections = new LinkedHashMap<>();
         for (Subsystem subsystem : Subsystem.ALL) {
             String name = subsystem.section().name();
             Object given = parsed.get(List.of(name));
@@ -78,13 +78,13 @@
                 faults.add(at(path, parsed.inputPositionOf(List.of(name))) + ": " + name
                         + ": must be a section, [" + name + "]");
             }
-            Consumer<Section.Fault> told = fault -> {
+            Consumer<SettingsSection.Fault> told = fault -> {
                 TomlPosition position = parsed.inputPositionOf(List.of(name, fault.key()));
                 faults.add(at(path, position == null ? parsed.inputPositionOf(List.of(name)) : position) + ": " + name
-                        + "." + fault.key() + ": " + fault.what());
+                        + "." + fault.key() + ": " + fault.message());
             };
             int before = faults.size();
-            Section.Values read = subsystem.section().read(values, told);
+            SettingsSection.Values read = subsystem.section().read(values, told);
             if (faults.size() == before) {
                 subsystem.check(read, told);
             }
--- a/app/src/main/java/nettletrail/app/RunningDoor.java
+++ b/app/src/main/java/nettletrail/app/RunningDoor.java
@@ -30,7 +30,7 @@
      */
     Map<String, Object> ask(String path, Map<String, String> asked) throws IOException, OperatorFile.Unusable {
         String text = at != null ? at : file != null ? OperatorFile.read(file).section("control").text("listen") : "";
-        InetSocketAddress address = Endpoint.address(text);
+        InetSocketAddress address = Endpoint.parseAddress(text);
         if (address == null) {
             throw new IOException("name a running front door with --at IP:PORT, or with --operator FILE whose [control]"
                     + " has a listen address");
--- a/app/src/main/java/nettletrail/app/Subsystem.java
+++ b/app/src/main/java/nettletrail/app/Subsystem.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import nettletrail.core.Admission;
-import nettletrail.core.Bound;
-import nettletrail.core.Front;
-import nettletrail.core.Members;
-import nettletrail.core.Section;
+import nettletrail.core.Authorizer;
+import nettletrail.core.Frontend;
+import nettletrail.core.Membership;
+import nettletrail.core.RequestLimiter;
+import nettletrail.core.SettingsSection;
 import nettletrail.decision.ApertureSettings;
 
 /** What the operator file may turn on. */
@@ -16,36 +16,36 @@
     List<Subsystem> ALL = List.of(new ExtProcSubsystem(), new LimitsSubsystem(), new TokensSubsystem(),
             new MembersSubsystem(), new ApertureSubsystem(), new ControlSubsystem(), new EventsSubsystem());
 
-    Section section();
+    SettingsSection section();
 
     /** Rules that hold between the section's values; each alone is sound. */
-    void check(Section.Values values, Consumer<Section.Fault> faults);
+    void check(SettingsSection.Values values, Consumer<SettingsSection.Fault> faults);
 
     /** The front that it adds to the front door, if it is on and adds one. */
-    default Optional<Front.Maker> front(Section.Values values, Desk desk) {
+    default Optional<Frontend.Factory> front(SettingsSection.Values values, Desk desk) {
         return Optional.empty();
     }
 
     /** The bound that it adds to those of the module, if it is on and adds one. */
-    default Optional<Bound.Maker> bound(Section.Values values) {
+    default Optional<RequestLimiter.Factory> bound(SettingsSection.Values values) {
         return Optional.empty();
     }
 
     /** How it learns of other front doors, if it is on and does. */
-    default Optional<Members.Maker> members(Section.Values values, Desk desk) {
+    default Optional<Membership.Factory> members(SettingsSection.Values values, Desk desk) {
         return Optional.empty();
     }
 
     /** Which backends it has the front door use, if it says so. */
-    default Optional<ApertureSettings> aperture(Section.Values values) {
+    default Optional<ApertureSettings> aperture(SettingsSection.Values values) {
         return Optional.empty();
     }
 
     /** What it does before all else is made. */
-    default void begin(Section.Values values) { }
+    default void begin(SettingsSection.Values values) { }
 
     /** Who decides which requests may come in at all, if it is on and does. */
-    default Optional<Admission.Maker> admission(Section.Values values) {
+    default Optional<Authorizer.Factory> admission(SettingsSection.Values values) {
         return Optional.empty();
     }
 }
--- a/app/src/main/java/nettletrail/app/TestedDoor.java
+++ b/app/src/main/java/nettletrail/app/TestedDoor.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Additions;
-import nettletrail.core.Front;
+import nettletrail.core.FrontDoorExtensions;
+import nettletrail.core.Frontend;
 import nettletrail.core.Log;
 import nettletrail.door.FrontDoor;
 import picocli.CommandLine.Command;
@@ -32,8 +32,8 @@
 
     @Override
     public Integer call() throws InterruptedException, OperatorFile.Unusable {
-        Additions additions = App.additions(OperatorFile.read(file));
-        List<Front.Maker> fronts = new ArrayList<>(additions.fronts());
+        FrontDoorExtensions additions = App.additions(OperatorFile.read(file));
+        List<Frontend.Factory> fronts = new ArrayList<>(additions.frontends());
         fronts.add((group, reader, settings) -> {
             var loop = group.next();
             Thread orders = new Thread(() -> orders(() -> loop.execute(() -> holdUp(loop))), "orders");
@@ -44,8 +44,8 @@
                 public void open(nettletrail.core.Dispatcher dispatcher) { }
             };
         });
-        FrontDoor.serve(System.getenv(), new Additions(fronts, additions.bound(), additions.admission(),
-                additions.members(), additions.aperture()));
+        FrontDoor.serve(System.getenv(), new FrontDoorExtensions(fronts, additions.limiter(), additions.authorizer(),
+                additions.membership(), additions.aperture()));
         return 0;
     }
 
--- a/app/src/main/java/nettletrail/app/members/MembersFleet.java
+++ b/app/src/main/java/nettletrail/app/members/MembersFleet.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
-import nettletrail.core.Members.Life;
-import nettletrail.core.Members.View;
+import nettletrail.core.Membership.MemberIncarnation;
+import nettletrail.core.Membership.View;
 import nettletrail.members.Agree;
 import nettletrail.members.Change;
 import nettletrail.members.Codec;
@@ -31,7 +31,7 @@
     private record Event(long at, long order, Runnable run) { }
 
     /** A view that a door learned of, and when. */
-    public record Agreed(long at, int door, View view, List<Life> gone, boolean in) { }
+    public record Agreed(long at, int door, View view, List<MemberIncarnation> gone, boolean in) { }
 
     /** Hears of each message when it is sent, so that real sizes can be counted; lost ones too. */
     public interface Traffic {
@@ -79,7 +79,8 @@
             stoppedUntil = now;
             clockOffset = random.nextLong(1_000_000_000_000L);
             Map<String, String> seeds = Map.of(name(0), address(0), name(1), address(1), name(2), address(2));
-            decider = new MembersDecider(terms, new Life(name(number), life), address(number), seeds, random.nextLong(),
+            decider = new MembersDecider(terms, new MemberIncarnation(name(number), life), address(number), seeds,
+                    random.nextLong(),
                     clock(), this);
             views = new ViewDecider(decider.self(), lateness.length, new Seen(decider, terms,
                     this::clock), random.nextLong(), this);
@@ -173,7 +174,7 @@
         }
 
         @Override
-        public void say(Life whom, Agree what) {
+        public void say(MemberIncarnation whom, Agree what) {
             Node to = nodes.get(Integer.parseInt(whom.name().substring(1)));
             traffic.agree(number, what);
             if (!passes.test(number, to.number)) {
@@ -196,8 +197,8 @@
         }
 
         @Override
-        public void decided(View view, List<Life> gone, boolean in) {
-            decider.keep(view.lives().stream().map(Life::name).toList());
+        public void decided(View view, List<MemberIncarnation> gone, boolean in) {
+            decider.keep(view.incarnations().stream().map(MemberIncarnation::name).toList());
             agreed.add(new Agreed(now, number, view, gone, in));
         }
 
@@ -405,8 +406,10 @@
 
     /** Whether all that live are in one agreed view, and nobody else is. */
     public boolean oneAgreed() {
-        List<Life> lives = nodes.stream().filter(each -> each.alive).map(each -> each.decider.self()).sorted().toList();
-        return nodes.stream().filter(each -> each.alive).allMatch(each -> each.views.view().lives().equals(lives));
+        List<MemberIncarnation> lives = nodes.stream().filter(each -> each.alive).map(each -> each.decider.self())
+                .sorted().toList();
+        return nodes.stream().filter(each -> each.alive)
+                .allMatch(each -> each.views.view().incarnations().equals(lives));
     }
 
     /** The same for {@link #oneAgreed}. */
--- a/app/src/main/java/nettletrail/app/processes/Fleet.java
+++ b/app/src/main/java/nettletrail/app/processes/Fleet.java
@@ -154,9 +154,10 @@
         if (started == null) {
             throw new IOException("door n" + number + " never told where it listens:\n" + log.text());
         }
-        mesh.point(number, Endpoint.address(started.field("listen")));
+        mesh.point(number, Endpoint.parseAddress(started.field("listen")));
         door.control = door.process.await("control listens on ");
-        InetSocketAddress http = Endpoint.address("127.0.0.1:" + port(door.process.await("n" + number + " listens on ")));
+        InetSocketAddress http = Endpoint.parseAddress("127.0.0.1:"
+                + port(door.process.await("n" + number + " listens on ")));
         door.clients.point(http);
         DoorProcesses.awaitReady(http);
         did("ready", number);
--- a/app/src/main/java/nettletrail/app/scale/HollowDoor.java
+++ b/app/src/main/java/nettletrail/app/scale/HollowDoor.java
@@ -13,16 +13,16 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Arrival;
-import nettletrail.core.Attempt;
-import nettletrail.core.Bound;
-import nettletrail.core.Carrier;
-import nettletrail.core.Client;
+import nettletrail.core.AttemptTransport;
+import nettletrail.core.BackendAttempt;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Dispatcher;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Intake;
-import nettletrail.core.LoopClock;
-import nettletrail.core.Report;
+import nettletrail.core.EventLoopClock;
+import nettletrail.core.InboundRequest;
+import nettletrail.core.RequestClient;
+import nettletrail.core.RequestLimiter;
+import nettletrail.core.RequestValidator;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.discovery.DiscoveryClient;
@@ -35,7 +35,7 @@
  */
 final class HollowDoor implements Endpoint.Listener {
     /** What all hollow front doors of a process share. */
-    record Host(FleetPlan plan, EventLoop loop, LoopClock clock, List<GatewaySettingsReader> readers,
+    record Host(FleetPlan plan, EventLoop loop, EventLoopClock clock, List<GatewaySettingsReader> readers,
             Mechanism mechanism,
             Backends backends) { }
 
@@ -58,8 +58,8 @@
     private final HollowBackends backends;
     private final Dispatcher dispatcher;
     private final DiscoveryClient discovery;
-    private final Intake intake;
-    private final Carrier carrier;
+    private final RequestValidator intake;
+    private final AttemptTransport carrier;
     private final SplittableRandom random;
     /** Version and when it had been taken in, ns; versions only grow. */
     private final List<long[]> heard = new ArrayList<>();
@@ -89,17 +89,17 @@
         requests = new CountedLoop(host.loop(), null);
         long idle = reader.durationNanos("Ceilings.ConnIdle");
         backends = new HollowBackends(host.loop(), idle / IDLE_PARTS * 2, seed + 1);
-        BackendPool pool = new BackendPool(requests, new Report.Reader(reader),
+        BackendPool pool = new BackendPool(requests, new BackendReport.Reader(reader),
                 new Bootstrap().group(host.loop()).channel(LocalChannel.class), idle, sockets / 2);
         carrier = new Counted(pool);
-        intake = new Intake(reader, settings);
-        dispatcher = new Dispatcher(requests, host.clock(), Bound.NONE, List.of(carrier), reader, settings,
+        intake = new RequestValidator(reader, settings);
+        dispatcher = new Dispatcher(requests, host.clock(), RequestLimiter.NONE, List.of(carrier), reader, settings,
                 (told, now, actions) -> {
-                    module = new TimedModule(host.mechanism().maker(number).make(told, now, actions));
+                    module = new TimedModule(host.mechanism().maker(number).create(told, now, actions));
                     return module;
                 });
         discovery = new DiscoveryClient(control, agent, -1, seed, this);
-        dispatcher.news(discovery::readPending);
+        dispatcher.setDiscoveryPoll(discovery::readPending);
         control.execute(discovery::poll);
         if (driven) {
             dueNs = System.nanoTime();
@@ -147,18 +147,18 @@
     }
 
     @Override
-    public void listed(boolean whole, List<Endpoint> entries) {
+    public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
         List<Endpoint> hollow = new ArrayList<>(entries.size());
         for (Endpoint each : entries) {
             hollow.add(new Endpoint(each.id(), each.name(), each.address() == null ? null : backends.address(), each.zone(),
-                    each.type(), each.group(), each.state(), each.weight(), each.sinceMs()));
+                    each.type(), each.group(), each.state(), each.weight(), each.startedAtMs()));
         }
-        dispatcher.listed(whole, hollow);
+        dispatcher.endpointsUpdated(whole, hollow);
     }
 
     @Override
-    public void listFailed() {
-        dispatcher.listFailed();
+    public void discoveryFailed() {
+        dispatcher.discoveryFailed();
     }
 
     // ---- Its share of the traffic ------------------------------------------------------------------------
@@ -181,27 +181,28 @@
         FleetPlan plan = host.plan();
         boolean unsafe = random.nextInt(3) == 0;
         long tenant = plan.tenant(number, random);
-        Map<AsciiString, String> headers = Map.of(Intake.TXN, HEX.toHexDigits(nextId++), Intake.LANE,
-                unsafe ? "order-submit" : "order-status", Intake.PLAN, "standard", Intake.CUSTOMER,
-                HEX.toHexDigits(tenant), Intake.REMAINING, "3000", Intake.QUOTA,
+        Map<AsciiString, String> headers = Map.of(RequestValidator.TXN, HEX.toHexDigits(nextId++),
+                RequestValidator.LANE,
+                unsafe ? "order-submit" : "order-status", RequestValidator.PLAN, "standard", RequestValidator.CUSTOMER,
+                HEX.toHexDigits(tenant), RequestValidator.REMAINING, "3000", RequestValidator.QUOTA,
                 "units=1,spread=" + Math.min(FleetPlan.SET, plan.doors()) + ",first=" + plan.first(tenant));
-        Arrival arrival = intake.arrival(unsafe ? io.netty.handler.codec.http.HttpMethod.POST
+        InboundRequest arrival = intake.validate(unsafe ? io.netty.handler.codec.http.HttpMethod.POST
                 : io.netty.handler.codec.http.HttpMethod.GET, "/api/port", headers::get, Unpooled.EMPTY_BUFFER, now);
-        if (arrival == null || !dispatcher.isNew(arrival.txn())) {
+        if (arrival == null || !dispatcher.isUnusedId(arrival.requestId())) {
             throw new IllegalStateException("a drawn request is malformed: " + headers);
         }
         arrived++;
-        dispatcher.arrived(arrival, new Answered(), carrier);
+        dispatcher.accept(arrival, new Answered(), carrier);
     }
 
-    private final class Answered implements Client {
+    private final class Answered implements RequestClient {
         @Override
         public void served(ByteBuf body, String contentType) {
             served++;
         }
 
         @Override
-        public void refused(long retryAfterNs) {
+        public void rejected(long retryAfterNs) {
             refused++;
         }
 
@@ -212,7 +213,7 @@
     }
 
     /** The pool, with a count of where attempts go, and backends that refuse connections while they are down. */
-    private final class Counted implements Carrier {
+    private final class Counted implements AttemptTransport {
         private final BackendPool pool;
 
         Counted(BackendPool pool) {
@@ -220,12 +221,12 @@
         }
 
         @Override
-        public void listed(boolean whole, List<Endpoint> entries) {
-            pool.listed(whole, entries);
+        public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
+            pool.endpointsUpdated(whole, entries);
         }
 
         @Override
-        public Carriage start(Attempt attempt) {
+        public StartedAttempt start(BackendAttempt attempt) {
             attempts++;
             if (host.backends().sent(attempt.backendId())) {
                 return pool.start(attempt);
@@ -236,11 +237,11 @@
         }
     }
 
-    private static final class Refused implements Carrier.Carriage {
-        private final Attempt attempt;
+    private static final class Refused implements AttemptTransport.StartedAttempt {
+        private final BackendAttempt attempt;
         private boolean over;
 
-        Refused(Attempt attempt) {
+        Refused(BackendAttempt attempt) {
             this.attempt = attempt;
         }
 
@@ -252,12 +253,12 @@
         }
 
         @Override
-        public boolean unsent() {
+        public boolean isUnsent() {
             return true;
         }
 
         @Override
-        public Gateway.Outcome abandon() {
+        public Gateway.Outcome cancel() {
             over = true;
             return Gateway.Outcome.CONNECT_FAILED;
         }
--- a/app/src/main/java/nettletrail/app/scale/HollowDoors.java
+++ b/app/src/main/java/nettletrail/app/scale/HollowDoors.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
 import nettletrail.core.Endpoint;
-import nettletrail.core.LoopClock;
+import nettletrail.core.EventLoopClock;
 import nettletrail.decision.GatewaySettingsReader;
 
 /** Hollow front doors of one process, on one loop. Any thread but that loop. */
@@ -30,7 +30,7 @@
     private final int first;
     private final int sockets;
     private final List<InetSocketAddress> agents;
-    private final LoopClock clock = new LoopClock();
+    private final EventLoopClock clock = new EventLoopClock();
     private final NioEventLoopGroup group = new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(),
             () -> clock);
     private final EventLoop loop = group.next();
@@ -59,7 +59,7 @@
         this.agents = List.copyOf(agents);
         sends = new int[plan.backends()];
         for (int i = 0; i < plan.backends(); i++) {
-            numbers.put(Endpoint.id(plan.name(i)), i);
+            numbers.put(Endpoint.idOf(plan.name(i)), i);
         }
         host = new HollowDoor.Host(plan, loop, clock, readers, mechanism, id -> {
             int number = numbers.get(id);
--- a/app/src/main/java/nettletrail/app/scale/HollowDoorsProcess.java
+++ b/app/src/main/java/nettletrail/app/scale/HollowDoorsProcess.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Callable;
 import nettletrail.core.Endpoint;
 import nettletrail.decision.GatewaySettingsReader;
-import nettletrail.door.Config;
+import nettletrail.door.FrontDoorConfig;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -47,10 +47,11 @@
     }
 
     /** The settings by zone, as a front door reads them. */
-    static List<GatewaySettingsReader> readers(Path configs) throws Config.Unusable {
+    static List<GatewaySettingsReader> readers(Path configs) throws FrontDoorConfig.InvalidConfigException {
         List<GatewaySettingsReader> readers = new ArrayList<>();
         for (int zone = 0; zone < FleetPlan.ZONES; zone++) {
-            readers.add(Config.read(Map.of("EDGE_NAME", "hollow", "EDGE_LISTEN", "127.0.0.1:0", "EDGE_DISCOVERY",
+            readers.add(FrontDoorConfig.read(Map.of("EDGE_NAME", "hollow", "EDGE_LISTEN", "127.0.0.1:0",
+                    "EDGE_DISCOVERY",
                     "127.0.0.1:1", "EDGE_CONFIG", configs.resolve("zone" + zone + ".json").toString())).settings());
         }
         return readers;
@@ -58,7 +59,7 @@
 
     @Override
     public Integer call() throws Exception {
-        List<InetSocketAddress> at = agents.stream().map(Endpoint::address).toList();
+        List<InetSocketAddress> at = agents.stream().map(Endpoint::parseAddress).toList();
         HollowDoors doors = new HollowDoors(plan(plan), first, sockets, readers(configs), at, mechanism);
         Orders.follow("ready", words -> switch (words.get(0)) {
             case "start" -> {
--- a/app/src/main/java/nettletrail/app/scale/Mechanism.java
+++ b/app/src/main/java/nettletrail/app/scale/Mechanism.java
@@ -13,7 +13,7 @@
     OFF, ON;
 
     /** The module of a hollow front door, whose number tells its place among them all. */
-    Dispatcher.Maker maker(int number) {
+    Dispatcher.GatewayFactory maker(int number) {
         return this == OFF ? GatewayDecider::new : (settings, now, actions) -> ApertureGateway.wrap(
                 new GatewayDecider(settings, now, actions), settings, number, ApertureSettings.DEFAULT);
     }
--- a/app/src/main/java/nettletrail/app/scale/roles/MembersRole.java
+++ b/app/src/main/java/nettletrail/app/scale/roles/MembersRole.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import nettletrail.app.members.MembersFleet;
-import nettletrail.core.Members.Life;
-import nettletrail.core.Members.View;
+import nettletrail.core.Membership.MemberIncarnation;
+import nettletrail.core.Membership.View;
 import nettletrail.emulator.capacity.Gauge;
 import nettletrail.emulator.capacity.Rounded;
 import nettletrail.members.Change;
@@ -191,14 +191,16 @@
         long kept = Gauge.keptBytes(() -> {
             List<Object> all = new ArrayList<>();
             for (int copy = 0; copy < STATE_COPIES; copy++) {
-                MembersDecider decider = new MembersDecider(Terms.usual(), new Life("n0", 1), "127.0.0.1:10000", Map.of(),
+                MembersDecider decider = new MembersDecider(Terms.usual(), new MemberIncarnation("n0", 1),
+                        "127.0.0.1:10000", Map.of(),
                         seed, 0, new Silent());
                 List<Statement> statements = new ArrayList<>();
-                List<Life> lives = new ArrayList<>();
+                List<MemberIncarnation> lives = new ArrayList<>();
                 for (int i = 1; i < doors; i++) {
-                    statements.add(new Statement(new Life(new String("n" + i), i + 1), 0, Statement.State.ALIVE,
+                    statements.add(new Statement(new MemberIncarnation(new String("n" + i), i + 1), 0,
+                            Statement.State.ALIVE,
                             new String("127.0.0.1:" + (10_000 + i)), false, ""));
-                    lives.add(new Life(new String("n" + i), i + 1));
+                    lives.add(new MemberIncarnation(new String("n" + i), i + 1));
                 }
                 decider.synced(1, statements, List.of());
                 ViewDecider views = new ViewDecider(decider.self(), doors, new Seen(decider, Terms.usual(), () -> 1), seed,
@@ -227,10 +229,10 @@
         public void told(Change change) { }
 
         @Override
-        public void say(Life to, nettletrail.members.Agree what) { }
+        public void say(MemberIncarnation to, nettletrail.members.Agree what) { }
 
         @Override
-        public void decided(View view, List<Life> gone, boolean in) { }
+        public void decided(View view, List<MemberIncarnation> gone, boolean in) { }
 
         @Override
         public void expelled() { }
--- a/app/src/main/java/nettletrail/app/scale/roles/SettingsRole.java
+++ b/app/src/main/java/nettletrail/app/scale/roles/SettingsRole.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import nettletrail.core.Endpoint;
 import nettletrail.discovery.DiscoveryClient;
-import nettletrail.door.Config;
+import nettletrail.door.FrontDoorConfig;
 import nettletrail.emulator.capacity.Gauge;
 import nettletrail.emulator.capacity.Rounded;
 
@@ -100,7 +100,8 @@
     }
 
     /** A whole configuration, each tenant a plan of its own: there is no other way to tell of one. */
-    static Map<String, Object> configured(int plans, int backends) throws IOException, Config.Unusable {
+    static Map<String, Object> configured(int plans, int backends) throws IOException,
+            FrontDoorConfig.InvalidConfigException {
         StringBuilder text = new StringBuilder("{\"seed\":\"1f\",\"limits\":{\"sockets\":4096},\"settings\":{\"Balancers\":480,"
                 + "\"Services\":[{\"Name\":\"order-submit\",\"Deadline\":3e9,\"Aim\":7.5e8}],\"TiersOfService\":[");
         for (int i = 0; i < plans; i++) {
@@ -121,9 +122,9 @@
             for (int i = 0; i < REPEATS; i++) {
                 long cpu = Gauge.cpuNs();
                 long before = Gauge.allocated();
-                Config config = Config.read(env);
+                FrontDoorConfig config = FrontDoorConfig.read(env);
                 int read = config.settings().settings(1).plans().size();
-                int known = DiscoveryClient.parseEndpoints(config.known()).size();
+                int known = DiscoveryClient.parseEndpoints(config.knownEndpoints()).size();
                 allocated = Gauge.allocated() - before;
                 best = Math.min(best, (Gauge.cpuNs() - cpu) / 1e6);
                 if (read != plans || known != backends) {
@@ -141,8 +142,8 @@
             }));
             told.put("kept_bytes", Gauge.keptBytes(() -> {
                 try {
-                    return Config.read(env);
-                } catch (Config.Unusable e) {
+                    return FrontDoorConfig.read(env);
+                } catch (FrontDoorConfig.InvalidConfigException e) {
                     throw new IllegalStateException(e);
                 }
             }));
--- a/app/src/test/java/nettletrail/app/DiscoveryFaultsTest.java
+++ b/app/src/test/java/nettletrail/app/DiscoveryFaultsTest.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
-import nettletrail.door.Config;
 import nettletrail.door.FrontDoor;
+import nettletrail.door.FrontDoorConfig;
 import nettletrail.site.Ledger;
 import nettletrail.site.SiteSettings;
 import nettletrail.site.StandInAgent;
@@ -52,8 +52,10 @@
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"name\":\"n0\",\"discovery\":\"\",\"seed\":\"1\",\"limits\":{\"sockets\":1024},\"known\":"
                 + agent.list(-1) + ",\"settings\":" + SiteSettings.usual(1).json() + "}");
-        door = FrontDoor.start(Config.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0", "EDGE_DISCOVERY",
-                "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString())), FrontDoor.MODULE);
+        door =
+                FrontDoor.start(FrontDoorConfig.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0",
+                        "EDGE_DISCOVERY",
+                "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString())), FrontDoor.GATEWAY_FACTORY);
     }
 
     @AfterEach
--- a/app/src/test/java/nettletrail/app/SharedCeilingTest.java
+++ b/app/src/test/java/nettletrail/app/SharedCeilingTest.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Additions;
+import nettletrail.core.FrontDoorExtensions;
 import nettletrail.counter.StandInCounter;
-import nettletrail.door.Config;
 import nettletrail.door.FrontDoor;
+import nettletrail.door.FrontDoorConfig;
 import nettletrail.limits.LimitsBound;
 import nettletrail.limits.LimitsDecider.Ceiling;
 import nettletrail.limits.LimitsSettings;
@@ -59,9 +59,9 @@
             Path file = folder.resolve("n" + i + ".json");
             Files.writeString(file, "{\"name\":\"n" + i + "\",\"discovery\":\"\",\"seed\":\"1\",\"limits\":{\"sockets\":1024},"
                     + "\"known\":" + agent.list(-1) + ",\"settings\":" + SiteSettings.usual(2).json() + "}");
-            doors.add(FrontDoor.start(Config.read(Map.of("EDGE_NAME", "n" + i, "EDGE_LISTEN", "127.0.0.1:0",
+            doors.add(FrontDoor.start(FrontDoorConfig.read(Map.of("EDGE_NAME", "n" + i, "EDGE_LISTEN", "127.0.0.1:0",
                     "EDGE_DISCOVERY", "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString())),
-                    FrontDoor.MODULE, new Additions(List.of(), LimitsBound.maker(limits))));
+                    FrontDoor.GATEWAY_FACTORY, new FrontDoorExtensions(List.of(), LimitsBound.maker(limits))));
             Socket client = new Socket(doors.get(i).address().getAddress(), doors.get(i).address().getPort());
             client.setSoTimeout(10_000);
             clients.add(client);
--- a/app/src/test/java/nettletrail/app/TokensAtADoor.java
+++ b/app/src/test/java/nettletrail/app/TokensAtADoor.java
@@ -20,15 +20,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntConsumer;
-import nettletrail.core.Additions;
-import nettletrail.core.Admission;
-import nettletrail.core.Arrival;
-import nettletrail.core.Front;
-import nettletrail.core.Section;
+import nettletrail.core.Authorizer;
+import nettletrail.core.FrontDoorExtensions;
+import nettletrail.core.Frontend;
+import nettletrail.core.InboundRequest;
+import nettletrail.core.SettingsSection;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewaySettingsReader;
-import nettletrail.door.Config;
 import nettletrail.door.FrontDoor;
+import nettletrail.door.FrontDoorConfig;
 import nettletrail.extproc.ExtProcServer;
 import nettletrail.extproc.ExtProcSettings;
 import nettletrail.introspection.StandInIntrospection;
@@ -100,41 +100,46 @@
         Path file = folder.resolve("n0.json");
         Files.writeString(file, "{\"name\":\"n0\",\"discovery\":\"\",\"seed\":\"1\",\"limits\":{\"sockets\":" + sockets + "},"
                 + "\"known\":" + agent.list(-1) + ",\"settings\":" + SiteSettings.usual(1).json() + "}");
-        door = FrontDoor.start(Config.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0", "EDGE_DISCOVERY",
-                "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString())), FrontDoor.MODULE,
-                new Additions(List.of(this::asks), Additions.NONE.bound(), (name, loop, clock, reader, settings) -> {
-                    admission = (TokensAdmission) TokensAdmission.maker(tokens).make(name, loop, clock, reader, settings);
+        door =
+                FrontDoor.start(FrontDoorConfig.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0",
+                        "EDGE_DISCOVERY",
+                "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString())), FrontDoor.GATEWAY_FACTORY,
+                new FrontDoorExtensions(List.of(this::asks), FrontDoorExtensions.NONE.limiter(),
+                        (name, loop, clock, reader, settings) -> {
+                    admission = (TokensAdmission) TokensAdmission.maker(tokens).create(name, loop, clock, reader,
+                            settings);
                     return watched(admission);
                 }));
     }
 
     /** The front that other proxies ask, over HTTP only. */
-    Front asks(EventLoopGroup loops, GatewaySettingsReader reader, Gateway.Settings settings) {
-        Section.Values values = ExtProcSettings.section().read(Map.of("enabled", true, "listen", "", "http_listen", "127.0.0.1:0"),
+    Frontend asks(EventLoopGroup loops, GatewaySettingsReader reader, Gateway.Settings settings) {
+        SettingsSection.Values values = ExtProcSettings.section()
+                .read(Map.of("enabled", true, "listen", "", "http_listen", "127.0.0.1:0"),
                 fault -> {
                     throw new IllegalStateException(fault.toString());
                 });
-        proxied = (ExtProcServer) ExtProcServer.factory(ExtProcSettings.of(values)).make(loops, reader, settings);
+        proxied = (ExtProcServer) ExtProcServer.factory(ExtProcSettings.of(values)).create(loops, reader, settings);
         return proxied;
     }
 
     /** The same, and the test hears of each ask before it is made. */
-    private Admission watched(Admission real) {
-        return new Admission() {
+    private Authorizer watched(Authorizer real) {
+        return new Authorizer() {
             @Override
-            public Word ask(long id, Arrival arrival, long leftNs, Waiting waiting) {
+            public Decision authorize(long id, InboundRequest arrival, long leftNs, AuthorizationCallback waiting) {
                 beforeAsk.accept(asks.incrementAndGet());
-                return real.ask(id, arrival, leftNs, waiting);
+                return real.authorize(id, arrival, leftNs, waiting);
             }
 
             @Override
-            public void left(long id, Arrival arrival) {
-                real.left(id, arrival);
+            public void requestEnded(long id, InboundRequest arrival) {
+                real.requestEnded(id, arrival);
             }
 
             @Override
-            public void tells(Withdrawn withdrawn) {
-                real.tells(withdrawn);
+            public void setRevocationListener(RevocationListener withdrawn) {
+                real.setRevocationListener(withdrawn);
             }
 
             @Override
--- a/app/src/test/java/nettletrail/app/aperture/ApertureProcessesTest.java
+++ b/app/src/test/java/nettletrail/app/aperture/ApertureProcessesTest.java
@@ -69,8 +69,8 @@
             Map<Long, String> names = new HashMap<>();
             List<Gateway.Backend> list = new ArrayList<>();
             listed.forEach((name, backend) -> {
-                names.put(Endpoint.id(name), name);
-                list.add(new Gateway.Backend(Endpoint.id(name), site.zone(backend).charAt(0) - 'a', 0, 1,
+                names.put(Endpoint.idOf(name), name);
+                list.add(new Gateway.Backend(Endpoint.idOf(name), site.zone(backend).charAt(0) - 'a', 0, 1,
                         draining.contains(name) ? Gateway.DiscoveryState.DRAINING : Gateway.DiscoveryState.READY, 1,
                         0));
             });
--- a/app/src/test/java/nettletrail/app/members/MembersFormTest.java
+++ b/app/src/test/java/nettletrail/app/members/MembersFormTest.java
@@ -23,9 +23,9 @@
 import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Members;
-import nettletrail.core.Section;
-import nettletrail.decision.SettingsReader;
+import nettletrail.core.Membership;
+import nettletrail.core.SettingsSection;
+import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.members.Change;
 import nettletrail.members.Dropped;
 import nettletrail.members.MembersServer;
@@ -65,7 +65,7 @@
         }
     }
 
-    private Members start(NioEventLoopGroup group, String name, String... more) throws Exception {
+    private Membership start(NioEventLoopGroup group, String name, String... more) throws Exception {
         Path keys = Files.writeString(folder.resolve("keys"), Base64.getEncoder().encodeToString(KEY) + "\n");
         Files.setPosixFilePermissions(keys, PosixFilePermissions.fromString("rw-------"));
         Map<String, Object> given = new TreeMap<>(Map.of("listen", "127.0.0.1:0", "key_file", keys.toString(),
@@ -73,12 +73,12 @@
         for (int i = 0; i < more.length; i += 2) {
             given.put(more[i], more[i + 1]);
         }
-        SettingsReader reader = new SettingsReader("Balancers=2");
-        Section.Values values = MembersSettings.section().read(given, fault -> lines.add("" + fault));
-        return MembersServer.maker(MembersSettings.of(values)).make(name, group.next(), reader, reader.settings(1));
+        GatewaySettingsReader reader = new GatewaySettingsReader("Balancers=2");
+        SettingsSection.Values values = MembersSettings.section().read(given, fault -> lines.add("" + fault));
+        return MembersServer.maker(MembersSettings.of(values)).create(name, group.next(), reader, reader.settings(1));
     }
 
-    private static Map<?, ?> status(Members of) throws Exception {
+    private static Map<?, ?> status(Membership of) throws Exception {
         CompletableFuture<Object> told = new CompletableFuture<>();
         of.status(told::complete);
         return (Map<?, ?>) told.get(10, TimeUnit.SECONDS);
@@ -107,9 +107,9 @@
         logger.setLevel(Level.INFO);
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
-            Members one = start(group, "n0");
+            Membership one = start(group, "n0");
             String address = ((Map<?, ?>) ((List<?>) status(one).get("members")).get(0)).get("address").toString();
-            Members two = start(group, "n1", "seeds", "n0=" + address);
+            Membership two = start(group, "n1", "seeds", "n0=" + address);
             await("members.start");
             await("members.joined");
             await("members.view");
@@ -141,9 +141,9 @@
 
     @Test
     void sectionHasItsKeys() throws Exception {
-        Section section = MembersSettings.section();
-        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.absent() + ", kind "
-                + each.kind().ordinal() + " from " + each.least() + " to " + each.most()));
+        SettingsSection section = MembersSettings.section();
+        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.defaultValue() + ", kind "
+                + each.kind().ordinal() + " from " + each.min() + " to " + each.max()));
         MembersSettings.of(section.read(Map.of(), fault -> lines.add("fault " + fault.key())));
         verify("members-settings.txt");
     }
--- a/app/src/test/java/nettletrail/app/members/ViewsFleetTest.java
+++ b/app/src/test/java/nettletrail/app/members/ViewsFleetTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import nettletrail.app.members.MembersFleet.Agreed;
-import nettletrail.core.Members.View;
+import nettletrail.core.Membership.View;
 import nettletrail.members.Terms;
 import org.junit.jupiter.api.Test;
 
@@ -53,7 +53,7 @@
             long before = fleet.views(0).view().number();
             fleet.links((from, to) -> from / 3 == to / 3);
             fleet.run(20 * SECOND);
-            assertEquals(3, fleet.views(0).view().lives().size(), "seed " + seed);
+            assertEquals(3, fleet.views(0).view().incarnations().size(), "seed " + seed);
             assertEquals(before, fleet.views(3).view().number(), "seed " + seed);
             assertEquals(before, fleet.views(4).view().number(), "seed " + seed);
             fleet.links((from, to) -> true);
@@ -78,7 +78,7 @@
                 fleet.kill(i);
             }
             fleet.run(7 * SECOND);
-            assertEquals(5, fleet.views(4).view().lives().size(), "one of five agrees on nothing, seed " + seed);
+            assertEquals(5, fleet.views(4).view().incarnations().size(), "one of five agrees on nothing, seed " + seed);
             for (int i = 0; i < 4; i++) {
                 fleet.start(i);
             }
--- a/ext-proc/src/main/java/nettletrail/extproc/Answers.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/Answers.java
@@ -17,7 +17,7 @@
 import io.envoyproxy.envoy.type.v3.StatusCode;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
-import nettletrail.core.Admission;
+import nettletrail.core.Authorizer;
 
 /** The messages that go to a proxy over gRPC. Those that never change are made once. */
 final class Answers {
@@ -96,12 +96,12 @@
         return ProcessingResponse.newBuilder().setImmediateResponse(immediate(status, "fail", why)).build();
     }
 
-    static ProcessingResponse deny(Admission.Denial denial) {
-        ImmediateResponse.Builder answer = immediate(denial.status(), "deny", denial.text());
+    static ProcessingResponse deny(Authorizer.Denial denial) {
+        ImmediateResponse.Builder answer = immediate(denial.status(), "deny", denial.message());
         if (!denial.challenge().isEmpty()) {
             answer.getHeadersBuilder().addSetHeaders(header("www-authenticate", denial.challenge()));
         }
-        return comeAgain(answer, denial.retryAfterNs());
+        return comeAgain(answer, denial.retryAfterNanos());
     }
 
     static ProcessingResponse malformed(String what) {
--- a/ext-proc/src/main/java/nettletrail/extproc/AskStream.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/AskStream.java
@@ -10,9 +10,9 @@
 import io.grpc.stub.ServerCallStreamObserver;
 import io.grpc.stub.StreamObserver;
 import io.netty.handler.codec.http.HttpMethod;
-import nettletrail.core.Admission;
+import nettletrail.core.Authorizer;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Report;
 import nettletrail.decision.Gateway.Outcome;
 
 /**
@@ -28,7 +28,7 @@
 
     private final Processor processor;
     private final Answers answers;
-    private final Report.Reader reports;
+    private final BackendReport.Reader reports;
     private final boolean believesDetails;
     private final ServerCallStreamObserver<ProcessingResponse> out;
     private Phase phase = Phase.START;
@@ -38,7 +38,7 @@
     private int early;
     private boolean earlyTrailers;
 
-    AskStream(Processor processor, Answers answers, Report.Reader reports, ExtProcSettings settings,
+    AskStream(Processor processor, Answers answers, BackendReport.Reader reports, ExtProcSettings settings,
             ServerCallStreamObserver<ProcessingResponse> out) {
         this.processor = processor;
         this.answers = answers;
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public void deny(Admission.Denial denial) {
+    public void deny(Authorizer.Denial denial) {
         finish(Answers.deny(denial));
     }
 
--- a/ext-proc/src/main/java/nettletrail/extproc/Asker.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/Asker.java
@@ -1,6 +1,6 @@
 package nettletrail.extproc;
 
-import nettletrail.core.Admission;
+import nettletrail.core.Authorizer;
 import nettletrail.core.Endpoint;
 
 /** Whoever asked, and waits for one of these; called once, on the event loop. */
@@ -20,7 +20,7 @@
     void fail(int status, String why);
 
     /** Not to be sent: what it brings to prove that it may come in doesn't. */
-    void deny(Admission.Denial denial);
+    void deny(Authorizer.Denial denial);
 
     /** It can't be taken on as it is. */
     void malformed(String what);
--- a/ext-proc/src/main/java/nettletrail/extproc/DryRun.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/DryRun.java
@@ -26,13 +26,13 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Bound;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Dispatcher;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Intake;
+import nettletrail.core.EventLoopClock;
 import nettletrail.core.Log;
-import nettletrail.core.LoopClock;
-import nettletrail.core.Report;
+import nettletrail.core.RequestLimiter;
+import nettletrail.core.RequestValidator;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewayDecider;
 import nettletrail.decision.GatewaySettingsReader;
@@ -70,12 +70,13 @@
         settings = deployment;
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
-        Processor processor = new Processor(loop, own, new Intake(reader, deployment));
-        dispatcher = new Dispatcher(loop, new LoopClock(), Bound.NONE, List.of(processor), reader, deployment,
+        Processor processor = new Processor(loop, own, new RequestValidator(reader, deployment));
+        dispatcher = new Dispatcher(loop, new EventLoopClock(), RequestLimiter.NONE, List.of(processor), reader,
+                deployment,
                 GatewayDecider::new);
         processor.open(dispatcher);
         Answers answers = new Answers(own);
-        Report.Reader reports = new Report.Reader(reader);
+        BackendReport.Reader reports = new BackendReport.Reader(reader);
         server = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .channelType(NioServerSocketChannel.class)
                 .bossEventLoopGroup(group).workerEventLoopGroup(group).directExecutor()
@@ -106,7 +107,7 @@
 
     private void run() throws InterruptedException {
         loop.execute(() -> {
-            dispatcher.listed(true, List.of(new Endpoint(NODE, "dry", new InetSocketAddress(
+            dispatcher.endpointsUpdated(true, List.of(new Endpoint(NODE, "dry", new InetSocketAddress(
                     InetAddress.getLoopbackAddress(), 9), "", "", 0, Gateway.DiscoveryState.READY, 1, 0)));
             for (int i = 0; i < AT_ONCE; i++) {
                 next();
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
@@ -22,12 +22,12 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Carrier;
+import nettletrail.core.AttemptTransport;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Dispatcher;
-import nettletrail.core.Front;
-import nettletrail.core.Intake;
+import nettletrail.core.Frontend;
 import nettletrail.core.Log;
-import nettletrail.core.Report;
+import nettletrail.core.RequestValidator;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.http.RequestDecoder;
@@ -36,7 +36,7 @@
  * The external processor as a front: its two listeners on the front door's event loop, where gRPC calls run too, so
  * that no ask waits for another thread and the module needs no lock.
  */
-public final class ExtProcServer implements Front {
+public final class ExtProcServer implements Frontend {
     private static final int MOST_METADATA = 16 << 10;
     /** Resets of streams that a connection may send in a window before it is closed: HTTP/2 rapid reset. */
     private static final int MOST_RESETS = 2_000;
@@ -54,13 +54,13 @@
     private final boolean dryRun;
     private final EventLoop loop;
     private final Processor processor;
-    private final Report.Reader reports;
+    private final BackendReport.Reader reports;
     private final ChannelGroup callers;
     private Server server;
     private Channel http;
 
     /** The front that the settings describe. */
-    public static Front.Maker factory(ExtProcSettings settings) {
+    public static Frontend.Factory factory(ExtProcSettings settings) {
         return (group, reader, deployment) -> new ExtProcServer(settings, group, reader, deployment, true);
     }
 
@@ -78,13 +78,13 @@
         this.deployment = deployment;
         this.dryRun = dryRun;
         loop = group.next();
-        processor = new Processor(loop, settings, new Intake(reader, deployment));
-        reports = new Report.Reader(reader);
+        processor = new Processor(loop, settings, new RequestValidator(reader, deployment));
+        reports = new BackendReport.Reader(reader);
         callers = new DefaultChannelGroup(loop);
     }
 
     @Override
-    public Carrier carrier() {
+    public AttemptTransport attemptTransport() {
         return processor;
     }
 
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcSettings.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcSettings.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 import nettletrail.decision.Gateway;
 
 /**
@@ -37,62 +37,70 @@
     }
 
     /** The section's keys. */
-    public static Section section() {
-        return new Section("ext_proc", "The external processor: other proxies ask for each request.")
+    public static SettingsSection section() {
+        return new SettingsSection("ext_proc", "The external processor: other proxies ask for each request.")
                 .flag("enabled", false, "whether proxies may ask at all")
                 .address("listen", "127.0.0.1:9002", "where proxies ask over gRPC (envoy.service.ext_proc.v3)")
                 .address("http_listen", "", "where proxies ask over HTTP (forward-auth, auth_request)")
-                .whole("budget_ms", 5, 1_000, 20, "each ask is answered within so many ms")
-                .whole("reserve_ms", 1, 500, 10, "ms of the budget kept for the way and for lateness")
-                .whole("orphan_ms", 0, 60_000, 500, "an ask whose stream ended without an outcome gives its slot free after so many ms")
-                .whole("id_memory_s", 5, 3_600, 60, "ids of requests that must not run twice are remembered for so many s")
+                .integer("budget_ms", 5, 1_000, 20, "each ask is answered within so many ms")
+                .integer("reserve_ms", 1, 500, 10, "ms of the budget kept for the way and for lateness")
+                .integer("orphan_ms", 0, 60_000, 500,
+                        "an ask whose stream ended without an outcome gives its slot free after so many ms")
+                .integer("id_memory_s", 5, 3_600, 60,
+                        "ids of requests that must not run twice are remembered for so many s")
                 .text("destination_header", 0, 128, "x-gateway-destination-endpoint", "request header that names the node; \"\" for none")
                 .text("original_dst_header", 0, 128, "x-envoy-original-dst-host", "request header for original-destination clusters; \"\" for none")
                 .text("metadata_namespace", 0, 128, "envoy.lb", "namespace of the dynamic metadata that names the node; \"\" for none")
                 .flag("stop_retries", true, "tell proxies not to repeat requests that must not run twice")
-                .whole("most_callers", 1, 4_096, 64, "connections of proxies at once, for gRPC and for HTTP each")
-                .whole("most_streams_per_caller", 1, 65_536, 4_096, "open calls on one connection")
-                .whole("most_open", 1, 1_000_000, 16_384, "asks undecided or without an outcome at once")
-                .whole("most_ids", 1, 10_000_000, 262_144, "ids remembered at once; beyond, asks are refused")
-                .whole("most_message_kb", 4, 16_384, 256, "KiB of one message of a proxy");
+                .integer("most_callers", 1, 4_096, 64, "connections of proxies at once, for gRPC and for HTTP each")
+                .integer("most_streams_per_caller", 1, 65_536, 4_096, "open calls on one connection")
+                .integer("most_open", 1, 1_000_000, 16_384, "asks undecided or without an outcome at once")
+                .integer("most_ids", 1, 10_000_000, 262_144, "ids remembered at once; beyond, asks are refused")
+                .integer("most_message_kb", 4, 16_384, 256, "KiB of one message of a proxy");
     }
 
     /** Rules that hold between keys. */
-    public static void check(Section.Values values, Consumer<Section.Fault> faults) {
-        if (values.whole("reserve_ms") >= values.whole("budget_ms")) {
-            faults.accept(new Section.Fault("reserve_ms", "must be under budget_ms (" + values.whole("budget_ms")
+    public static void check(SettingsSection.Values values, Consumer<SettingsSection.Fault> faults) {
+        if (values.integer("reserve_ms") >= values.integer("budget_ms")) {
+            faults.accept(new SettingsSection.Fault("reserve_ms", "must be under budget_ms ("
+                    + values.integer("budget_ms")
                     + "): the module decides in what is left of it"));
         }
-        if (values.whole("most_open") > values.whole("most_ids")) {
-            faults.accept(new Section.Fault("most_open", "must not be over most_ids (" + values.whole("most_ids")
+        if (values.integer("most_open") > values.integer("most_ids")) {
+            faults.accept(new SettingsSection.Fault("most_open", "must not be over most_ids ("
+                    + values.integer("most_ids")
                     + "): the ids of open asks are among those remembered"));
         }
         if (values.flag("enabled") && values.text("listen").isEmpty() && values.text("http_listen").isEmpty()) {
-            faults.accept(new Section.Fault("listen", "and http_listen are both empty: nobody could ask; give one"));
+            faults.accept(new SettingsSection.Fault("listen",
+                    "and http_listen are both empty: nobody could ask; give one"));
         }
         if (!values.text("listen").isEmpty() && values.text("listen").equals(values.text("http_listen"))
                 && !values.text("listen").endsWith(":0")) {
-            faults.accept(new Section.Fault("http_listen", "must not be the address of listen; use another port"));
+            faults.accept(new SettingsSection.Fault("http_listen",
+                    "must not be the address of listen; use another port"));
         }
         if (values.text("destination_header").isEmpty() && values.text("original_dst_header").isEmpty()
                 && values.text("metadata_namespace").isEmpty()) {
-            faults.accept(new Section.Fault("destination_header", "and original_dst_header and metadata_namespace are "
+            faults.accept(new SettingsSection.Fault("destination_header",
+                    "and original_dst_header and metadata_namespace are "
                     + "all empty: no proxy could learn of the node; give one"));
         }
     }
 
     /** Made of checked values. */
-    public static ExtProcSettings of(Section.Values values) {
+    public static ExtProcSettings of(SettingsSection.Values values) {
         return new ExtProcSettings(address(values.text("listen")), address(values.text("http_listen")),
-                values.whole("budget_ms") * MS, values.whole("reserve_ms") * MS, values.whole("orphan_ms") * MS,
-                values.whole("id_memory_s") * 1_000 * MS, values.text("destination_header").toLowerCase(java.util.Locale.ROOT),
+                values.integer("budget_ms") * MS, values.integer("reserve_ms") * MS, values.integer("orphan_ms") * MS,
+                values.integer("id_memory_s") * 1_000 * MS, values.text("destination_header")
+                        .toLowerCase(java.util.Locale.ROOT),
                 values.text("original_dst_header").toLowerCase(java.util.Locale.ROOT), values.text("metadata_namespace"),
-                values.flag("stop_retries"), (int) values.whole("most_callers"),
-                (int) values.whole("most_streams_per_caller"), (int) values.whole("most_open"),
-                (int) values.whole("most_ids"), (int) values.whole("most_message_kb") << 10);
+                values.flag("stop_retries"), (int) values.integer("most_callers"),
+                (int) values.integer("most_streams_per_caller"), (int) values.integer("most_open"),
+                (int) values.integer("most_ids"), (int) values.integer("most_message_kb") << 10);
     }
 
     private static InetSocketAddress address(String text) {
-        return text.isEmpty() ? null : Endpoint.address(text);
+        return text.isEmpty() ? null : Endpoint.parseAddress(text);
     }
 }
--- a/ext-proc/src/main/java/nettletrail/extproc/HttpAsks.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/HttpAsks.java
@@ -19,10 +19,10 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Queue;
-import nettletrail.core.Admission;
+import nettletrail.core.Authorizer;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Intake;
-import nettletrail.core.Report;
+import nettletrail.core.RequestValidator;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.http.RequestHeadValidator;
 
@@ -47,7 +47,7 @@
     private static final List<String> ONCE = List.of(METHOD.get(0), METHOD.get(1), PATH.get(0), PATH.get(1), ATTEMPT, HOW);
 
     private final Processor processor;
-    private final Report.Reader reports;
+    private final BackendReport.Reader reports;
     private final ExtProcSettings settings;
     private final Queue<FullHttpRequest> waiting = new ArrayDeque<>();
     private ChannelHandlerContext context;
@@ -58,7 +58,7 @@
     /** The open request is a HEAD: its answer has a body's length and no body (RFC 9110 section 9.3.2). */
     private boolean bare;
 
-    HttpAsks(Processor processor, Report.Reader reports, ExtProcSettings settings) {
+    HttpAsks(Processor processor, BackendReport.Reader reports, ExtProcSettings settings) {
         this.processor = processor;
         this.reports = reports;
         this.settings = settings;
@@ -154,12 +154,12 @@
     }
 
     private void outcome(HttpMethod method, HttpHeaders headers) {
-        String id = headers.get(Intake.TXN);
+        String id = headers.get(RequestValidator.TXN);
         String how = headers.get(HOW);
         int status = how == null ? -1 : whole(how);
         Outcome outcome = how == null ? null : status >= 200 && status <= 599
                 ? Outcomes.of(status, "1".equals(headers.get("X-Turned-Away")), null) : Outcomes.named(how);
-        if (!method.equals(HttpMethod.POST) || !Intake.isId(id) || outcome == null) {
+        if (!method.equals(HttpMethod.POST) || !RequestValidator.isRequestId(id) || outcome == null) {
             answer(400, "malformed", 0, "an outcome is a POST with X-Txn of the request and " + HOW + ": the answer's "
                     + "status, or not-sent, connect-failed, reset, timed-out or cancelled");
             return;
@@ -211,8 +211,8 @@
     }
 
     @Override
-    public void deny(Admission.Denial denial) {
-        answer(denial.status(), "deny", denial.retryAfterNs(), denial.challenge(), denial.text());
+    public void deny(Authorizer.Denial denial) {
+        answer(denial.status(), "deny", denial.retryAfterNanos(), denial.challenge(), denial.message());
     }
 
     @Override
--- a/ext-proc/src/main/java/nettletrail/extproc/Processor.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/Processor.java
@@ -11,16 +11,16 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import nettletrail.core.Admission;
-import nettletrail.core.Arrival;
-import nettletrail.core.Attempt;
-import nettletrail.core.Carrier;
-import nettletrail.core.Client;
+import nettletrail.core.AttemptTransport;
+import nettletrail.core.Authorizer;
+import nettletrail.core.BackendAttempt;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Dispatcher;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Intake;
+import nettletrail.core.InboundRequest;
 import nettletrail.core.Log;
-import nettletrail.core.Report;
+import nettletrail.core.RequestClient;
+import nettletrail.core.RequestValidator;
 import nettletrail.decision.Gateway.DiscoveryState;
 import nettletrail.decision.Gateway.Outcome;
 
@@ -30,7 +30,7 @@
  * decides goes to whoever asks now, and what the proxy then tells ends the attempt and the request. All of it runs
  * on the event loop.
  */
-final class Processor implements Carrier {
+final class Processor implements AttemptTransport {
     /** What became of an outcome that was told. */
     enum Told {
         /** It ended its request. */
@@ -76,12 +76,12 @@
     private record What(int requestClass, int plan, long customer, double units) { }
 
     /** An ask from its first word until its outcome is told or given up. */
-    final class OpenAsk implements Client, Carriage {
+    final class OpenAsk implements RequestClient, StartedAttempt {
         private final AskDecider.Ask ask;
         private final long askedAt = System.nanoTime();
         private Asker asker;
-        private Dispatcher.Live live;
-        private Attempt attempt;
+        private Dispatcher.ActiveRequest live;
+        private BackendAttempt attempt;
         private Future<?> timer;
 
         private OpenAsk(AskDecider.Ask ask, Asker asker) {
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void refused(long retryAfterNs) {
+        public void rejected(long retryAfterNs) {
             if (undecided()) {
                 ended();
                 counts.refused++;
@@ -119,7 +119,7 @@
         }
 
         @Override
-        public void denied(Admission.Denial denial) {
+        public void denied(Authorizer.Denial denial) {
             if (undecided()) {
                 ended();
                 counts.refused++;
@@ -148,22 +148,22 @@
         // ---- As an attempt on its way.
 
         @Override
-        public boolean unsent() {
+        public boolean isUnsent() {
             return false;
         }
 
         /** Its time is up and no outcome was told: it may have run, or may yet. */
         @Override
-        public Outcome abandon() {
+        public Outcome cancel() {
             counts.noOutcome++;
             over(true);
             return Outcome.TIMED_OUT;
         }
 
-        private Attempt over(boolean mayHaveRun) {
+        private BackendAttempt over(boolean mayHaveRun) {
             stop();
             open.remove(ask);
-            Attempt ended = attempt;
+            BackendAttempt ended = attempt;
             attempt = null;
             if (mayHaveRun) {
                 decider.perhapsRan(ask, System.nanoTime());
@@ -178,7 +178,7 @@
 
     private final EventLoop loop;
     private final ExtProcSettings settings;
-    private final Intake intake;
+    private final RequestValidator intake;
     private final AskDecider decider;
     private final Map<AskDecider.Ask, OpenAsk> open = new HashMap<>();
     private final LongObjectHashMap<Endpoint> endpoints = new LongObjectHashMap<>();
@@ -187,7 +187,7 @@
     private long complaintSecond;
     private int complaints;
 
-    Processor(EventLoop loop, ExtProcSettings settings, Intake intake) {
+    Processor(EventLoop loop, ExtProcSettings settings, RequestValidator intake) {
         this.loop = loop;
         this.settings = settings;
         this.intake = intake;
@@ -249,24 +249,25 @@
      */
     OpenAsk asked(Asker asker, HttpMethod method, String uri, Function<CharSequence, String> headers, int attempt) {
         counts.asked++;
-        int requestClass = intake.requestClass(headers);
-        HttpMethod told = method != null || requestClass < 0 ? method : intake.method(requestClass);
+        int requestClass = intake.requestClassOf(headers);
+        HttpMethod told = method != null || requestClass < 0 ? method : intake.requiredMethod(requestClass);
         HttpMethod checked = told == null ? HttpMethod.GET : told;
-        Arrival arrival = intake.arrival(checked, uri, headers, Unpooled.EMPTY_BUFFER, System.nanoTime());
+        InboundRequest arrival = intake.validate(checked, uri, headers, Unpooled.EMPTY_BUFFER, System.nanoTime());
         if (arrival == null) {
             counts.malformed++;
-            asker.malformed(intake.fault(checked, headers));
+            asker.malformed(intake.describeFault(checked, headers));
             return null;
         }
-        boolean unsafe = intake.unsafe(arrival);
-        if (unsafe && decider.find(arrival.txn()) == null && !dispatcher.isNew(arrival.txn())) {
+        boolean unsafe = intake.isNotRepeatable(arrival);
+        if (unsafe && decider.find(arrival.requestId()) == null && !dispatcher.isUnusedId(arrival.requestId())) {
             // Taken by the socket front of this process.
             counts.malformed++;
-            asker.malformed(Intake.TXN + " is the id of another request that is open here: give each its own");
+            asker.malformed(RequestValidator.TXN
+                    + " is the id of another request that is open here: give each its own");
             return null;
         }
         What what = new What(arrival.requestClass(), arrival.plan(), arrival.customer(), arrival.units());
-        AskDecider.Ruling ruling = decider.asked(arrival.txn(), unsafe, what, attempt, System.nanoTime());
+        AskDecider.Ruling ruling = decider.asked(arrival.requestId(), unsafe, what, attempt, System.nanoTime());
         if (ruling instanceof AskDecider.Ruling.Take take) {
             return take(take.ask(), asker, arrival);
         }
@@ -288,7 +289,7 @@
         switch (reason) {
             case IN_USE -> {
                 counts.malformed++;
-                asker.malformed(Intake.TXN + " is the id of another request: give each its own");
+                asker.malformed(RequestValidator.TXN + " is the id of another request: give each its own");
             }
             case PERHAPS_RAN -> {
                 counts.askedAgain++;
@@ -312,11 +313,11 @@
         }
     }
 
-    private OpenAsk take(AskDecider.Ask ask, Asker asker, Arrival arrival) {
+    private OpenAsk take(AskDecider.Ask ask, Asker asker, InboundRequest arrival) {
         OpenAsk taken = new OpenAsk(ask, asker);
         open.put(ask, taken);
         long hold = settings.budgetNs() - settings.reserveNs();
-        taken.live = dispatcher.arrived(arrival.within(hold), taken, this);
+        taken.live = dispatcher.accept(arrival.withMaxHold(hold), taken, this);
         if (taken.undecided()) {
             // The module gives it up by itself before; this is for a loop or a module that is late.
             taken.timer = loop.schedule(() -> late(taken), settings.budgetNs() - settings.reserveNs() / 2,
@@ -328,8 +329,8 @@
     private void late(OpenAsk ask) {
         if (ask.undecided()) {
             counts.overBudget++;
-            ask.live.departed();
-            ask.refused(0);
+            ask.live.clientDisconnected();
+            ask.rejected(0);
         }
     }
 
@@ -343,7 +344,7 @@
         }
         if (ask.undecided()) {
             counts.withdrawn++;
-            ask.live.departed();
+            ask.live.clientDisconnected();
             ask.ended();
         } else if (ask.attempt != null && ask.timer == null) {
             ask.timer = loop.schedule(() -> orphaned(ask), settings.orphanNs(), TimeUnit.NANOSECONDS);
@@ -353,14 +354,14 @@
     private void orphaned(OpenAsk ask) {
         if (ask.attempt != null) {
             counts.noOutcome++;
-            ask.over(true).endedRequest(Outcome.CANCELLED, Report.NONE);
+            ask.over(true).endedWithRequest(Outcome.CANCELLED, BackendReport.NONE);
         }
     }
 
     // ---- A proxy tells how it went ----------------------------------------------------------------------
 
     /** The outcome of what was handed out, told with the handle. */
-    Told outcome(OpenAsk ask, Outcome outcome, Report report) {
+    Told outcome(OpenAsk ask, Outcome outcome, BackendReport report) {
         if (ask.undecided()) {
             return Told.NO_DECISION;
         }
@@ -370,12 +371,12 @@
         }
         counts.outcomes++;
         boolean mayHaveRun = outcome.mayHaveRun;
-        ask.over(mayHaveRun).endedRequest(outcome, report);
+        ask.over(mayHaveRun).endedWithRequest(outcome, report);
         return Told.TAKEN;
     }
 
     /** The same, told by the request's id. */
-    Told outcome(String id, Outcome outcome, Report report) {
+    Told outcome(String id, Outcome outcome, BackendReport report) {
         AskDecider.Ask ask = decider.find(id);
         if (ask == null) {
             return Told.NO_DECISION;
@@ -392,7 +393,7 @@
     // ---- What the dispatcher asks of a carrier ----------------------------------------------------------
 
     @Override
-    public void listed(boolean whole, List<Endpoint> entries) {
+    public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
         if (whole) {
             endpoints.clear();
         }
@@ -410,7 +411,7 @@
 
     /** Hands the decision out: from here on the request counts as sent. */
     @Override
-    public Carriage start(Attempt attempt) {
+    public StartedAttempt start(BackendAttempt attempt) {
         OpenAsk ask = (OpenAsk) attempt.client();
         Endpoint to = endpoints.get(attempt.backendId());
         if (to == null || !ask.undecided() || System.nanoTime() - ask.askedAt > settings.budgetNs()) {
--- a/ext-proc/src/test/java/nettletrail/extproc/BadInputTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/BadInputTest.java
@@ -43,7 +43,7 @@
 /** What proxies may send that makes no sense, is too much, or is of a mode of its own: a clear word, nobody else hurt. */
 @Timeout(60)
 class BadInputTest {
-    private static final long NODE = Endpoint.id("s-1");
+    private static final long NODE = Endpoint.idOf("s-1");
 
     @TempDir
     private Path folder;
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcFormTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcFormTest.java
@@ -15,7 +15,7 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 import nettletrail.decision.Gateway;
 import nettletrail.proxy.Messages;
 import org.junit.jupiter.api.Test;
@@ -25,7 +25,7 @@
 /** What proxies read of the external processor and write for it, and the keys of its section. */
 @Timeout(60)
 class ExtProcFormTest {
-    private static final long NODE = Endpoint.id("s-1");
+    private static final long NODE = Endpoint.idOf("s-1");
 
     @TempDir
     private Path folder;
@@ -50,8 +50,8 @@
     private String told() throws InterruptedException {
         Object next = module.told.poll(10, TimeUnit.SECONDS);
         assertNotNull(next);
-        return next instanceof Gateway.Answer answer ? "  told outcome " + answer.outcome().ordinal() + " used "
-                + answer.usedPercent() + " charged " + answer.settledUnits() : "  told of a request";
+        return next instanceof Gateway.AttemptReport answer ? "  told outcome " + answer.outcome().ordinal() + " used "
+                + answer.quotaUsedPercent() + " charged " + answer.actualUnits() : "  told of a request";
     }
 
     /** The answer as it comes over HTTP; prose is left out. */
@@ -118,8 +118,8 @@
     void refusalsHaveTheirHeads() throws Exception {
         module = new ExtProcRig.Scripted(0) {
             @Override
-            public void arrived(long now, Request request) {
-                actions.refuse(request.id(), 1_500_000_000L);
+            public void onRequest(long now, Request request) {
+                actions.reject(request.id(), 1_500_000_000L);
             }
         };
         try (ExtProcRig rig = start()) {
@@ -187,9 +187,9 @@
 
     @Test
     void sectionHasItsKeys() throws Exception {
-        Section section = ExtProcSettings.section();
-        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.absent() + ", kind "
-                + each.kind().ordinal() + " from " + each.least() + " to " + each.most()));
+        SettingsSection section = ExtProcSettings.section();
+        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.defaultValue() + ", kind "
+                + each.kind().ordinal() + " from " + each.min() + " to " + each.max()));
         ExtProcSettings.of(section.read(Map.of(), fault -> lines.add("fault " + fault.key())));
         verify("ext-proc-settings.txt");
     }
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
@@ -17,10 +17,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import nettletrail.core.Dispatcher;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 import nettletrail.decision.Gateway;
-import nettletrail.door.Config;
 import nettletrail.door.FrontDoor;
+import nettletrail.door.FrontDoorConfig;
 import nettletrail.proxy.StandInProxy;
 import nettletrail.site.StandInAgent;
 
@@ -57,14 +57,15 @@
         return this;
     }
 
-    ExtProcRig start(Dispatcher.Maker module) throws Exception {
+    ExtProcRig start(Dispatcher.GatewayFactory module) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"name\":\"n0\",\"discovery\":\"127.0.0.1:0\",\"seed\":\"77\",\"limits\":{\"sockets\":1024},"
                 + "\"known\":" + agent.list(-1) + ",\"settings\":" + SETTINGS + "}");
-        Config config = Config.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0", "EDGE_DISCOVERY",
+        FrontDoorConfig config = FrontDoorConfig.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0",
+                "EDGE_DISCOVERY",
                 "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString()));
-        List<Section.Fault> faults = new ArrayList<>();
-        Section.Values read = ExtProcSettings.section().read(values, faults::add);
+        List<SettingsSection.Fault> faults = new ArrayList<>();
+        SettingsSection.Values read = ExtProcSettings.section().read(values, faults::add);
         ExtProcSettings.check(read, faults::add);
         assertEquals(List.of(), faults);
         door = FrontDoor.start(config, module, (loop, reader, settings) ->
@@ -141,7 +142,7 @@
             this.sendTo = sendTo;
         }
 
-        Dispatcher.Maker module() {
+        Dispatcher.GatewayFactory module() {
             return (settings, now, asked) -> {
                 actions = asked;
                 return this;
--- a/ext-proc/src/test/java/nettletrail/extproc/HardCasesTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/HardCasesTest.java
@@ -28,7 +28,7 @@
 /** Asks over gRPC that come again, end halfway, or are told too much; a scripted module decides. */
 @Timeout(60)
 class HardCasesTest {
-    private static final long NODE = Endpoint.id("s-1");
+    private static final long NODE = Endpoint.idOf("s-1");
 
     @TempDir
     private Path folder;
@@ -317,7 +317,8 @@
         AskPeer peer = new AskPeer(rig.connection()).ask(ExtProcRig.submit("a1"));
         long id = module.heard(Gateway.Request.class).id();
         module.act(rig, actions -> {
-            rig.front().carrier().listed(false, java.util.List.of(new Endpoint(NODE, "s-1", null, "a", "m1", 1,
+            rig.front().attemptTransport().endpointsUpdated(false,
+                    java.util.List.of(new Endpoint(NODE, "s-1", null, "a", "m1", 1,
                     Gateway.DiscoveryState.DRAINING, 1, 0)));
             actions.send(id, NODE, 0);
         });
--- a/ext-proc/src/test/java/nettletrail/extproc/HttpAsksTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/HttpAsksTest.java
@@ -28,7 +28,7 @@
 /** Asks and outcomes over HTTP, as proxies with forward-auth or auth_request make them. */
 @Timeout(60)
 class HttpAsksTest {
-    private static final long NODE = Endpoint.id("s-1");
+    private static final long NODE = Endpoint.idOf("s-1");
 
     @TempDir
     private Path folder;
--- a/ext-proc/src/test/java/nettletrail/extproc/TogetherTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/TogetherTest.java
@@ -55,7 +55,7 @@
         for (int i = 0; i < 3; i++) {
             backend(StandInBackend.Manner.good(1), 0);
         }
-        rig.start(FrontDoor.MODULE);
+        rig.start(FrontDoor.GATEWAY_FACTORY);
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
         Thread socket = new Thread(() -> {
             try (Socket client = new Socket("127.0.0.1", rig.door().address().getPort())) {
@@ -100,7 +100,7 @@
         for (int i = 0; i < 4; i++) {
             backend(new StandInBackend.Manner(10, 0.03, 0.03, 0.03, 0.01), 0);
         }
-        rig.with("orphan_ms", 100L).start(FrontDoor.MODULE);
+        rig.with("orphan_ms", 100L).start(FrontDoor.GATEWAY_FACTORY);
         long seed = 20261201;
         System.out.println("seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
@@ -163,7 +163,7 @@
             backend(StandInBackend.Manner.good(1), 0);
         }
         StandInBackend cold = backend(StandInBackend.Manner.good(1), System.currentTimeMillis());
-        rig.start(FrontDoor.MODULE);
+        rig.start(FrontDoor.GATEWAY_FACTORY);
         int toCold = 0;
         int all = 0;
         List<ManagedChannel> proxies = new ArrayList<>();
--- a/front-door/src/main/java/nettletrail/core/Report.java
+++ b/front-door/src/main/java/nettletrail/core/BackendReport.java
@@ -9,15 +9,15 @@
 /**
  * What a backend's answer tells beside its body.
  *
- * @param usedPercent metered use of the customer in percent, -1 if not told
- * @param charged true units of a good answer, 0 if not told
+ * @param quotaUsedPercent metered use of the customer in percent, -1 if not told
+ * @param unitsCharged true units of a good answer, 0 if not told
  * @param load the backend's load, or null
  */
-public record Report(int usedPercent, double charged, Gateway.LoadReport load) {
-    public static final AsciiString USED = AsciiString.cached("X-Quota-Used");
-    public static final AsciiString CHARGED = AsciiString.cached("X-Units-Charged");
-    public static final AsciiString LOAD = AsciiString.cached("X-Pressure");
-    public static final Report NONE = new Report(-1, 0, null);
+public record BackendReport(int quotaUsedPercent, double unitsCharged, Gateway.LoadReport load) {
+    public static final AsciiString QUOTA_USED = AsciiString.cached("X-Quota-Used");
+    public static final AsciiString UNITS_CHARGED = AsciiString.cached("X-Units-Charged");
+    public static final AsciiString PRESSURE = AsciiString.cached("X-Pressure");
+    public static final BackendReport NONE = new BackendReport(-1, 0, null);
 
     /** Reads the headers of answers: figures that no backend can mean count as not told. */
     public static final class Reader {
@@ -38,12 +38,12 @@
         }
 
         /** Made of an answer's headers, asked for by name; a header that is absent is null. */
-        public Report read(Function<CharSequence, String> headers) {
+        public BackendReport read(Function<CharSequence, String> headers) {
             // Percent as it is: the header is already less the 1 that the simulator's wire adds.
-            long used = Pairs.whole(headers.apply(USED));
-            double charged = Pairs.number(headers.apply(CHARGED));
-            return new Report(used <= MOST_USED ? (int) used : -1,
-                    charged > 0 && charged <= mostCharged ? charged : 0, load(headers.apply(LOAD)));
+            long used = HeaderPairs.whole(headers.apply(QUOTA_USED));
+            double charged = HeaderPairs.number(headers.apply(UNITS_CHARGED));
+            return new BackendReport(used <= MOST_USED ? (int) used : -1,
+                    charged > 0 && charged <= mostCharged ? charged : 0, load(headers.apply(PRESSURE)));
         }
 
         /** The header names its values as the settings do, in whatever order. */
@@ -60,7 +60,7 @@
         }
 
         private double value(String text, String field) {
-            return fields.contains(field) ? Pairs.number(text, field) : Double.NaN;
+            return fields.contains(field) ? HeaderPairs.number(text, field) : Double.NaN;
         }
     }
 }
--- a/front-door/src/main/java/nettletrail/core/Dispatcher.java
+++ b/front-door/src/main/java/nettletrail/core/Dispatcher.java
@@ -29,16 +29,16 @@
     private static final long LATE = 25 * MS;
 
     /** How a decision module is made. */
-    public interface Maker {
-        Gateway make(Gateway.Settings settings, long now, Gateway.Actions actions);
+    public interface GatewayFactory {
+        Gateway create(Gateway.Settings settings, long now, Gateway.Actions actions);
     }
 
     /** A request from its arrival until its final answer is given and its last attempt has ended. */
-    public final class Live {
+    public final class ActiveRequest {
         private final long id;
-        private final Arrival arrival;
-        private final Client client;
-        private final Carrier carrier;
+        private final InboundRequest arrival;
+        private final RequestClient client;
+        private final AttemptTransport carrier;
         private final long deadline;
         private final Future<?> timer;
         private int attempts;
@@ -52,7 +52,8 @@
         /** It waits for leave to come in: neither bound nor module has heard of it. */
         private boolean outside;
 
-        private Live(long id, Arrival arrival, Client client, Carrier carrier, long now) {
+        private ActiveRequest(long id, InboundRequest arrival, RequestClient client, AttemptTransport carrier,
+                long now) {
             this.id = id;
             this.arrival = arrival;
             this.client = client;
@@ -62,20 +63,20 @@
         }
 
         /** Whether its final answer is given, or nobody waits for it. */
-        public boolean over() {
+        public boolean isEnded() {
             return over;
         }
 
         /** The client has gone away: it is owed nothing more. */
-        public void departed() {
+        public void clientDisconnected() {
             if (!over && outside) {
-                admission.left(id, arrival);
+                admission.requestEnded(id, arrival);
                 end(this);
             } else if (!over) {
                 end(this);
                 event(new Rare("departure", this, () -> gateway.onRequestCancelled(now(), id)));
                 // Without a carriage it is just being started, and its carrier will hear that it is not wanted.
-                if (last != null && last.carriage != null && last.carriage.unsent()) {
+                if (last != null && last.carriage != null && last.carriage.isUnsent()) {
                     timedOut(last); // nobody waits for it: it shall not cost a backend work
                 }
             }
@@ -91,9 +92,9 @@
     private abstract static class Event {
         private final String what;
         /** Which it concerns, or null. */
-        private final Live request;
+        private final ActiveRequest request;
 
-        Event(String what, Live request) {
+        Event(String what, ActiveRequest request) {
             this.what = what;
             this.request = request;
         }
@@ -105,7 +106,7 @@
     private static final class Rare extends Event {
         private final Runnable run;
 
-        Rare(String what, Live request, Runnable run) {
+        Rare(String what, ActiveRequest request, Runnable run) {
             super(what, request);
             this.run = run;
         }
@@ -120,7 +121,7 @@
         private final long now;
         private final Gateway.Request told;
 
-        Came(Live request, long now, Gateway.Request told) {
+        Came(ActiveRequest request, long now, Gateway.Request told) {
             super("arrival", request);
             this.now = now;
             this.told = told;
@@ -136,7 +137,7 @@
         private final long now;
         private final Gateway.AttemptReport told;
 
-        Ended(Live request, long now, Gateway.AttemptReport told) {
+        Ended(ActiveRequest request, long now, Gateway.AttemptReport told) {
             super("outcome", request);
             this.now = now;
             this.told = told;
@@ -149,9 +150,9 @@
     }
 
     private final class Deadline implements Runnable {
-        private final Live request;
+        private final ActiveRequest request;
 
-        Deadline(Live request) {
+        Deadline(ActiveRequest request) {
             this.request = request;
         }
 
@@ -161,14 +162,14 @@
         }
     }
 
-    private final class Try extends Attempt {
-        private final Live live;
+    private final class Try extends BackendAttempt {
+        private final ActiveRequest live;
         private final int number;
         private long sentAt;
-        private Carrier.Carriage carriage;
+        private AttemptTransport.StartedAttempt carriage;
         private Future<?> timer;
 
-        Try(Live live, long backendId, long now) {
+        Try(ActiveRequest live, long backendId, long now) {
             super(backendId);
             this.live = live;
             number = live.attempts++;
@@ -176,44 +177,44 @@
         }
 
         @Override
-        public Arrival arrival() {
+        public InboundRequest request() {
             return live.arrival;
         }
 
         @Override
-        public Client client() {
+        public RequestClient client() {
             return live.client;
         }
 
         @Override
-        public long leftNs() {
+        public long remainingNanos() {
             return live.deadline - now();
         }
 
         @Override
         public long remainingMs() {
-            return Math.max(1, leftNs() / MS);
+            return Math.max(1, remainingNanos() / MS);
         }
 
         @Override
-        public boolean wanted() {
-            if (late()) {
+        public boolean isWanted() {
+            if (isLoopLate()) {
                 news.run();
             }
             // Always: for how long the loop was at something else before it first read its clock, it can't tell.
-            if (!live.over && !live.client.look()) {
-                live.departed();
+            if (!live.over && !live.client.readPending()) {
+                live.clientDisconnected();
             }
             return !live.over;
         }
 
         @Override
-        public void wrote() {
+        public void sendStarted() {
             sentAt = now();
         }
 
         @Override
-        public void endedRequest(Gateway.Outcome outcome, Report report) {
+        public void endedWithRequest(Gateway.Outcome outcome, BackendReport report) {
             if (!live.over) {
                 end(live);
             }
@@ -221,7 +222,7 @@
         }
 
         @Override
-        public void ended(Gateway.Outcome outcome, Report report, ByteBuf body, String contentType) {
+        public void ended(Gateway.Outcome outcome, BackendReport report, ByteBuf body, String contentType) {
             long now = now();
             if (timer != null) {
                 timer.cancel(false);
@@ -238,33 +239,32 @@
                 end(live);
                 live.client.served(body, contentType);
             }
-            double charged = outcome == Gateway.Outcome.OK ? report.charged() : 0;
+            double charged = outcome == Gateway.Outcome.OK ? report.unitsCharged() : 0;
             if (charged > 0) {
-                bound.settled(live.arrival, charged);
+                bound.unitsCharged(live.arrival, charged);
             }
-            if (report.usedPercent() >= 0) {
-                bound.metered(live.arrival, report.usedPercent());
+            if (report.quotaUsedPercent() >= 0) {
+                bound.quotaUsed(live.arrival, report.quotaUsedPercent());
             }
-            long took = clock.came(sentAt - clockOffset) + clockOffset - sentAt;
-            Gateway.AttemptReport told = new Gateway.AttemptReport(live.id, number, backendId(), outcome, live.over,
-                    took,
-                    report.usedPercent(), charged, report.load());
+            long took = clock.arrivedAt(sentAt - clockOffset) + clockOffset - sentAt;
+            Gateway.AttemptReport told = new Gateway.AttemptReport(live.id, number, backendId(), outcome, live.over, took,
+                    report.quotaUsedPercent(), charged, report.load());
             forget(live);
             event(new Ended(live, now, told));
         }
     }
 
     private final EventLoop loop;
-    private final LoopClock clock;
-    private final Admission admission;
-    private final Bound bound;
-    private final List<Carrier> carriers;
+    private final EventLoopClock clock;
+    private final Authorizer admission;
+    private final RequestLimiter bound;
+    private final List<AttemptTransport> carriers;
     private final Gateway gateway;
     private final List<String> zones;
     private final List<String> kinds;
     /** No client of the deployment waits longer. */
     private final long mostTaken;
-    private final LongObjectHashMap<Live> live = new LongObjectHashMap<>();
+    private final LongObjectHashMap<ActiveRequest> live = new LongObjectHashMap<>();
     /** Ids that clients gave, each until its request's time is up: later copies would run a second time. */
     private final HashSet<String> taken = new HashSet<>();
     private final ArrayDeque<Taken> takenInTurn = new ArrayDeque<>();
@@ -284,15 +284,16 @@
      * @param carriers all that attempts are ever carried by
      * @param settings read by the same reader
      */
-    public Dispatcher(EventLoop loop, LoopClock clock, Bound bound, List<Carrier> carriers,
+    public Dispatcher(EventLoop loop, EventLoopClock clock, RequestLimiter bound, List<AttemptTransport> carriers,
             GatewaySettingsReader reader,
-            Gateway.Settings settings, Maker module) {
-        this(loop, clock, Admission.NONE, bound, carriers, reader, settings, module);
+            Gateway.Settings settings, GatewayFactory module) {
+        this(loop, clock, Authorizer.NONE, bound, carriers, reader, settings, module);
     }
 
     /** The same where not all may come in. */
-    public Dispatcher(EventLoop loop, LoopClock clock, Admission admission, Bound bound, List<Carrier> carriers,
-            GatewaySettingsReader reader, Gateway.Settings settings, Maker module) {
+    public Dispatcher(EventLoop loop, EventLoopClock clock, Authorizer admission, RequestLimiter bound,
+            List<AttemptTransport> carriers,
+            GatewaySettingsReader reader, Gateway.Settings settings, GatewayFactory module) {
         this.admission = admission;
         this.bound = bound;
         this.loop = loop;
@@ -301,14 +302,14 @@
         zones = reader.list("Dcs");
         kinds = reader.list("Flavors");
         mostTaken = reader.maxDeadlineNanos();
-        gateway = module.make(settings, now(), this);
-        admission.tells(this::turnAway);
+        gateway = module.create(settings, now(), this);
+        admission.setRevocationListener(this::turnAway);
     }
 
     // ---- What happens -----------------------------------------------------------------------------------
 
     /** Whether no other request came with this one's id while that could still be open anywhere. */
-    public boolean isNew(String txn) {
+    public boolean isUnusedId(String txn) {
         long now = now();
         for (Taken first = takenInTurn.peekFirst(); first != null && first.until() < now;
                 first = takenInTurn.peekFirst()) {
@@ -327,26 +328,28 @@
      *
      * @param carrier what its attempts are carried by; one of those given at the start
      */
-    public Live arrived(Arrival arrival, Client client, Carrier carrier) {
+    public ActiveRequest accept(InboundRequest arrival, RequestClient client, AttemptTransport carrier) {
         long now = now();
         // The id is counted here: what clients send as theirs need not be a number, nor unique.
-        Live request = new Live(++lastId, arrival, client, carrier, now);
+        ActiveRequest request = new ActiveRequest(++lastId, arrival, client, carrier, now);
         live.put(request.id, request);
-        taken.add(arrival.txn());
-        takenInTurn.addLast(new Taken(arrival.txn(), Math.min(request.deadline, now + mostTaken) + WAY_BACK, request.id));
+        taken.add(arrival.requestId());
+        takenInTurn.addLast(new Taken(arrival.requestId(), Math.min(request.deadline, now + mostTaken) + WAY_BACK,
+                request.id));
         if (ending) {
             end(request);
-            client.refused(0);
+            client.rejected(0);
             return request;
         }
-        if (admission != Admission.NONE) {
+        if (admission != Authorizer.NONE) {
             request.outside = true;
-            Admission.Word word = admission.ask(request.id, arrival, request.deadline - now, new AtTheDoor(request));
-            if (word instanceof Admission.Wait) {
+            Authorizer.Decision word = admission.authorize(request.id, arrival, request.deadline - now,
+                    new AtTheDoor(request));
+            if (word instanceof Authorizer.Pending) {
                 return request;
             }
             request.outside = false;
-            if (word instanceof Admission.Denial denial) {
+            if (word instanceof Authorizer.Denial denial) {
                 end(request);
                 client.denied(denial);
                 return request;
@@ -357,44 +360,45 @@
     }
 
     /** It waits for leave to come in. */
-    private final class AtTheDoor implements Admission.Waiting {
-        private final Live request;
+    private final class AtTheDoor implements Authorizer.AuthorizationCallback {
+        private final ActiveRequest request;
 
-        AtTheDoor(Live request) {
+        AtTheDoor(ActiveRequest request) {
             this.request = request;
         }
 
         @Override
-        public void admitted() {
+        public void allowed() {
             request.outside = false;
             enter(request, now());
         }
 
         @Override
-        public void denied(Admission.Denial denial) {
+        public void denied(Authorizer.Denial denial) {
             request.outside = false;
             end(request);
             request.client.denied(denial);
         }
     }
 
-    private void enter(Live request, long now) {
-        Arrival arrival = request.arrival;
-        if (!bound.take(arrival)) {
-            long retryAfterNs = bound.retryAfterNs(arrival);
+    private void enter(ActiveRequest request, long now) {
+        InboundRequest arrival = request.arrival;
+        if (!bound.tryAcquire(arrival)) {
+            long retryAfterNs = bound.retryAfterNanos(arrival);
             end(request);
-            request.client.refused(retryAfterNs);
+            request.client.rejected(retryAfterNs);
             return;
         }
         request.bounded = true;
         Gateway.Request told = new Gateway.Request(request.id, arrival.requestClass(), arrival.plan(),
-                arrival.customer(), arrival.units(), arrival.setSize(), request.deadline - now, arrival.holdNs());
+                arrival.customer(), arrival.units(), arrival.customerDoorCount(), request.deadline - now,
+                        arrival.maxHoldNanos());
         event(new Came(request, now, told));
     }
 
     /** Those of them that nothing was sent on of; what is out ends as it ends, and asks again before it is sent again. */
-    private void turnAway(java.util.function.Predicate<Arrival> whose, Admission.Denial denial) {
-        for (Live each : new ArrayList<>(live.values())) {
+    private void turnAway(java.util.function.Predicate<InboundRequest> whose, Authorizer.Denial denial) {
+        for (ActiveRequest each : new ArrayList<>(live.values())) {
             if (!each.over && !each.outside && each.out == 0 && whose.test(each.arrival)) {
                 withdraw(each, denial);
                 event(new Rare("withdrawal", each, () -> gateway.onRequestCancelled(now(), each.id)));
@@ -403,7 +407,7 @@
     }
 
     /** One that may have run already is not told that it hasn't. */
-    private void withdraw(Live request, Admission.Denial denial) {
+    private void withdraw(ActiveRequest request, Authorizer.Denial denial) {
         end(request);
         if (request.mayHaveRun) {
             request.client.failed(502);
@@ -413,7 +417,7 @@
     }
 
     /** A further attempt that waits for leave to be made. */
-    private final class Asking implements Admission.Waiting, Carrier.Carriage {
+    private final class Asking implements Authorizer.AuthorizationCallback, AttemptTransport.StartedAttempt {
         private final Try attempt;
 
         Asking(Try attempt) {
@@ -421,13 +425,13 @@
         }
 
         @Override
-        public void admitted() {
+        public void allowed() {
             attempt.carriage = null; // being started: it no longer waits here
             attempt.carriage = attempt.live.carrier.start(attempt);
         }
 
         @Override
-        public void denied(Admission.Denial denial) {
+        public void denied(Authorizer.Denial denial) {
             if (!attempt.live.over) {
                 withdraw(attempt.live, denial);
             }
@@ -435,13 +439,13 @@
         }
 
         @Override
-        public boolean unsent() {
+        public boolean isUnsent() {
             return true;
         }
 
         @Override
-        public Gateway.Outcome abandon() {
-            admission.left(attempt.live.id, attempt.live.arrival);
+        public Gateway.Outcome cancel() {
+            admission.requestEnded(attempt.live.id, attempt.live.arrival);
             return Gateway.Outcome.NEVER_SENT;
         }
     }
@@ -450,31 +454,32 @@
     private void startAgain(Try attempt) {
         Asking asking = new Asking(attempt);
         attempt.carriage = asking;
-        Admission.Word word = admission.ask(attempt.live.id, attempt.live.arrival, attempt.leftNs(), asking);
-        if (word instanceof Admission.Pass) {
-            asking.admitted();
-        } else if (word instanceof Admission.Denial denial) {
+        Authorizer.Decision word = admission.authorize(attempt.live.id, attempt.live.arrival, attempt.remainingNanos(),
+                asking);
+        if (word instanceof Authorizer.Allowed) {
+            asking.allowed();
+        } else if (word instanceof Authorizer.Denial denial) {
             asking.denied(denial);
         }
     }
 
     @Override
-    public void listed(boolean whole, List<Endpoint> entries) {
+    public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
         List<Gateway.Backend> told = new ArrayList<>(entries.size());
         for (Endpoint entry : entries) {
             told.add(new Gateway.Backend(entry.id(), place(zones, entry.zone()), place(kinds, entry.type()),
-                    entry.group(), entry.state(), entry.weight(), entry.sinceMs() * MS));
+                    entry.group(), entry.state(), entry.weight(), entry.startedAtMs() * MS));
         }
         // The carriers first, or what the module sends to a new backend would find no address; what ends by it
         // is told after the list, or the module would send it to the same backend again.
         if (inside) {
             // Heard by a look before a send: that carrier must know it now, the module after what it is at.
             events.addLast(new Rare("list", null, () -> gateway.onBackends(now(), whole, told)));
-            carriers.forEach(carrier -> carrier.listed(whole, entries));
+            carriers.forEach(carrier -> carrier.endpointsUpdated(whole, entries));
             return;
         }
         event(new Rare("list", null, () -> {
-            carriers.forEach(carrier -> carrier.listed(whole, entries));
+            carriers.forEach(carrier -> carrier.endpointsUpdated(whole, entries));
             gateway.onBackends(now(), whole, told);
         }));
     }
@@ -486,24 +491,24 @@
     }
 
     /** What takes in a list that has come and was not read yet; asked for before a send on a loop that is late. */
-    public void news(Runnable look) {
+    public void setDiscoveryPoll(Runnable look) {
         news = look;
     }
 
     /** Whether what came may have lain unread for so long that it is looked for before anything is sent. */
-    public boolean late() {
-        return clock.unread() > LATE;
+    public boolean isLoopLate() {
+        return clock.maxUnreadNanos() > LATE;
     }
 
     @Override
-    public void listFailed() {
+    public void discoveryFailed() {
         event(new Rare("list failure", null, () -> gateway.onDiscoveryFailure(now())));
     }
 
     /** Its time is up: attempts are closed and told, and if the module leaves it at that, it has failed. */
-    private void expired(Live request) {
+    private void expired(ActiveRequest request) {
         if (request.outside) {
-            admission.left(request.id, request.arrival);
+            admission.requestEnded(request.id, request.arrival);
             end(request);
             request.client.failed(504);
             return;
@@ -513,7 +518,7 @@
             if (!request.over) {
                 end(request);
                 if (ending && !request.mayHaveRun) {
-                    request.client.refused(0);
+                    request.client.rejected(0);
                 } else {
                     request.client.failed(504);
                 }
@@ -528,7 +533,7 @@
      */
     public void expireAll() {
         ending = true;
-        for (Live each : new ArrayList<>(live.values())) {
+        for (ActiveRequest each : new ArrayList<>(live.values())) {
             if (!each.over) {
                 expired(each);
             }
@@ -537,12 +542,12 @@
 
     private void timedOut(Try attempt) {
         if (attempt != null) {
-            attempt.ended(attempt.carriage.abandon());
+            attempt.ended(attempt.carriage.cancel());
         }
     }
 
     /** Requests taken on and not answered, or with an attempt still out. */
-    public int held() {
+    public int activeRequestCount() {
         return live.size();
     }
 
@@ -572,7 +577,7 @@
         } catch (RuntimeException | Error e) {
             // An Error too: Netty throws one when its buffers are used up, and events must still go on.
             Log.line("fault at " + event.what, e);
-            Live request = event.request;
+            ActiveRequest request = event.request;
             if (request != null && !request.over) {
                 end(request);
                 request.client.failed(502);
@@ -585,18 +590,18 @@
     }
 
     /** The request has its final answer; from here on nothing is sent to its client. */
-    private void end(Live request) {
+    private void end(ActiveRequest request) {
         request.over = true;
         forget(request);
     }
 
-    private void forget(Live request) {
+    private void forget(ActiveRequest request) {
         if (request.over && request.out == 0 && live.remove(request.id) != null) {
             // Not before: an attempt that is still out for a client that left may be at a silent backend.
             request.timer.cancel(false);
             request.arrival.body().release();
             if (request.bounded) {
-                bound.giveBack(request.arrival);
+                bound.release(request.arrival);
             }
         }
     }
@@ -605,7 +610,7 @@
 
     @Override
     public void send(long requestId, long backendId, long timeoutNs) {
-        Live request = live.get(requestId);
+        ActiveRequest request = live.get(requestId);
         long now = now();
         if (request == null || request.over || ending) {
             // Its client left, a fault ended it, or nobody will hear the answer: a send now would run for nobody.
@@ -623,7 +628,7 @@
         if (timeoutNs > 0 && now + timeoutNs < request.deadline) {
             attempt.timer = loop.schedule(() -> timedOut(attempt), timeoutNs, TimeUnit.NANOSECONDS);
         }
-        if (admission != Admission.NONE && attempt.number > 0) {
+        if (admission != Authorizer.NONE && attempt.number > 0) {
             startAgain(attempt);
             return;
         }
@@ -632,16 +637,16 @@
 
     @Override
     public void reject(long requestId, long retryAfterNs) {
-        Live request = live.get(requestId);
+        ActiveRequest request = live.get(requestId);
         if (request != null && !request.over) {
             end(request);
-            request.client.refused(retryAfterNs);
+            request.client.rejected(retryAfterNs);
         }
     }
 
     @Override
     public void fail(long requestId) {
-        Live request = live.get(requestId);
+        ActiveRequest request = live.get(requestId);
         if (request != null && !request.over) {
             end(request);
             request.client.failed(502);
--- a/front-door/src/main/java/nettletrail/core/Doors.java
+++ b/front-door/src/main/java/nettletrail/core/DoorCalls.java
@@ -1,31 +1,31 @@
 package nettletrail.core;
 
 import java.util.function.Consumer;
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 
 /**
  * Calls between front doors, sealed under the members' key; for subsystems that agree on something with other doors. A call
  * ends in just one answer or one failure; a failure says nothing of whether it was heard. All on the front door's loop.
  */
-public interface Doors {
+public interface DoorCalls {
     /** Reaches nobody. */
-    Doors NONE = new Doors() { };
+    DoorCalls NONE = new DoorCalls() { };
 
     /** Hears what came of a call: one of the two, once. */
-    interface Answer {
-        void answered(byte[] body);
+    interface ResponseCallback {
+        void completed(byte[] body);
 
         /** No answer in its time, or it couldn't be sent; it may have been heard all the same. */
         void failed();
     }
 
     /** Answers calls. */
-    interface Handler {
+    interface CallHandler {
         /**
          * @param from who calls, authentic
          * @param answer takes the answer once, at any time; a late one is dropped
          */
-        void called(Life from, byte[] body, Consumer<byte[]> answer);
+        void handle(MemberIncarnation from, byte[] body, Consumer<byte[]> answer);
     }
 
     /**
@@ -34,10 +34,10 @@
      * @param channel which subsystem answers
      * @param body at most 1 MiB
      */
-    default void call(Life to, String channel, byte[] body, long timeoutNs, Answer answer) {
+    default void call(MemberIncarnation to, String channel, byte[] body, long timeoutNs, ResponseCallback answer) {
         answer.failed();
     }
 
     /** Who answers on a channel from now on. */
-    default void serve(String channel, Handler handler) { }
+    default void registerHandler(String channel, CallHandler handler) { }
 }
--- a/front-door/src/main/java/nettletrail/core/Endpoint.java
+++ b/front-door/src/main/java/nettletrail/core/Endpoint.java
@@ -13,20 +13,20 @@
  * @param id made of the name, so the same at every front door and after a restart
  * @param name as the list gives it
  * @param address where it listens; null if the list gives none that can be used
- * @param sinceMs wall clock of its last start in ms of Unix time, 0 for long ago
+ * @param startedAtMs wall clock of its last start in ms of Unix time, 0 for long ago
  */
 public record Endpoint(long id, String name, SocketAddress address, String zone, String type, int group,
-        Gateway.DiscoveryState state, double weight, long sinceMs) {
+        Gateway.DiscoveryState state, double weight, long startedAtMs) {
 
     /** Hears what the list says. Called on the event loop. */
     public interface Listener {
-        void listed(boolean whole, List<Endpoint> entries);
+        void endpointsUpdated(boolean whole, List<Endpoint> entries);
 
-        void listFailed();
+        void discoveryFailed();
     }
 
     /** FNV-1a over the name. An id counted up locally would differ between front doors and after a restart. */
-    public static long id(String name) {
+    public static long idOf(String name) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < name.length(); i++) {
             hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
@@ -35,7 +35,7 @@
     }
 
     /** {@code HOST:PORT} with a numeric host, or null: there is no DNS, and a look-up would block the event loop. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
         if (host == null) {
--- a/front-door/src/main/java/nettletrail/core/LoopClock.java
+++ b/front-door/src/main/java/nettletrail/core/EventLoopClock.java
@@ -12,7 +12,7 @@
  * <p>What it can't see: an answer that came while the process was stopped as a whole and the loop asleep. That looks
  * like a slow answer.
  */
-public final class LoopClock implements SelectStrategy {
+public final class EventLoopClock implements SelectStrategy {
     /**
      * ns between listening and the first work after which the loop had slept, and what it then does has just come; or
      * this part of the round before, if that is more: what comes so soon after a long one was most likely there already.
@@ -53,7 +53,7 @@
      * For how long at most, ns, what came may have lain unread: since the loop last slept or, on one that does not get to
      * sleep, since the round before this one began. 0 where no loop was made with this clock.
      */
-    long unread() {
+    long maxUnreadNanos() {
         long now = now();
         if (!used) {
             return 0;
@@ -73,7 +73,7 @@
      * @param since what it answers: it came after that
      * @return between since and now, as {@link System#nanoTime}
      */
-    long came(long since) {
+    long arrivedAt(long since) {
         long now = now();
         if (!used) {
             return now;
--- a/front-door/src/main/java/nettletrail/core/Front.java
+++ b/front-door/src/main/java/nettletrail/core/Frontend.java
@@ -10,14 +10,14 @@
  * same {@link Dispatcher}, so that the rules hold over all fronts together. All but {@link #open} and {@link #close}
  * is called on the event loop.
  */
-public interface Front {
+public interface Frontend {
     /** Makes one; nothing is opened yet. */
-    interface Maker {
-        Front make(EventLoopGroup group, GatewaySettingsReader reader, Gateway.Settings settings);
+    interface Factory {
+        Frontend create(EventLoopGroup group, GatewaySettingsReader reader, Gateway.Settings settings);
     }
 
     /** What attempts of its requests are carried by. */
-    Carrier carrier();
+    AttemptTransport attemptTransport();
 
     /**
      * Begins to listen. Called off the event loop, before the front door is ready.
--- a/front-door/src/main/java/nettletrail/core/Pairs.java
+++ b/front-door/src/main/java/nettletrail/core/HeaderPairs.java
@@ -4,11 +4,11 @@
  * Reads headers of the form {@code units=2,spread=3} and the numbers in them. Only digits with at most one point
  * are a number: the standard library's parsers also take "NaN", "1e3", "0x1p3" and "5d".
  */
-final class Pairs {
+final class HeaderPairs {
     /** More digits than any sane value has. */
     private static final int MOST_DIGITS = 12;
 
-    private Pairs() { }
+    private HeaderPairs() { }
 
     /** The text under this name, or null; the first, if it is there twice. */
     static String value(String text, String name) {
--- a/front-door/src/main/java/nettletrail/core/Log.java
+++ b/front-door/src/main/java/nettletrail/core/Log.java
@@ -14,7 +14,7 @@
      * What libraries log goes here too. The standard formatter reads the file of time zones at its first line: with no
      * descriptor left, just when an accept fails and Netty says so, that throws an Error, and it ended the event loop.
      */
-    public static void takeOver() {
+    public static void install() {
         LogManager.getLogManager().reset();
         Logger.getLogger("").addHandler(new Handler() {
             @Override
--- a/front-door/src/main/java/nettletrail/core/Members.java
+++ b/front-door/src/main/java/nettletrail/core/Membership.java
@@ -8,24 +8,25 @@
 
 /**
  * Which other front doors there are, as far as this one can know. Two questions with two answers, and whoever asks names
- * which: {@link Listener#likelyGone} comes within seconds and may be wrong (a pause, a cut), good for routing and hints;
- * {@link Listener#surelyGone} comes once a majority of the last agreed view has agreed on a view without that life, and is
- * what anybody may act on in its place. A minority never hears the second. All on the front door's event loop.
+ * which: {@link Listener#presumedFailed} comes within seconds and may be wrong (a pause, a cut), good for routing and
+ * hints; {@link Listener#removedByMajority} comes once a majority of the last agreed view has agreed on a view without
+ * that life, and is what anybody may act on in its place. A minority never hears the second. All on the front door's
+ * event loop.
  *
  * <p>Nothing here may loosen a ceiling: fewer members seen than there are must let no more through in sum.
  */
-public interface Members {
+public interface Membership {
     /** This front door knows of nobody. */
-    Members NONE = new Members() { };
+    Membership NONE = new Membership() { };
 
     /** Makes one; it begins its work at once. */
-    interface Maker {
+    interface Factory {
         /**
          * @param name this front door's, unique in the installation
          * @param loop the front door's, on which listeners are told
          * @throws IllegalArgumentException if it can't with these settings; the message names the key
          */
-        Members make(String name, EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings);
+        Membership create(String name, EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings);
     }
 
     /**
@@ -33,9 +34,9 @@
      *
      * @param number higher than that of any life of this name before
      */
-    record Life(String name, long number) implements Comparable<Life> {
+    record MemberIncarnation(String name, long number) implements Comparable<MemberIncarnation> {
         @Override
-        public int compareTo(Life other) {
+        public int compareTo(MemberIncarnation other) {
             int names = name.compareTo(other.name);
             return names != 0 ? names : Long.compare(number, other.number);
         }
@@ -50,62 +51,62 @@
      * A set of lives that a majority of the one before it has agreed on.
      *
      * @param number higher than that of any agreed before; 0 for none yet
-     * @param lives in their order
+     * @param incarnations in their order
      */
-    record View(long number, List<Life> lives) {
+    record View(long number, List<MemberIncarnation> incarnations) {
         /** None was agreed yet. */
         public static final View NONE = new View(0, List.of());
 
         public View {
-            lives = List.copyOf(lives);
+            incarnations = List.copyOf(incarnations);
         }
 
         /** Whether it holds this life. */
-        public boolean has(Life life) {
-            return lives.contains(life);
+        public boolean contains(MemberIncarnation life) {
+            return incarnations.contains(life);
         }
 
         /** How many of its lives must agree on what follows. */
         public int majority() {
-            return lives.size() / 2 + 1;
+            return incarnations.size() / 2 + 1;
         }
     }
 
     /** Hears of members; each may be called again for the same life. */
     interface Listener {
         /** There is a life that wasn't known. */
-        default void joined(Life who) { }
+        default void joined(MemberIncarnation who) { }
 
         /** It is accused and may still answer. */
-        default void suspect(Life who) { }
+        default void suspected(MemberIncarnation who) { }
 
         /** Likely gone: quick, may be wrong. */
-        default void likelyGone(Life who) { }
+        default void presumedFailed(MemberIncarnation who) { }
 
         /** Surely gone as far as anybody may act for it: agreed by a majority. */
-        default void surelyGone(Life who) { }
+        default void removedByMajority(MemberIncarnation who) { }
 
         /** One that was suspect or likely gone is there. */
-        default void back(Life who) { }
+        default void recovered(MemberIncarnation who) { }
 
         /** It said that it leaves. */
-        default void left(Life who) { }
+        default void left(MemberIncarnation who) { }
 
         /** A view was agreed that this front door is in, or it is in none any more ({@link View#NONE}). */
-        default void view(View now) { }
+        default void viewChanged(View now) { }
     }
 
     /** This front door's own life now; null where there are no members. */
-    default Life self() {
+    default MemberIncarnation self() {
         return null;
     }
 
     /** From now on it is told; first of all that is known already. */
-    default void hear(Listener listener) { }
+    default void addListener(Listener listener) { }
 
     /** Calls to them. */
-    default Doors doors() {
-        return Doors.NONE;
+    default DoorCalls doorCalls() {
+        return DoorCalls.NONE;
     }
 
     /** What is known, as JSON values, given to this on the front door's loop, soon. */
--- a/front-door/src/main/java/nettletrail/core/Unread.java
+++ b/front-door/src/main/java/nettletrail/core/PendingInput.java
@@ -10,21 +10,21 @@
  * a look at the sockets whose word counts. What is left is the instant between two adjacent system calls, which no
  * process can close.
  */
-public final class Unread {
+public final class PendingInput {
     /**
      * Reads of one look, each of which takes a MB at most: more than a kernel holds back on both sides, so that an end is
      * found behind however much was sent, and a peer that goes on sending does not keep the loop for ever.
      */
     private static final int MOST_READS = 16;
 
-    private Unread() { }
+    private PendingInput() { }
 
     /**
      * Reads all that has come, as the loop would in its turns: bytes go down the pipeline, an end closes the channel, both
      * before this returns. On the channel's loop, and not while its own reading is on the stack. Nothing on a channel that is
      * no socket, is closed, or is not to be read.
      */
-    public static void take(Channel channel) {
+    public static void readAll(Channel channel) {
         if (channel.isActive() && channel.config().isAutoRead()
                 && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             var reads = socket.recvBufAllocHandle();
--- a/front-door/src/main/java/nettletrail/core/Intake.java
+++ b/front-door/src/main/java/nettletrail/core/RequestValidator.java
@@ -13,7 +13,7 @@
  * the settings before the module hears of it: one request with absurd units would move the module's means and with
  * them every customer's quota.
  */
-public final class Intake {
+public final class RequestValidator {
     public static final AsciiString TXN = AsciiString.cached("X-Txn");
     public static final AsciiString REMAINING = AsciiString.cached("X-Remaining-Ms");
     public static final AsciiString LANE = AsciiString.cached("X-Lane");
@@ -31,7 +31,7 @@
     private final Gateway.Settings settings;
     private final double mostUnits;
 
-    public Intake(GatewaySettingsReader reader, Gateway.Settings settings) {
+    public RequestValidator(GatewaySettingsReader reader, Gateway.Settings settings) {
         this.settings = settings;
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
@@ -50,83 +50,86 @@
      * @param body goes into the arrival as it is, not retained
      * @param since {@link System#nanoTime} of when it came
      */
-    public Arrival arrival(HttpMethod method, String uri, Function<CharSequence, String> headers, ByteBuf body,
+    public InboundRequest validate(HttpMethod method, String uri, Function<CharSequence, String> headers, ByteBuf body,
             long since) {
         String txn = headers.apply(TXN);
         int requestClass = classes.indexOf(headers.apply(LANE));
         int plan = plans.indexOf(headers.apply(PLAN));
         long customer = hex(headers.apply(CUSTOMER));
-        long remaining = Pairs.whole(headers.apply(REMAINING));
+        long remaining = HeaderPairs.whole(headers.apply(REMAINING));
         String quota = headers.apply(QUOTA);
-        if (!isId(txn) || requestClass < 0 || plan < 0 || customer < 0 || customer >= CUSTOMERS || quota == null
-                || remaining < 0 || remaining > MOST_REMAINING_MS || !method.equals(method(requestClass))) {
+        if (!isRequestId(txn) || requestClass < 0 || plan < 0 || customer < 0 || customer >= CUSTOMERS || quota == null
+                || remaining < 0 || remaining > MOST_REMAINING_MS || !method.equals(requiredMethod(requestClass))) {
             return null;
         }
-        double units = Pairs.number(quota, "units");
-        long spread = Pairs.whole(Pairs.value(quota, "spread"));
-        long first = Pairs.whole(Pairs.value(quota, "first"));
+        double units = HeaderPairs.number(quota, "units");
+        long spread = HeaderPairs.whole(HeaderPairs.value(quota, "spread"));
+        long first = HeaderPairs.whole(HeaderPairs.value(quota, "first"));
         int gateways = settings.gatewayCount();
-        boolean twice = Pairs.twice(quota, "units") || Pairs.twice(quota, "spread") || Pairs.twice(quota, "first");
+        boolean twice = HeaderPairs.twice(quota, "units") || HeaderPairs.twice(quota, "spread")
+                || HeaderPairs.twice(quota, "first");
         if (twice || !(units > 0 && units <= mostUnits) || spread < 1 || spread > gateways || first < 0 || first >= gateways) {
             return null;
         }
         long left = remaining - (System.nanoTime() - since) / MS;
-        return new Arrival(method, uri, txn, requestClass, plan, customer, units, (int) spread, Math.max(0, left),
+        return new InboundRequest(method, uri, txn, requestClass, plan, customer, units, (int) spread,
+                Math.max(0, left),
                 body, Long.MAX_VALUE, headers.apply(AUTHORIZATION));
     }
 
     /**
-     * What is wrong with a request that {@link #arrival} would not take: the header, what it must be and what to do.
+     * What is wrong with a request that {@link #validate} would not take: the header, what it must be and what to do.
      * Values of headers are not repeated: they are the client's, and the text goes into logs and answers.
      */
-    public String fault(HttpMethod method, Function<CharSequence, String> headers) {
-        if (!isId(headers.apply(TXN))) {
-            return fault(TXN, headers, "must be " + ID_DIGITS + " hex digits, new with every request");
+    public String describeFault(HttpMethod method, Function<CharSequence, String> headers) {
+        if (!isRequestId(headers.apply(TXN))) {
+            return describeFault(TXN, headers, "must be " + ID_DIGITS + " hex digits, new with every request");
         }
         int requestClass = classes.indexOf(headers.apply(LANE));
         if (requestClass < 0) {
-            return fault(LANE, headers, "must name a class: one of " + String.join(", ", classes));
+            return describeFault(LANE, headers, "must name a class: one of " + String.join(", ", classes));
         }
-        if (!method.equals(method(requestClass))) {
-            return "the method of class " + classes.get(requestClass) + " must be " + method(requestClass);
+        if (!method.equals(requiredMethod(requestClass))) {
+            return "the method of class " + classes.get(requestClass) + " must be " + requiredMethod(requestClass);
         }
         if (plans.indexOf(headers.apply(PLAN)) < 0) {
-            return fault(PLAN, headers, "must name a plan: one of " + String.join(", ", plans));
+            return describeFault(PLAN, headers, "must name a plan: one of " + String.join(", ", plans));
         }
         long customer = hex(headers.apply(CUSTOMER));
         if (customer < 0 || customer >= CUSTOMERS) {
-            return fault(CUSTOMER, headers, "must be " + ID_DIGITS + " hex digits, a number below 2^33");
+            return describeFault(CUSTOMER, headers, "must be " + ID_DIGITS + " hex digits, a number below 2^33");
         }
-        long remaining = Pairs.whole(headers.apply(REMAINING));
+        long remaining = HeaderPairs.whole(headers.apply(REMAINING));
         if (remaining < 0 || remaining > MOST_REMAINING_MS) {
-            return fault(REMAINING, headers, "must be whole milliseconds from 0 to " + MOST_REMAINING_MS);
+            return describeFault(REMAINING, headers, "must be whole milliseconds from 0 to " + MOST_REMAINING_MS);
         }
-        return fault(QUOTA, headers, "must be units=U,spread=N,first=F, each once, with U above 0 and at most " + mostUnits
+        return describeFault(QUOTA, headers, "must be units=U,spread=N,first=F, each once, with U above 0 and at most "
+                + mostUnits
                 + ", N from 1 to " + settings.gatewayCount() + ", F from 0 to " + (settings.gatewayCount() - 1));
     }
 
-    private static String fault(AsciiString name, Function<CharSequence, String> headers, String rule) {
+    private static String describeFault(AsciiString name, Function<CharSequence, String> headers, String rule) {
         return name + (headers.apply(name) == null ? " is missing: it " : ": it ") + rule;
     }
 
     /** Whether it must not run twice. */
-    public boolean unsafe(Arrival arrival) {
+    public boolean isNotRepeatable(InboundRequest arrival) {
         return settings.classes().get(arrival.requestClass()).idempotency() != Gateway.Idempotency.IDEMPOTENT;
     }
 
     /** The method follows from the class: another is malformed, for it would say which may be sent again. */
-    public HttpMethod method(int requestClass) {
+    public HttpMethod requiredMethod(int requestClass) {
         boolean repeatable = settings.classes().get(requestClass).idempotency() == Gateway.Idempotency.IDEMPOTENT;
         return repeatable ? HttpMethod.GET : HttpMethod.POST;
     }
 
     /** The class that a request names, or -1. */
-    public int requestClass(Function<CharSequence, String> headers) {
+    public int requestClassOf(Function<CharSequence, String> headers) {
         return classes.indexOf(headers.apply(LANE));
     }
 
     /** Whether the text is an id as clients give them. */
-    public static boolean isId(String text) {
+    public static boolean isRequestId(String text) {
         if (text == null || text.length() != ID_DIGITS) {
             return false;
         }
--- a/front-door/src/main/java/nettletrail/core/Section.java
+++ b/front-door/src/main/java/nettletrail/core/SettingsSection.java
@@ -10,26 +10,26 @@
  * One section of the operator file: its keys, each with type, range, default and a line of help. A subsystem's
  * settings are a record made of the values that {@link #read} returns. Knows nothing of files or of TOML.
  */
-public final class Section {
+public final class SettingsSection {
 
     /** What a key holds. */
-    public enum Kind { FLAG, WHOLE, TEXT, ADDRESS }
+    public enum Kind { BOOLEAN, INTEGER, STRING, ADDRESS }
 
     /**
      * One key.
      *
-     * @param least of a whole number; of a text, its fewest characters; else unused
-     * @param most the same upwards
-     * @param absent the value where the file has none
+     * @param min of a whole number; of a text, its fewest characters; else unused
+     * @param max the same upwards
+     * @param defaultValue the value where the file has none
      * @param help one line for operators, with the unit
      */
-    public record Key(String name, Kind kind, long least, long most, Object absent, String help) {
+    public record Key(String name, Kind kind, long min, long max, Object defaultValue, String help) {
         /** The range in words. */
         public String range() {
             return switch (kind) {
-                case FLAG -> "true or false";
-                case WHOLE -> "a whole number from " + least + " to " + most;
-                case TEXT -> "a text of " + least + " to " + most + " characters";
+                case BOOLEAN -> "true or false";
+                case INTEGER -> "a whole number from " + min + " to " + max;
+                case STRING -> "a text of " + min + " to " + max + " characters";
                 case ADDRESS -> "IP:PORT in quotes, or \"\" for none";
             };
         }
@@ -39,37 +39,37 @@
      * What is wrong with a value.
      *
      * @param key the key's name, without the section's
-     * @param what the rule that the value breaks, and what to do
+     * @param message the rule that the value breaks, and what to do
      */
-    public record Fault(String key, String what) { }
+    public record Fault(String key, String message) { }
 
     private final String name;
     private final String help;
     private final Map<String, Key> keys = new LinkedHashMap<>();
 
-    public Section(String name, String help) {
+    public SettingsSection(String name, String help) {
         this.name = name;
         this.help = help;
     }
 
-    public Section flag(String key, boolean absent, String line) {
-        return add(new Key(key, Kind.FLAG, 0, 0, absent, line));
+    public SettingsSection flag(String key, boolean defaultValue, String help) {
+        return add(new Key(key, Kind.BOOLEAN, 0, 0, defaultValue, help));
     }
 
-    public Section whole(String key, long least, long most, long absent, String line) {
-        return add(new Key(key, Kind.WHOLE, least, most, absent, line));
+    public SettingsSection integer(String key, long min, long max, long defaultValue, String help) {
+        return add(new Key(key, Kind.INTEGER, min, max, defaultValue, help));
     }
 
-    public Section text(String key, int least, int most, String absent, String line) {
-        return add(new Key(key, Kind.TEXT, least, most, absent, line));
+    public SettingsSection text(String key, int min, int max, String defaultValue, String help) {
+        return add(new Key(key, Kind.STRING, min, max, defaultValue, help));
     }
 
     /** {@code IP:PORT}, or an empty text for none. */
-    public Section address(String key, String absent, String line) {
-        return add(new Key(key, Kind.ADDRESS, 0, 0, absent, line));
+    public SettingsSection address(String key, String defaultValue, String help) {
+        return add(new Key(key, Kind.ADDRESS, 0, 0, defaultValue, help));
     }
 
-    private Section add(Key key) {
+    private SettingsSection add(Key key) {
         keys.put(key.name(), key);
         return this;
     }
@@ -89,17 +89,17 @@
     /**
      * The section's values, defaults where it gives none or a wrong one.
      *
-     * @param given by key; numbers as {@link Long}, texts as {@link String}, flags as {@link Boolean}
+     * @param configured by key; numbers as {@link Long}, texts as {@link String}, flags as {@link Boolean}
      * @param faults hears of each key that is not known or whose value breaks its rule
      */
-    public Values read(Map<String, Object> given, Consumer<Fault> faults) {
+    public Values read(Map<String, Object> configured, Consumer<Fault> faults) {
         Map<String, Object> values = new LinkedHashMap<>();
-        keys.values().forEach(key -> values.put(key.name(), key.absent()));
-        given.forEach((key, value) -> {
+        keys.values().forEach(key -> values.put(key.name(), key.defaultValue()));
+        configured.forEach((key, value) -> {
             Key known = keys.get(key);
             if (known == null) {
                 faults.accept(new Fault(key, "is no key of [" + name + "]: it has " + String.join(", ", names())));
-            } else if (sound(known, value)) {
+            } else if (isValid(known, value)) {
                 values.put(key, value);
             } else {
                 faults.accept(new Fault(key, "must be " + known.range() + " (" + known.help() + ")"));
@@ -112,14 +112,14 @@
         return new ArrayList<>(keys.keySet());
     }
 
-    private static boolean sound(Key key, Object value) {
+    private static boolean isValid(Key key, Object value) {
         return switch (key.kind()) {
-            case FLAG -> value instanceof Boolean;
-            case WHOLE -> value instanceof Long number && number >= key.least() && number <= key.most();
-            case TEXT -> value instanceof String text && text.length() >= key.least()
-                    && text.length() <= key.most();
+            case BOOLEAN -> value instanceof Boolean;
+            case INTEGER -> value instanceof Long number && number >= key.min() && number <= key.max();
+            case STRING -> value instanceof String text && text.length() >= key.min()
+                    && text.length() <= key.max();
             case ADDRESS -> value instanceof String text
-                    && (text.isEmpty() || Endpoint.address(text) != null);
+                    && (text.isEmpty() || Endpoint.parseAddress(text) != null);
         };
     }
 
@@ -133,7 +133,7 @@
             return (Boolean) values.get(key);
         }
 
-        public long whole(String key) {
+        public long integer(String key) {
             return (Long) values.get(key);
         }
 
--- a/front-door/src/main/java/nettletrail/discovery/DiscoveryClient.java
+++ b/front-door/src/main/java/nettletrail/discovery/DiscoveryClient.java
@@ -32,7 +32,7 @@
 import java.util.concurrent.TimeUnit;
 import nettletrail.core.Endpoint;
 import nettletrail.core.Log;
-import nettletrail.core.Unread;
+import nettletrail.core.PendingInput;
 import nettletrail.decision.Gateway;
 
 /**
@@ -181,7 +181,7 @@
                 long version = version(body);
                 if (version >= index && (index >= 0 || whole(body))) {
                     index = version;
-                    listener.listed(whole(body), parseEndpoints(body));
+                    listener.endpointsUpdated(whole(body), parseEndpoints(body));
                 }
             } catch (IOException e) {
                 Log.line("discovery: a late answer can't be read: " + e.getClass().getSimpleName());
@@ -242,7 +242,7 @@
             // Changes up to a version before ours would undo later ones: what holds now only the whole list tells.
             index = -1;
         } else {
-            listener.listed(whole(body), parseEndpoints(body));
+            listener.endpointsUpdated(whole(body), parseEndpoints(body));
         }
         poll();
     }
@@ -268,7 +268,7 @@
             Log.line("discovery: " + why + "; calling again");
         }
         faults++;
-        listener.listFailed();
+        listener.discoveryFailed();
         retry = loop.schedule(this::poll, pauseMs, TimeUnit.MILLISECONDS);
     }
 
@@ -281,7 +281,7 @@
         if (!reading) {
             for (Channel each : new Channel[] {channel, overdue}) {
                 if (each != null) {
-                    Unread.take(each);
+                    PendingInput.readAll(each);
                 }
             }
         }
@@ -336,12 +336,13 @@
             case "DELETED" -> Gateway.DiscoveryState.GONE;
             default -> Gateway.DiscoveryState.DRAINING; // a word not known here is no leave to send
         };
-        InetSocketAddress address = entry.get("address") instanceof String text ? Endpoint.address(text) : null;
+        InetSocketAddress address = entry.get("address") instanceof String text ? Endpoint.parseAddress(text) : null;
         if (address == null && state == Gateway.DiscoveryState.READY) {
             Log.line("discovery: " + name + " has no address that can be used");
             state = Gateway.DiscoveryState.DRAINING;
         }
-        return new Endpoint(Endpoint.id(name), name, address, String.valueOf(entry.get("zone")), String.valueOf(entry.get("type")),
+        return new Endpoint(Endpoint.idOf(name), name, address, String.valueOf(entry.get("zone")),
+                String.valueOf(entry.get("type")),
                 entry.get("group") instanceof Number n ? n.intValue() : 0, state,
                 entry.get("weight") instanceof Number n ? n.doubleValue() : 1,
                 entry.get("since_ms") instanceof Number n ? n.longValue() : 0);
--- a/front-door/src/main/java/nettletrail/door/FrontDoor.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoor.java
@@ -22,19 +22,19 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Additions;
-import nettletrail.core.Admission;
-import nettletrail.core.Bound;
-import nettletrail.core.Carrier;
+import nettletrail.core.AttemptTransport;
+import nettletrail.core.Authorizer;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Dispatcher;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Front;
-import nettletrail.core.Intake;
+import nettletrail.core.EventLoopClock;
+import nettletrail.core.FrontDoorExtensions;
+import nettletrail.core.Frontend;
 import nettletrail.core.Log;
-import nettletrail.core.LoopClock;
-import nettletrail.core.Members;
-import nettletrail.core.Report;
-import nettletrail.core.Unread;
+import nettletrail.core.Membership;
+import nettletrail.core.PendingInput;
+import nettletrail.core.RequestLimiter;
+import nettletrail.core.RequestValidator;
 import nettletrail.decision.ApertureGateway;
 import nettletrail.decision.ApertureSettings;
 import nettletrail.decision.Gateway;
@@ -79,21 +79,21 @@
     /** Connections that the kernel may have accepted and that are not taken yet. */
     private static final int BACKLOG = 1024;
 
-    private final LoopClock clock = new LoopClock();
+    private final EventLoopClock clock = new EventLoopClock();
     private final NioEventLoopGroup group = new NioEventLoopGroup(1, (Executor) null, SelectorProvider.provider(),
             () -> clock);
     private final EventLoop loop = group.next();
-    private final Config config;
+    private final FrontDoorConfig config;
     private final Gateway.Settings settings;
     private final BackendPool pool;
     private final Dispatcher dispatcher;
     private final DiscoveryClient discovery;
-    private final Bound bound;
-    private final Admission admission;
-    private final Members members;
+    private final RequestLimiter bound;
+    private final Authorizer admission;
+    private final Membership members;
     private final int mostClients;
     private final int roomyClients;
-    private final List<Front> fronts = new ArrayList<>();
+    private final List<Frontend> fronts = new ArrayList<>();
     private final Set<ClientHandler> clients = new LinkedHashSet<>();
     private final CountDownLatch drained = new CountDownLatch(1);
     /** Null until others can connect. */
@@ -106,51 +106,51 @@
     private volatile boolean draining;
 
     /** The project's own. */
-    public static final Dispatcher.Maker MODULE = GatewayDecider::new;
+    public static final Dispatcher.GatewayFactory GATEWAY_FACTORY = GatewayDecider::new;
 
     /** No lambda: one that isn't in the archive of classes costs each start more. */
-    private static final class BehindAperture implements Dispatcher.Maker {
-        private final Dispatcher.Maker module;
+    private static final class BehindAperture implements Dispatcher.GatewayFactory {
+        private final Dispatcher.GatewayFactory module;
         private final int index;
         private final ApertureSettings aperture;
 
-        BehindAperture(Dispatcher.Maker module, int index, ApertureSettings aperture) {
+        BehindAperture(Dispatcher.GatewayFactory module, int index, ApertureSettings aperture) {
             this.module = module;
             this.index = index;
             this.aperture = aperture;
         }
 
         @Override
-        public Gateway make(Gateway.Settings told, long now, Gateway.Actions actions) {
-            return ApertureGateway.wrap(module.make(told, now, actions), told, index, aperture);
+        public Gateway create(Gateway.Settings told, long now, Gateway.Actions actions) {
+            return ApertureGateway.wrap(module.create(told, now, actions), told, index, aperture);
         }
     }
 
-    private FrontDoor(Config config, Dispatcher.Maker module, Additions more) {
+    private FrontDoor(FrontDoorConfig config, Dispatcher.GatewayFactory module, FrontDoorExtensions more) {
         this.config = config;
         settings = config.settings().settings(config.seed());
-        int shared = config.sockets() - OTHER_SOCKETS;
+        int shared = config.maxSockets() - OTHER_SOCKETS;
         mostClients = shared / 2;
-        roomyClients = config.sockets() / 4;
-        pool = new BackendPool(loop, new Report.Reader(config.settings()),
+        roomyClients = config.maxSockets() / 4;
+        pool = new BackendPool(loop, new BackendReport.Reader(config.settings()),
                 config.settings().durationNanos("Ceilings.ConnectTimeout"),
                 config.settings().durationNanos("Ceilings.ConnIdle"), shared - mostClients);
-        List<Carrier> carriers = new ArrayList<>(List.of(pool));
-        for (Front.Maker each : more.fronts()) {
-            Front front = each.make(group, config.settings(), settings);
+        List<AttemptTransport> carriers = new ArrayList<>(List.of(pool));
+        for (Frontend.Factory each : more.frontends()) {
+            Frontend front = each.create(group, config.settings(), settings);
             fronts.add(front);
-            carriers.add(front.carrier());
+            carriers.add(front.attemptTransport());
         }
-        members = more.members().make(config.name(), loop, config.settings(), settings);
-        bound = more.bound().make(config.name(), loop, config.settings(), settings);
-        bound.knows(members);
-        admission = more.admission().make(config.name(), loop, clock, config.settings(), settings);
+        members = more.membership().create(config.name(), loop, config.settings(), settings);
+        bound = more.limiter().create(config.name(), loop, config.settings(), settings);
+        bound.setMembership(members);
+        admission = more.authorizer().create(config.name(), loop, clock, config.settings(), settings);
         int index = config.settings().gatewayIndex();
         ApertureSettings aperture = config.settings().aperture(more.aperture());
         dispatcher = new Dispatcher(loop, clock, admission, bound, carriers, config.settings(), settings,
                 new BehindAperture(module, index, aperture));
-        discovery = new DiscoveryClient(loop, config.discovery(), version(config.known()), config.seed(), this);
-        dispatcher.news(discovery::readPending);
+        discovery = new DiscoveryClient(loop, config.discovery(), version(config.knownEndpoints()), config.seed(), this);
+        dispatcher.setDiscoveryPoll(discovery::readPending);
     }
 
     /** Of the list that the configuration holds, or below 0: what is newer is less than the whole list. */
@@ -160,12 +160,12 @@
     }
 
     /** Serves until SIGTERM. Exits with 2 and one line on standard error if it can't start. */
-    public static void serve(Map<String, String> env, Additions more) throws InterruptedException {
-        Log.takeOver();
+    public static void serve(Map<String, String> env, FrontDoorExtensions more) throws InterruptedException {
+        Log.install();
         FrontDoor door;
         try {
-            door = prepare(Config.read(env), MODULE, more);
-        } catch (Config.Unusable | InvalidInputException | IllegalArgumentException e) {
+            door = prepare(FrontDoorConfig.read(env), GATEWAY_FACTORY, more);
+        } catch (FrontDoorConfig.InvalidConfigException | InvalidInputException | IllegalArgumentException e) {
             System.err.println("nettletrail: " + e.getMessage());
             System.exit(2);
             return;
@@ -194,9 +194,9 @@
     /** Takes in where the replaced configuration puts discovery; one that can't be used changes nothing. */
     void reload(Map<String, String> env) {
         try {
-            InetSocketAddress agent = Config.discoveryNow(env);
+            InetSocketAddress agent = FrontDoorConfig.discoveryNow(env);
             loop.execute(() -> discovery.switchAgent(agent));
-        } catch (Config.Unusable e) {
+        } catch (FrontDoorConfig.InvalidConfigException e) {
             Log.line("SIGHUP: " + e.getMessage() + "; the old configuration stays");
         }
     }
@@ -206,24 +206,26 @@
      *
      * @throws IllegalArgumentException if it can't, with a line that says why
      */
-    public static FrontDoor start(Config config, Dispatcher.Maker module, Front.Maker... more)
+    public static FrontDoor start(FrontDoorConfig config, Dispatcher.GatewayFactory module, Frontend.Factory... more)
             throws InterruptedException {
-        return start(config, module, new Additions(List.of(more), Additions.NONE.bound()));
+        return start(config, module, new FrontDoorExtensions(List.of(more), FrontDoorExtensions.NONE.limiter()));
     }
 
     /** The same with all that an operator file may turn on. */
-    public static FrontDoor start(Config config, Dispatcher.Maker module, Additions more) throws InterruptedException {
+    public static FrontDoor start(FrontDoorConfig config, Dispatcher.GatewayFactory module, FrontDoorExtensions more)
+            throws InterruptedException {
         FrontDoor door = prepare(config, module, more);
         door.open();
         return door;
     }
 
     /** The same, but nobody can come yet: that is for {@link #open}. */
-    static FrontDoor prepare(Config config, Dispatcher.Maker module, Additions more) throws InterruptedException {
+    static FrontDoor prepare(FrontDoorConfig config, Dispatcher.GatewayFactory module, FrontDoorExtensions more)
+            throws InterruptedException {
         FrontDoor door = new FrontDoor(config, module, more);
         try {
             door.loop.submit(() -> {
-                door.dispatcher.listed(true, DiscoveryClient.parseEndpoints(config.known()));
+                door.dispatcher.endpointsUpdated(true, DiscoveryClient.parseEndpoints(config.knownEndpoints()));
                 return null;
             }).get();
             door.loop.execute(door.discovery::poll);
@@ -243,7 +245,7 @@
      */
     void open() throws InterruptedException {
         try {
-            for (Front front : fronts) {
+            for (Frontend front : fronts) {
                 front.open(dispatcher);
             }
             listen();
@@ -263,7 +265,8 @@
     CountDownLatch warmUp() {
         CountDownLatch over = new CountDownLatch(1);
         loop.execute(() ->
-                new DryRun(loop, config.settings(), config.settings().settings(config.seed())).start(over::countDown));
+                new FrontDoorWarmUp(loop, config.settings(), config.settings().settings(config.seed()))
+                        .start(over::countDown));
         return over;
     }
 
@@ -284,7 +287,7 @@
         if (draining) {
             return null;
         }
-        Intake intake = new Intake(config.settings(), settings);
+        RequestValidator intake = new RequestValidator(config.settings(), settings);
         ChannelFuture bound = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -313,7 +316,7 @@
 
     /** Ends at once: for a start that failed, and for tests. */
     public void stop() {
-        fronts.forEach(Front::close);
+        fronts.forEach(Frontend::close);
         bound.close();
         admission.close();
         members.close();
@@ -337,10 +340,10 @@
     public void drain() {
         long from = System.nanoTime();
         loop.execute(() -> {
-            Log.line("SIGTERM: draining, " + dispatcher.held() + " held");
+            Log.line("SIGTERM: draining, " + dispatcher.activeRequestCount() + " held");
             // Answers now say that the connection closes; clients go on connecting for a while, and are served.
             draining = true;
-            fronts.forEach(Front::drain);
+            fronts.forEach(Frontend::drain);
             long gone = (System.nanoTime() - from) / 1_000_000;
             loop.schedule(() -> {
                 stopListening();
@@ -369,7 +372,7 @@
         while (before < connected && connected < most && clients.size() < mostClients + roomyClients) {
             before = connected;
             listening.config().setAutoRead(true); // it may have waited for room
-            Unread.take(listening);
+            PendingInput.readAll(listening);
         }
         if (connected >= most && connected < lastTaken && clients.size() < mostClients + roomyClients) {
             // The descriptors of those that made room are free only after the loop's next look at its sockets.
@@ -382,7 +385,8 @@
     /** A connection is gone only when its last answer is written, so that none is cut off by the exit. */
     private void checkDrained() {
         endIdle(JUST_CAME_NS);
-        if (dispatcher.held() == 0 && clients.isEmpty() && !listens() && fronts.stream().allMatch(Front::drained)) {
+        if (dispatcher.activeRequestCount() == 0 && clients.isEmpty() && !listens()
+                && fronts.stream().allMatch(Frontend::drained)) {
             drained.countDown();
         }
     }
@@ -403,8 +407,8 @@
     }
 
     /** Requests taken on and not answered, or with an attempt still out. Any thread. */
-    public int held() {
-        return loop.submit(dispatcher::held).syncUninterruptibly().getNow();
+    public int activeRequestCount() {
+        return loop.submit(dispatcher::activeRequestCount).syncUninterruptibly().getNow();
     }
 
     /** Client connections open; to be asked on the loop. */
@@ -483,13 +487,13 @@
     }
 
     @Override
-    public void listed(boolean whole, List<Endpoint> entries) {
-        dispatcher.listed(whole, new ArrayList<>(entries));
+    public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
+        dispatcher.endpointsUpdated(whole, new ArrayList<>(entries));
         listed = true;
     }
 
     @Override
-    public void listFailed() {
-        dispatcher.listFailed();
+    public void discoveryFailed() {
+        dispatcher.discoveryFailed();
     }
 }
--- a/front-door/src/main/java/nettletrail/door/Config.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoorConfig.java
@@ -18,82 +18,84 @@
  * @param listen where clients connect
  * @param discovery where discovery's agent listens
  * @param seed for random numbers
- * @param sockets descriptors that the process may hold
- * @param known the list of backends as last held, in discovery's form; it may be old
+ * @param maxSockets descriptors that the process may hold
+ * @param knownEndpoints the list of backends as last held, in discovery's form; it may be old
  * @param settings the deployment's settings
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        Map<?, ?> known, GatewaySettingsReader settings) {
+public record FrontDoorConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
+        int maxSockets,
+        Map<?, ?> knownEndpoints, GatewaySettingsReader settings) {
 
     /** A configuration that can't be used; the message is one line that says why. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Unusable(String message) {
+        public InvalidConfigException(String message) {
             super(message);
         }
     }
 
     /** Reads the variables and the file that they name. */
-    public static Config read(Map<String, String> env) throws Unusable {
+    public static FrontDoorConfig read(Map<String, String> env) throws InvalidConfigException {
         String name = variable(env, "EDGE_NAME");
         InetSocketAddress listen = address(variable(env, "EDGE_LISTEN"), "EDGE_LISTEN");
         InetSocketAddress discovery = address(variable(env, "EDGE_DISCOVERY"), "EDGE_DISCOVERY");
         Map<String, Object> file = file(variable(env, "EDGE_CONFIG"));
         int sockets = object(file, "limits").get("sockets") instanceof Number n ? n.intValue() : 0;
         if (sockets < 64) {
-            throw new Unusable("EDGE_CONFIG: limits.sockets is missing or under 64");
+            throw new InvalidConfigException("EDGE_CONFIG: limits.sockets is missing or under 64");
         }
         StringBuilder text = new StringBuilder();
         flatten("", object(file, "settings"), text);
-        return new Config(name, listen, discovery, seed(file), sockets, object(file, "known"),
+        return new FrontDoorConfig(name, listen, discovery, seed(file), sockets, object(file, "known"),
                 new GatewaySettingsReader(text.toString()));
     }
 
     /** Where the file, perhaps replaced since the start, says that discovery's agent listens now. */
-    static InetSocketAddress discoveryNow(Map<String, String> env) throws Unusable {
+    static InetSocketAddress discoveryNow(Map<String, String> env) throws InvalidConfigException {
         Object told = file(variable(env, "EDGE_CONFIG")).get("discovery");
         return address(String.valueOf(told), "EDGE_CONFIG: discovery");
     }
 
-    private static InetSocketAddress address(String text, String what) throws Unusable {
-        InetSocketAddress address = Endpoint.address(text);
+    private static InetSocketAddress address(String text, String what) throws InvalidConfigException {
+        InetSocketAddress address = Endpoint.parseAddress(text);
         if (address == null) {
-            throw new Unusable(what + ": '" + text + "' is no address of the form IP:PORT");
+            throw new InvalidConfigException(what + ": '" + text + "' is no address of the form IP:PORT");
         }
         return address;
     }
 
-    private static String variable(Map<String, String> env, String name) throws Unusable {
+    private static String variable(Map<String, String> env, String name) throws InvalidConfigException {
         String value = env.get(name);
         if (value == null || value.isBlank()) {
-            throw new Unusable(name + " is not set");
+            throw new InvalidConfigException(name + " is not set");
         }
         return value;
     }
 
-    private static Map<String, Object> file(String path) throws Unusable {
+    private static Map<String, Object> file(String path) throws InvalidConfigException {
         try {
             return JSON.std.mapFrom(Files.readAllBytes(Path.of(path)));
         } catch (IOException | InvalidPathException e) {
             String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new Unusable("EDGE_CONFIG: can't read '" + path + "': " + e.getClass().getSimpleName() + " " + why);
+            throw new InvalidConfigException("EDGE_CONFIG: can't read '" + path + "': " + e.getClass().getSimpleName()
+                    + " " + why);
         }
     }
 
-    private static long seed(Map<String, Object> file) throws Unusable {
+    private static long seed(Map<String, Object> file) throws InvalidConfigException {
         try {
             return Long.parseUnsignedLong(String.valueOf(file.get("seed")), 16);
         } catch (NumberFormatException e) {
-            throw new Unusable("EDGE_CONFIG: seed '" + file.get("seed") + "' is no hexadecimal number");
+            throw new InvalidConfigException("EDGE_CONFIG: seed '" + file.get("seed") + "' is no hexadecimal number");
         }
     }
 
-    private static Map<?, ?> object(Map<String, Object> file, String key) throws Unusable {
+    private static Map<?, ?> object(Map<String, Object> file, String key) throws InvalidConfigException {
         if (file.get(key) instanceof Map<?, ?> map) {
             return map;
         }
-        throw new Unusable("EDGE_CONFIG: '" + key + "' is missing or no object");
+        throw new InvalidConfigException("EDGE_CONFIG: '" + key + "' is missing or no object");
     }
 
     /** Writes nested JSON as the simulator writes settings, so that one reader serves both. */
--- a/front-door/src/main/java/nettletrail/door/DryRun.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoorWarmUp.java
@@ -19,13 +19,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Bound;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Dispatcher;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Intake;
+import nettletrail.core.EventLoopClock;
 import nettletrail.core.Log;
-import nettletrail.core.LoopClock;
-import nettletrail.core.Report;
+import nettletrail.core.RequestLimiter;
+import nettletrail.core.RequestValidator;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.http.ClientHandler;
@@ -39,7 +39,7 @@
  * buffers). It does harm where a front door is missed more while it warms up than it would lose cold, so its time is
  * bounded.
  */
-final class DryRun implements ClientHandler.Owner {
+final class FrontDoorWarmUp implements ClientHandler.Owner {
     private static final int REQUESTS = 250;
     private static final int CLIENTS = 4;
     private static final long MOST_MS = 2_000;
@@ -53,29 +53,31 @@
     private final Gateway.Settings settings;
     private final List<String> classes;
     private final List<String> plans;
-    private final Intake intake;
+    private final RequestValidator intake;
     private final BackendPool pool;
     private final Dispatcher dispatcher;
     private final ChannelGroup channels;
-    private final LocalAddress backend = new LocalAddress(DryRun.class);
-    private final LocalAddress door = new LocalAddress(DryRun.class);
+    private final LocalAddress backend = new LocalAddress(FrontDoorWarmUp.class);
+    private final LocalAddress door = new LocalAddress(FrontDoorWarmUp.class);
     private Runnable then;
     private long startedAt;
     private int sent;
     private int answered;
     private int served;
 
-    DryRun(EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings) {
+    FrontDoorWarmUp(EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings) {
         this.loop = loop;
         this.reader = reader;
         this.settings = settings;
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
-        intake = new Intake(reader, settings);
+        intake = new RequestValidator(reader, settings);
         channels = new DefaultChannelGroup(loop);
-        pool = new BackendPool(loop, new Report.Reader(reader), new Bootstrap().group(loop).channel(LocalChannel.class),
+        pool = new BackendPool(loop, new BackendReport.Reader(reader), new Bootstrap().group(loop)
+                .channel(LocalChannel.class),
                 Long.MAX_VALUE, CLIENTS * 2);
-        dispatcher = new Dispatcher(loop, new LoopClock(), Bound.NONE, List.of(pool), reader, settings, FrontDoor.MODULE);
+        dispatcher = new Dispatcher(loop, new EventLoopClock(), RequestLimiter.NONE, List.of(pool), reader, settings,
+                FrontDoor.GATEWAY_FACTORY);
     }
 
     /** Runs on the loop, between all else that it does; at the end, or when its time is up, goes on with what follows. */
@@ -83,7 +85,8 @@
         this.then = then;
         startedAt = System.nanoTime();
         loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
-        dispatcher.listed(true, List.of(new Endpoint(BACKEND, "", backend, "", "", 0, Gateway.DiscoveryState.READY, 1,
+        dispatcher.endpointsUpdated(true,
+                List.of(new Endpoint(BACKEND, "", backend, "", "", 0, Gateway.DiscoveryState.READY, 1,
                 0)));
         listen(backend, new ChannelInitializer<>() {
             @Override
@@ -96,7 +99,7 @@
             @Override
             protected void initChannel(Channel made) {
                 channels.add(made);
-                ClientHandler.add(made.pipeline(), DryRun.this, intake, dispatcher, pool);
+                ClientHandler.add(made.pipeline(), FrontDoorWarmUp.this, intake, dispatcher, pool);
             }
         });
         for (int i = 0; i < CLIENTS; i++) {
--- a/front-door/src/main/java/nettletrail/door/Main.java
+++ b/front-door/src/main/java/nettletrail/door/Main.java
@@ -1,7 +1,7 @@
 package nettletrail.door;
 
 import java.io.IOException;
-import nettletrail.core.Additions;
+import nettletrail.core.FrontDoorExtensions;
 import nettletrail.decision.InvalidInputException;
 import nettletrail.sim.WireHost;
 
@@ -15,7 +15,7 @@
     public static void main(String[] args) throws InterruptedException {
         String what = args.length == 1 ? args[0] : "";
         switch (what) {
-            case "serve" -> FrontDoor.serve(System.getenv(), Additions.NONE);
+            case "serve" -> FrontDoor.serve(System.getenv(), FrontDoorExtensions.NONE);
             case "adapter" -> adapt();
             default -> {
                 System.err.println("usage: java -jar nettletrail.jar serve|adapter");
--- a/front-door/src/main/java/nettletrail/http/ClientHandler.java
+++ b/front-door/src/main/java/nettletrail/http/ClientHandler.java
@@ -17,14 +17,14 @@
 import io.netty.util.ReferenceCountUtil;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import nettletrail.core.Admission;
-import nettletrail.core.Arrival;
-import nettletrail.core.Carrier;
-import nettletrail.core.Client;
+import nettletrail.core.AttemptTransport;
+import nettletrail.core.Authorizer;
 import nettletrail.core.Dispatcher;
-import nettletrail.core.Fields;
-import nettletrail.core.Intake;
-import nettletrail.core.Unread;
+import nettletrail.core.HeaderLookup;
+import nettletrail.core.InboundRequest;
+import nettletrail.core.PendingInput;
+import nettletrail.core.RequestClient;
+import nettletrail.core.RequestValidator;
 import nettletrail.upstream.BackendPool;
 import nettletrail.upstream.HeadBytes;
 
@@ -32,7 +32,7 @@
  * One client connection: requests are checked and handed on one at a time, and each gets one final answer, in the
  * order in which they came.
  */
-public final class ClientHandler extends ChannelInboundHandlerAdapter implements Client {
+public final class ClientHandler extends ChannelInboundHandlerAdapter implements RequestClient {
     /** Requests that wait behind the open one, and their bytes. What a client sends beyond is refused, in its turn. */
     private static final int MOST_WAITING = 64;
     private static final int MOST_WAITING_BYTES = 128 << 10;
@@ -65,9 +65,9 @@
     private record Waiting(FullHttpRequest request, long since) { }
 
     private final Owner owner;
-    private final Intake intake;
+    private final RequestValidator intake;
     private final Dispatcher dispatcher;
-    private final Carrier carrier;
+    private final AttemptTransport carrier;
     private final RequestDecoder decoder = new RequestDecoder();
     private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
     /** Answers to what came behind all that waits. */
@@ -75,7 +75,7 @@
     private Channel channel;
     /** From where on there are only bytes. */
     private ChannelHandlerContext wire;
-    private Dispatcher.Live live;
+    private Dispatcher.ActiveRequest live;
     /** For the answer that is being written, or null. */
     private String challenge;
     private boolean open;
@@ -98,7 +98,7 @@
     private long unwrittenBefore;
     private long unwrittenSince;
 
-    private ClientHandler(Owner owner, Intake intake, Dispatcher dispatcher, Carrier carrier) {
+    private ClientHandler(Owner owner, RequestValidator intake, Dispatcher dispatcher, AttemptTransport carrier) {
         this.owner = owner;
         this.intake = intake;
         this.dispatcher = dispatcher;
@@ -106,7 +106,8 @@
     }
 
     /** All that a client's connection is made of. */
-    public static void add(ChannelPipeline to, Owner owner, Intake intake, Dispatcher dispatcher, Carrier carrier) {
+    public static void add(ChannelPipeline to, Owner owner, RequestValidator intake, Dispatcher dispatcher,
+            AttemptTransport carrier) {
         ClientHandler handler = new ClientHandler(owner, intake, dispatcher, carrier);
         // The encoder is the aggregator's, for its 100 Continue; answers are written from before it.
         to.addLast(handler.decoder, new HttpResponseEncoder(), new RequestAggregator(BackendPool.MAX_BODY_BYTES, handler::tooLarge), handler);
@@ -130,9 +131,9 @@
         owner.connectionClosed(this);
         dropWaiting();
         if (live != null) {
-            Dispatcher.Live left = live;
+            Dispatcher.ActiveRequest left = live;
             live = null;
-            left.departed();
+            left.clientDisconnected();
         }
     }
 
@@ -184,8 +185,9 @@
         } else if (!isForBackends(path)) {
             return HttpResponseStatus.NOT_FOUND;
         }
-        Arrival arrival = intake.arrival(request.method(), uri, new Fields(request.headers()), request.content(), System.nanoTime());
-        return arrival == null || !dispatcher.isNew(arrival.txn()) ? HttpResponseStatus.BAD_REQUEST
+        InboundRequest arrival = intake.validate(request.method(), uri, new HeaderLookup(request.headers()),
+                request.content(), System.nanoTime());
+        return arrival == null || !dispatcher.isUnusedId(arrival.requestId()) ? HttpResponseStatus.BAD_REQUEST
                 : HttpResponseStatus.TOO_MANY_REQUESTS;
     }
 
@@ -206,9 +208,9 @@
         }
         takingUp = true;
         try {
-            boolean old = first || dispatcher.late();
+            boolean old = first || dispatcher.isLoopLate();
             first = false;
-            if (!old || look()) {
+            if (!old || readPending()) {
                 handleNext();
             }
         } finally {
@@ -217,9 +219,9 @@
     }
 
     @Override
-    public boolean look() {
+    public boolean readPending() {
         if (channel.isActive()) {
-            Unread.take(channel);
+            PendingInput.readAll(channel);
             if (!channel.isActive()) {
                 gone(); // the channel itself tells it only in a turn of its own
             }
@@ -307,7 +309,7 @@
      * @return whether it is closed
      */
     public boolean closeIfEvictable() {
-        if (evictionRank() == NOT_EVICTABLE || look() && evictionRank() == NOT_EVICTABLE) {
+        if (evictionRank() == NOT_EVICTABLE || readPending() && evictionRank() == NOT_EVICTABLE) {
             return false;
         }
         channel.close();
@@ -320,11 +322,11 @@
         if (ended ? nowNanos - idleSince > timeoutNanos && (deaf || unwritten() == 0) : deaf) {
             channel.close(); // it does not take its answers
         } else if (half() && nowNanos - (asked ? partSince : openedAt) > timeoutNanos) {
-            if (look() && half()) {
+            if (readPending() && half()) {
                 refuseToRead(HttpResponseStatus.REQUEST_TIMEOUT);
             }
         } else if (isIdle() && nowNanos - idleSince > timeoutNanos) {
-            if (look() && isIdle()) {
+            if (readPending() && isIdle()) {
                 channel.close();
             }
         }
@@ -358,15 +360,15 @@
             } else if (!isForBackends(path)) {
                 answer(HttpResponseStatus.NOT_FOUND);
             } else {
-                Arrival arrival = intake.arrival(request.method(), uri,
-                        new Fields(request.headers()), request.content(), since);
-                if (arrival == null || !dispatcher.isNew(arrival.txn())) {
+                InboundRequest arrival = intake.validate(request.method(), uri,
+                        new HeaderLookup(request.headers()), request.content(), since);
+                if (arrival == null || !dispatcher.isUnusedId(arrival.requestId())) {
                     // Never 429 or 503, which say that the same request may be sent again.
                     answer(HttpResponseStatus.BAD_REQUEST);
                 } else {
                     handedOn = true;
-                    Dispatcher.Live taken = dispatcher.arrived(arrival, this, carrier);
-                    live = taken.over() ? live : taken;
+                    Dispatcher.ActiveRequest taken = dispatcher.accept(arrival, this, carrier);
+                    live = taken.isEnded() ? live : taken;
                 }
             }
         } finally {
@@ -403,7 +405,7 @@
     }
 
     @Override
-    public void refused(long retryAfterNs) {
+    public void rejected(long retryAfterNs) {
         answer(HttpResponseStatus.TOO_MANY_REQUESTS, Unpooled.EMPTY_BUFFER, null, retryAfter(retryAfterNs));
     }
 
@@ -413,9 +415,9 @@
     }
 
     @Override
-    public void denied(Admission.Denial denial) {
+    public void denied(Authorizer.Denial denial) {
         challenge = denial.challenge().isEmpty() ? null : denial.challenge();
-        answer(HttpResponseStatus.valueOf(denial.status()), denial.text(), retryAfter(denial.retryAfterNs()));
+        answer(HttpResponseStatus.valueOf(denial.status()), denial.message(), retryAfter(denial.retryAfterNanos()));
     }
 
     private static String retryAfter(long ns) {
--- a/front-door/src/main/java/nettletrail/http/RequestHeadValidator.java
+++ b/front-door/src/main/java/nettletrail/http/RequestHeadValidator.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.Iterator;
 import java.util.Map;
-import nettletrail.core.Intake;
+import nettletrail.core.RequestValidator;
 import nettletrail.upstream.StrictFraming;
 
 /**
@@ -22,8 +22,9 @@
  */
 public final class RequestHeadValidator {
     private static final AsciiString HOST = AsciiString.cached("Host");
-    private static final AsciiString[] ONCE = {Intake.TXN, Intake.LANE, Intake.PLAN, Intake.CUSTOMER, Intake.REMAINING,
-        Intake.QUOTA, Intake.AUTHORIZATION, HOST};
+    private static final AsciiString[] ONCE = {RequestValidator.TXN, RequestValidator.LANE, RequestValidator.PLAN,
+            RequestValidator.CUSTOMER, RequestValidator.REMAINING,
+        RequestValidator.QUOTA, RequestValidator.AUTHORIZATION, HOST};
     private static final String CUT_OFF = "http://";
     /** Beside letters and digits, what a host and its port are made of (RFC 3986 section 3.2.2), without the comma. */
     private static final String HOST_MARKS = "-._~!$&'()*+;=%:[]";
--- a/front-door/src/main/java/nettletrail/upstream/BackendPool.java
+++ b/front-door/src/main/java/nettletrail/upstream/BackendPool.java
@@ -27,13 +27,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Arrival;
-import nettletrail.core.Attempt;
-import nettletrail.core.Carrier;
+import nettletrail.core.AttemptTransport;
+import nettletrail.core.BackendAttempt;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Fields;
-import nettletrail.core.Intake;
-import nettletrail.core.Report;
+import nettletrail.core.HeaderLookup;
+import nettletrail.core.InboundRequest;
+import nettletrail.core.RequestValidator;
 import nettletrail.decision.Gateway.DiscoveryState;
 import nettletrail.decision.Gateway.Outcome;
 
@@ -41,7 +41,7 @@
  * The connections to each backend, one request at a time on each, and how an attempt on one of them ends. An
  * attempt is written once: nothing here sends it again.
  */
-public final class BackendPool implements Carrier {
+public final class BackendPool implements AttemptTransport {
     /** The largest body that the protocol knows. */
     public static final int MAX_BODY_BYTES = 64 << 10;
     /**
@@ -54,8 +54,8 @@
     private static final byte[] GET = HeadBytes.constant("GET ");
     private static final byte[] SPACE = HeadBytes.constant(" ");
     private static final byte[] HOST =
-            HeadBytes.constant(" HTTP/1.1\r\nhost: service.internal\r\n" + Intake.TXN + ": ");
-    private static final byte[] REMAINING = HeadBytes.constant("\r\n" + Intake.REMAINING + ": ");
+            HeadBytes.constant(" HTTP/1.1\r\nhost: service.internal\r\n" + RequestValidator.TXN + ": ");
+    private static final byte[] REMAINING = HeadBytes.constant("\r\n" + RequestValidator.REMAINING + ": ");
     private static final byte[] LENGTH = HeadBytes.constant("\r\ncontent-length: ");
     private static final byte[] END = HeadBytes.constant("\r\n\r\n");
     private static final AsciiString TURNED_AWAY = AsciiString.cached("X-Turned-Away");
@@ -85,23 +85,23 @@
     private static final int MOST_RESTING = 24;
 
     /** An attempt, and the connection that it is on. */
-    private static final class Ride implements Carriage {
-        private final Attempt attempt;
+    private static final class Ride implements StartedAttempt {
+        private final BackendAttempt attempt;
         private Backend backend;
         private Connection connection;
 
-        Ride(Attempt attempt) {
+        Ride(BackendAttempt attempt) {
             this.attempt = attempt;
         }
 
         @Override
-        public boolean unsent() {
+        public boolean isUnsent() {
             return connection == null;
         }
 
         /** Closed first: told before, the module could send the request again while this attempt is still out. */
         @Override
-        public Outcome abandon() {
+        public Outcome cancel() {
             Connection left = connection;
             if (left == null) {
                 backend.waiting.remove(this);
@@ -129,12 +129,12 @@
 
     /** How a request's head is written to a backend. */
     public interface HeadEncoder {
-        HeadBytes encode(Attempt attempt);
+        HeadBytes encode(BackendAttempt attempt);
     }
 
     private final EventLoop loop;
     private final HeadEncoder headEncoder;
-    private final Report.Reader reports;
+    private final BackendReport.Reader reports;
     private final Bootstrap bootstrap;
     private final long idleNs;
     private final int most;
@@ -151,12 +151,13 @@
      * @param idleNs a backend closes a connection that has stood idle for so long
      * @param most connections to all backends together
      */
-    public BackendPool(EventLoop loop, Report.Reader reports, long connectTimeoutNs, long idleNs, int most) {
+    public BackendPool(EventLoop loop, BackendReport.Reader reports, long connectTimeoutNs, long idleNs, int most) {
         this(loop, reports, BackendPool::head, connectTimeoutNs, idleNs, most);
     }
 
     /** The same to servers that want other heads. */
-    public BackendPool(EventLoop loop, Report.Reader reports, HeadEncoder headEncoder, long connectTimeoutNs, long idleNs, int most) {
+    public BackendPool(EventLoop loop, BackendReport.Reader reports, HeadEncoder headEncoder, long connectTimeoutNs, long idleNs,
+            int most) {
         this(loop, reports, headEncoder, new Bootstrap().group(loop).channelFactory(PeekingChannel.factory())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutNs / 1_000_000)), idleNs, most);
@@ -164,11 +165,12 @@
     }
 
     /** One whose connections are no sockets, and which nobody sweeps: it lives for a moment. */
-    public BackendPool(EventLoop loop, Report.Reader reports, Bootstrap bootstrap, long idleNs, int most) {
+    public BackendPool(EventLoop loop, BackendReport.Reader reports, Bootstrap bootstrap, long idleNs, int most) {
         this(loop, reports, BackendPool::head, bootstrap, idleNs, most);
     }
 
-    private BackendPool(EventLoop loop, Report.Reader reports, HeadEncoder headEncoder, Bootstrap bootstrap, long idleNs, int most) {
+    private BackendPool(EventLoop loop, BackendReport.Reader reports, HeadEncoder headEncoder, Bootstrap bootstrap, long idleNs,
+            int most) {
         this.loop = loop;
         this.headEncoder = headEncoder;
         this.reports = reports;
@@ -180,7 +182,7 @@
 
     /** Attempts that wait for a backend now closed to them have ended. */
     @Override
-    public void listed(boolean whole, List<Endpoint> entries) {
+    public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
         if (whole) {
             backends.values().forEach(backend -> backend.open = false);
         }
@@ -189,11 +191,11 @@
             backend.open = entry.state() == DiscoveryState.READY;
             // Connections to a process that is gone, or to where it is no longer, are of no use.
             boolean moved = entry.address() != null && !entry.address().equals(backend.address);
-            if (moved || entry.sinceMs() != backend.sinceMs) {
+            if (moved || entry.startedAtMs() != backend.sinceMs) {
                 closeIdle(backend);
             }
             backend.address = moved ? entry.address() : backend.address;
-            backend.sinceMs = entry.sinceMs();
+            backend.sinceMs = entry.startedAtMs();
         }
         for (Backend backend : List.copyOf(backends.values())) {
             if (!backend.open) {
@@ -215,9 +217,9 @@
     }
 
     @Override
-    public Carriage start(Attempt attempt) {
+    public StartedAttempt start(BackendAttempt attempt) {
         Ride ride = new Ride(attempt);
-        boolean wanted = attempt.wanted(); // before the list is looked at: it may have changed by this
+        boolean wanted = attempt.isWanted(); // before the list is looked at: it may have changed by this
         Backend backend = backends.get(attempt.backendId());
         if (!wanted || backend == null || !backend.open) {
             attempt.ended(Outcome.NEVER_SENT);
@@ -282,8 +284,8 @@
     }
 
     /** The request's head as it is written to a backend. */
-    private static HeadBytes head(Attempt attempt) {
-        Arrival arrival = attempt.arrival();
+    private static HeadBytes head(BackendAttempt attempt) {
+        InboundRequest arrival = attempt.request();
         boolean get = arrival.method() == HttpMethod.GET;
         HeadBytes head = new HeadBytes(EXPECTED_HEAD);
         if (get) {
@@ -291,7 +293,7 @@
         } else {
             head.add(arrival.method().name()).add(SPACE);
         }
-        head.add(arrival.uri()).add(HOST).add(arrival.txn()).add(REMAINING).add(attempt.remainingMs());
+        head.add(arrival.uri()).add(HOST).add(arrival.requestId()).add(REMAINING).add(attempt.remainingMs());
         if (!get) {
             head.add(LENGTH).add(arrival.body().readableBytes());
         }
@@ -367,7 +369,7 @@
     /** A connection is free for the next attempt. */
     private void ready(Connection connection) {
         Backend backend = connection.backend;
-        for (Ride first = backend.waiting.peekFirst(); first != null && !first.attempt.wanted();
+        for (Ride first = backend.waiting.peekFirst(); first != null && !first.attempt.isWanted();
                 first = backend.waiting.peekFirst()) {
             if (backend.waiting.remove(first)) { // else it has been abandoned by what was heard
                 first.attempt.ended(Outcome.NEVER_SENT);
@@ -463,9 +465,9 @@
             ride = next;
             next.connection = this;
             written = false;
-            next.attempt.wrote();
+            next.attempt.sendStarted();
             age = idleSince == 0 ? -1 : System.nanoTime() - idleSince;
-            headEncoder.encode(next.attempt).writeTo(wire, next.attempt.arrival().body(), channel.newPromise()).addListener(this);
+            headEncoder.encode(next.attempt).writeTo(wire, next.attempt.request().body(), channel.newPromise()).addListener(this);
         }
 
         /**
@@ -536,7 +538,7 @@
             } else {
                 channel.close();
             }
-            ended.attempt.ended(outcome, reports.read(new Fields(answer.headers())), whole,
+            ended.attempt.ended(outcome, reports.read(new HeaderLookup(answer.headers())), whole,
                     answer.headers().get(HttpHeaderNames.CONTENT_TYPE));
             gathered.release();
         }
