--- a/front-door/src/test/java/nettletrail/core/AtTheDoorTest.java
+++ b/front-door/src/test/java/nettletrail/core/AtTheDoorTest.java
@@ -20,7 +20,7 @@
 
 /** The seam between dispatcher, admission, bound and module: who hears what, once, and when. */
 class AtTheDoorTest {
-    private static final Admission.Denial DENIAL = new Admission.Denial(401, "Bearer", "no", 0);
+    private static final Authorizer.Denial DENIAL = new Authorizer.Denial(401, "Bearer", "no", 0);
     private static final String SETTINGS = "Services.count=1\nServices.0.Name=s\nServices.0.Aim=1000000000\n"
             + "Services.0.Effect=single_shot\nTiersOfService.count=1\nTiersOfService.0.Name=t";
 
@@ -29,11 +29,11 @@
     /** Each thing that somebody heard, in order. */
     private final List<String> heard = new ArrayList<>();
     private final ByteBuf body = Unpooled.buffer().writeByte(1);
-    private Admission.Word word = new Admission.Wait();
-    private Admission.Waiting waiting;
-    private Admission.Withdrawn withdrawn;
+    private Authorizer.Decision word = new Authorizer.Pending();
+    private Authorizer.AuthorizationCallback waiting;
+    private Authorizer.RevocationListener withdrawn;
     private Gateway.Actions module;
-    private Attempt attempt;
+    private BackendAttempt attempt;
     private Dispatcher dispatcher;
 
     @AfterEach
@@ -41,21 +41,21 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private final class Door implements Admission {
+    private final class Door implements Authorizer {
         @Override
-        public Word ask(long id, Arrival arrival, long leftNs, Waiting listener) {
+        public Decision authorize(long id, InboundRequest arrival, long leftNs, AuthorizationCallback listener) {
             heard.add("asked");
             waiting = listener;
             return word;
         }
 
         @Override
-        public void left(long id, Arrival arrival) {
+        public void requestEnded(long id, InboundRequest arrival) {
             heard.add("left");
         }
 
         @Override
-        public void tells(Withdrawn listener) {
+        public void setRevocationListener(RevocationListener listener) {
             withdrawn = listener;
         }
     }
@@ -86,14 +86,14 @@
         public void onTimer(long now, int token) { }
     }
 
-    private final class Asker implements Client {
+    private final class Asker implements RequestClient {
         @Override
         public void served(ByteBuf answer, String contentType) {
             heard.add("served");
         }
 
         @Override
-        public void refused(long retryAfterNs) {
+        public void rejected(long retryAfterNs) {
             heard.add("refused");
         }
 
@@ -103,27 +103,27 @@
         }
 
         @Override
-        public void denied(Admission.Denial denial) {
+        public void denied(Authorizer.Denial denial) {
             heard.add("denied");
         }
     }
 
-    private final class Wire implements Carrier {
+    private final class Wire implements AttemptTransport {
         @Override
-        public void listed(boolean whole, List<Endpoint> entries) { }
+        public void endpointsUpdated(boolean whole, List<Endpoint> entries) { }
 
         @Override
-        public Carriage start(Attempt started) {
+        public StartedAttempt start(BackendAttempt started) {
             heard.add("sent");
             attempt = started;
-            return new Carriage() {
+            return new StartedAttempt() {
                 @Override
-                public boolean unsent() {
+                public boolean isUnsent() {
                     return false;
                 }
 
                 @Override
-                public Outcome abandon() {
+                public Outcome cancel() {
                     return Outcome.TIMED_OUT;
                 }
             };
@@ -141,27 +141,29 @@
         }).get(10, TimeUnit.SECONDS);
     }
 
-    private Dispatcher.Live arrive(long remainingMs) {
+    private Dispatcher.ActiveRequest arrive(long remainingMs) {
         Wire wire = new Wire();
-        Bound bound = new Bound() {
+        RequestLimiter bound = new RequestLimiter() {
             @Override
-            public boolean take(Arrival arrival) {
+            public boolean tryAcquire(InboundRequest arrival) {
                 heard.add("bound: taken");
                 return true;
             }
 
             @Override
-            public void giveBack(Arrival arrival) {
+            public void release(InboundRequest arrival) {
                 heard.add("bound: given back");
             }
         };
         GatewaySettingsReader reader = new GatewaySettingsReader(SETTINGS);
-        dispatcher = new Dispatcher(loop, new LoopClock(), new Door(), bound, List.of(wire), reader, reader.settings(1),
+        dispatcher = new Dispatcher(loop, new EventLoopClock(), new Door(), bound, List.of(wire), reader,
+                reader.settings(1),
                 (settings, now, actions) -> {
                     module = actions;
                     return new Module();
                 });
-        return dispatcher.arrived(new Arrival(HttpMethod.POST, "/", "0000000000000001", 0, 0, 1, 1, 1, remainingMs, body,
+        return dispatcher.accept(new InboundRequest(HttpMethod.POST, "/", "0000000000000001", 0, 0, 1, 1, 1,
+                remainingMs, body,
                 Long.MAX_VALUE), new Asker(), wire);
     }
 
@@ -170,7 +172,7 @@
     }
 
     private void over() {
-        assertEquals(0, dispatcher.held());
+        assertEquals(0, dispatcher.activeRequestCount());
         assertEquals(0, body.refCnt(), "its body is released");
     }
 
@@ -179,7 +181,7 @@
         onLoop(() -> {
             arrive(3_000);
             heard("asked");
-            waiting.admitted();
+            waiting.allowed();
             heard("asked", "bound: taken", "module: arrived");
             module.reject(1, 0);
             heard("asked", "bound: taken", "module: arrived", "bound: given back", "refused");
@@ -201,7 +203,7 @@
     void whoIsDeniedAtOnceIsToo() throws Exception {
         onLoop(() -> {
             word = DENIAL;
-            assertTrue(arrive(3_000).over());
+            assertTrue(arrive(3_000).isEnded());
             heard("asked", "denied");
             over();
         });
@@ -210,7 +212,7 @@
     @Test
     void whoLeavesWhileItWaitsIsForgotten() throws Exception {
         onLoop(() -> {
-            arrive(3_000).departed();
+            arrive(3_000).clientDisconnected();
             heard("asked", "left");
             over();
         });
@@ -222,7 +224,7 @@
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         boolean[] ended = new boolean[1];
         while (!ended[0] && System.nanoTime() < until) {
-            onLoop(() -> ended[0] = dispatcher.held() == 0);
+            onLoop(() -> ended[0] = dispatcher.activeRequestCount() == 0);
         }
         onLoop(() -> {
             heard("asked", "left", "failed 504");
@@ -232,11 +234,11 @@
 
     @Test
     void whatIsWithdrawnInTheQueueIsTurnedAwayAndWhatIsOutIsNot() throws Exception {
-        Predicate<Arrival> all = arrival -> true;
+        Predicate<InboundRequest> all = arrival -> true;
         onLoop(() -> {
-            word = new Admission.Pass();
+            word = new Authorizer.Allowed();
             arrive(3_000);
-            withdrawn.turnAway(all, DENIAL);
+            withdrawn.revoked(all, DENIAL);
             heard("asked", "bound: taken", "module: arrived", "bound: given back", "denied", "module: departed");
             over();
             heard.clear();
@@ -247,13 +249,13 @@
     @Test
     void whatIsOutEndsAsItEnds() throws Exception {
         onLoop(() -> {
-            word = new Admission.Pass();
+            word = new Authorizer.Allowed();
             arrive(3_000);
             module.send(1, 7, 0);
             heard.clear();
-            withdrawn.turnAway(arrival -> true, DENIAL);
+            withdrawn.revoked(arrival -> true, DENIAL);
             heard();
-            attempt.ended(Outcome.OK, Report.NONE, Unpooled.EMPTY_BUFFER, null);
+            attempt.ended(Outcome.OK, BackendReport.NONE, Unpooled.EMPTY_BUFFER, null);
             heard("served", "module: OK, ended");
             over();
         });
@@ -262,7 +264,7 @@
     @Test
     void aFurtherAttemptThatIsDeniedIsNeverSentAndSaysSoOnlyIfNothingCanHaveRun() throws Exception {
         onLoop(() -> {
-            word = new Admission.Pass();
+            word = new Authorizer.Allowed();
             arrive(3_000);
             module.send(1, 7, 0);
             attempt.ended(Outcome.ERROR);
@@ -278,7 +280,7 @@
     @Test
     void aFurtherAttemptAfterOneThatReachedNobodyIsDeniedAsOneThatWasNeverSent() throws Exception {
         onLoop(() -> {
-            word = new Admission.Pass();
+            word = new Authorizer.Allowed();
             arrive(3_000);
             module.send(1, 7, 0);
             attempt.ended(Outcome.CONNECT_FAILED);
@@ -293,15 +295,15 @@
     @Test
     void aFurtherAttemptThatWaitsIsSentWhenAdmittedAndGivenUpWithItsTimeOut() throws Exception {
         onLoop(() -> {
-            word = new Admission.Pass();
+            word = new Authorizer.Allowed();
             arrive(3_000);
             module.send(1, 7, 0);
             attempt.ended(Outcome.CONNECT_FAILED);
-            word = new Admission.Wait();
+            word = new Authorizer.Pending();
             heard.clear();
             module.send(1, 8, 0);
             heard("asked");
-            waiting.admitted();
+            waiting.allowed();
             heard("asked", "sent");
             attempt.ended(Outcome.CONNECT_FAILED);
             heard.clear();
--- a/front-door/src/test/java/nettletrail/core/LogTest.java
+++ b/front-door/src/test/java/nettletrail/core/LogTest.java
@@ -25,7 +25,7 @@
     void whatLibrariesLogIsOneLineOfOurs() {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
-        Log.takeOver();
+        Log.install();
         Logger.getLogger("io.netty").log(Level.WARNING, "accept", new IOException("Too many open files"));
         String text = written.toString(StandardCharsets.UTF_8);
         assertTrue(text.contains("Z accept: java.io.IOException: Too many open files at "), text);
--- a/front-door/src/test/java/nettletrail/core/PairsTest.java
+++ b/front-door/src/test/java/nettletrail/core/PairsTest.java
@@ -11,14 +11,14 @@
         String[] none = {null, "", ".", "..", "1.2.3", "1..", "-1", "+1", "1e3", "NaN", "0x1p3", "5d", " 1", "1 ", "\u0661",
             "1234567890123"};
         for (String text : none) {
-            assertEquals(Double.NaN, Pairs.number(text), text);
-            assertEquals(-1, Pairs.whole(text), text);
+            assertEquals(Double.NaN, HeaderPairs.number(text), text);
+            assertEquals(-1, HeaderPairs.whole(text), text);
         }
-        assertEquals(5, Pairs.number("5."));
-        assertEquals(0.5, Pairs.number(".5"));
-        assertEquals(7, Pairs.whole("007"));
-        assertEquals(-1, Pairs.whole("7.0"));
-        assertEquals(999_999_999_999L, Pairs.whole("999999999999"));
+        assertEquals(5, HeaderPairs.number("5."));
+        assertEquals(0.5, HeaderPairs.number(".5"));
+        assertEquals(7, HeaderPairs.whole("007"));
+        assertEquals(-1, HeaderPairs.whole("7.0"));
+        assertEquals(999_999_999_999L, HeaderPairs.whole("999999999999"));
     }
 
     @Test
@@ -28,16 +28,16 @@
             String digits = Long.toString(random.nextLong(100_000_000_000L));
             int point = random.nextInt(digits.length() + 1);
             String text = digits.substring(0, point) + "." + digits.substring(point);
-            assertEquals(Double.parseDouble(text), Pairs.number(text), text);
+            assertEquals(Double.parseDouble(text), HeaderPairs.number(text), text);
         }
     }
 
     @Test
     void aValueIsFoundByItsWholeName() {
         String text = "units=2.5, spread=3,first=0,x";
-        assertEquals("2.5", Pairs.value(text, "units"));
-        assertEquals("3", Pairs.value(text, "spread"));
-        assertEquals(null, Pairs.value(text, "nits"));
-        assertEquals(null, Pairs.value(text, "x"));
+        assertEquals("2.5", HeaderPairs.value(text, "units"));
+        assertEquals("3", HeaderPairs.value(text, "spread"));
+        assertEquals(null, HeaderPairs.value(text, "nits"));
+        assertEquals(null, HeaderPairs.value(text, "x"));
     }
 }
--- a/front-door/src/test/java/nettletrail/core/UnreadTest.java
+++ b/front-door/src/test/java/nettletrail/core/UnreadTest.java
@@ -57,7 +57,7 @@
                 Channel channel = taken.take();
                 look = group.next().submit(() -> {
                     gone.await();
-                    Unread.take(channel);
+                    PendingInput.readAll(channel);
                     return channel.isActive();
                 });
                 client.getOutputStream().write(new byte[40_000]);
--- a/front-door/src/test/java/nettletrail/discovery/BusyDiscoveryTest.java
+++ b/front-door/src/test/java/nettletrail/discovery/BusyDiscoveryTest.java
@@ -28,12 +28,12 @@
         final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
 
         @Override
-        public void listed(boolean whole, List<Endpoint> entries) {
+        public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
             told.add("list");
         }
 
         @Override
-        public void listFailed() {
+        public void discoveryFailed() {
             told.add("failed");
         }
     }
--- a/front-door/src/test/java/nettletrail/discovery/SilentWatchTest.java
+++ b/front-door/src/test/java/nettletrail/discovery/SilentWatchTest.java
@@ -45,12 +45,12 @@
         DiscoveryClient discovery = new DiscoveryClient(loop, (InetSocketAddress) agent.getLocalSocketAddress(), index, 7,
                 new Endpoint.Listener() {
                     @Override
-                    public void listed(boolean whole, List<Endpoint> entries) {
+                    public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
                         told.add((whole ? "whole " : "changes ") + entries.stream().map(Endpoint::name).toList());
                     }
 
                     @Override
-                    public void listFailed() { }
+                    public void discoveryFailed() { }
                 });
         loop.execute(discovery::poll);
         return discovery;
--- a/front-door/src/test/java/nettletrail/door/ClientsThatLeftTest.java
+++ b/front-door/src/test/java/nettletrail/door/ClientsThatLeftTest.java
@@ -91,7 +91,7 @@
         module.release();
         neverSent();
         nothingComes();
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     /** The whole of it lies unread, and behind it that the client has gone. */
@@ -109,7 +109,7 @@
         assertEquals(502, other.read().status());
         nothingComes();
         assertTrue(module.arrivals.isEmpty(), "nobody asks for it");
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     @ParameterizedTest
@@ -131,7 +131,7 @@
                 leave(client, reset);
                 module.release();
                 neverSent();
-                assertEquals(0, door.held());
+                assertEquals(0, door.activeRequestCount());
                 rig.client().write(Rig.request("look", "c", 30_000, ""));
                 assertEquals(Rig.txn("c"), up.read().header("X-Txn"), "the first that comes on it is another's");
             }
@@ -192,7 +192,7 @@
             module.release();
             assertEquals(Gateway.Outcome.FULL, HeldModule.next(module.answers).outcome());
             neverSent();
-            assertEquals(0, door.held());
+            assertEquals(0, door.activeRequestCount());
             rig.client().write(Rig.request("look", "c", 30_000, ""));
             assertEquals(Rig.txn("c"), server.read().header("X-Txn"), "the next that comes is another's");
         }
@@ -218,17 +218,17 @@
         module.answer = told -> {
             if (told.outcome() == Gateway.Outcome.CONNECT_FAILED) {
                 module.hold();
-                module.actions.send(request.id(), Endpoint.id("s-1"), 0);
+                module.actions.send(request.id(), Endpoint.idOf("s-1"), 0);
             }
         };
-        door.loop().execute(() -> module.actions.send(request.id(), Endpoint.id("s-2"), 0));
+        door.loop().execute(() -> module.actions.send(request.id(), Endpoint.idOf("s-2"), 0));
         module.awaitHeld();
         client.close();
         module.release();
         assertEquals(Gateway.Outcome.CONNECT_FAILED, HeldModule.next(module.answers).outcome());
         neverSent();
         nothingComes();
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     /** All places are taken, so that nobody is taken in: who then comes, asks and leaves lies in the kernel's queue. */
@@ -251,7 +251,7 @@
         assertEquals(404, next.read().status());
         assertTrue(module.arrivals.isEmpty(), "nobody asks for it");
         nothingComes();
-        assertEquals(8, door.held());
+        assertEquals(8, door.activeRequestCount());
     }
 
     @Test
@@ -269,7 +269,7 @@
             server.answer("200 OK", "", "");
         }
         nothingComes();
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     /** It sent more than is read as requests: what follows is thrown away, but that it leaves is seen. */
@@ -291,7 +291,7 @@
         neverSent();
         assertTrue(module.arrivals.isEmpty());
         nothingComes();
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     @ParameterizedTest
@@ -324,7 +324,7 @@
             neverSent();
         }
         nothingComes();
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
         drain.join();
     }
 }
--- a/front-door/src/test/java/nettletrail/door/ConfigTest.java
+++ b/front-door/src/test/java/nettletrail/door/ConfigTest.java
@@ -19,7 +19,8 @@
     private Path folder;
 
     private static void unusable(Map<String, String> env, String why) {
-        String message = assertThrows(Config.Unusable.class, () -> Config.read(env)).getMessage();
+        String message = assertThrows(FrontDoorConfig.InvalidConfigException.class, () -> FrontDoorConfig.read(env))
+                .getMessage();
         assertTrue(message.contains(why), message);
         assertFalse(message.contains("\n"), message);
     }
@@ -27,7 +28,7 @@
     @Test
     void nestedSettingsAreReadAsTheSimulatorsAre() throws Exception {
         try (Rig rig = new Rig(folder)) {
-            Config config = rig.config();
+            FrontDoorConfig config = rig.config();
             assertEquals(0xf0000000000000ffL, config.seed());
             assertEquals(List.of("look", "buy"), config.settings().names("Services"));
             assertEquals(List.of("a", "b"), config.settings().list("Dcs"));
--- a/front-door/src/test/java/nettletrail/door/DescriptorsTest.java
+++ b/front-door/src/test/java/nettletrail/door/DescriptorsTest.java
@@ -127,7 +127,7 @@
         crowd(says);
         isServedBy(backend, rig.client(), "a");
         drain.join();
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     /** Closed ones give their descriptors back only after the loop's turn: the end of listening takes in so many a turn, and all of them. */
--- a/front-door/src/test/java/nettletrail/door/EndingsTest.java
+++ b/front-door/src/test/java/nettletrail/door/EndingsTest.java
@@ -164,7 +164,7 @@
         drain.start();
         module.release();
         drain.join();
-        assertEquals(0, door.held(), "answered when the drain was over");
+        assertEquals(0, door.activeRequestCount(), "answered when the drain was over");
         assertEquals(502, client.read().status(), "as the module decides");
     }
 
@@ -185,7 +185,7 @@
         Peer.Message last = client.read();
         assertEquals(429, last.status());
         assertEquals("close", last.header("Connection"));
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
         assertTrue(server.ended());
     }
 
@@ -219,7 +219,7 @@
         server.answer("200 OK", "", "one");
         assertEquals("one", client.read().body());
         // Whoever looks for a connection anywhere ends the rests that are over.
-        module.arrival = request -> module.actions.send(request.id(), Endpoint.id("s-2"), 0);
+        module.arrival = request -> module.actions.send(request.id(), Endpoint.idOf("s-2"), 0);
         TimeUnit.MILLISECONDS.sleep(20); // at least so long; more does no harm
         client.write(Rig.request("look", "2", 30_000, ""));
         try (Peer other = Peer.accept(second)) {
@@ -241,7 +241,7 @@
         Peer server = freeConnection(rig.backend());
         rig.client().write(Rig.request("buy", "a", 30_000, "x"));
         Gateway.Request kept = HeldModule.next(module.arrivals);
-        module.afterHold = () -> module.actions.send(kept.id(), Endpoint.id("s-1"), 0);
+        module.afterHold = () -> module.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
         holdLoop("b");
         rig.watch.answer("200 OK", "", Rig.list(8, false, Rig.entry("s-1", backend.getLocalPort(), "DRAINING")));
         module.release();
@@ -255,7 +255,7 @@
         Peer server = freeConnection(rig.backend());
         Peer client = rig.client().write(Rig.request("buy", "c", 30_000, "x"));
         Gateway.Request kept = HeldModule.next(module.arrivals);
-        module.afterHold = () -> module.actions.send(kept.id(), Endpoint.id("s-1"), 0);
+        module.afterHold = () -> module.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
         holdLoop("d");
         server.shut();
         module.release();
--- a/front-door/src/test/java/nettletrail/door/FloodTest.java
+++ b/front-door/src/test/java/nettletrail/door/FloodTest.java
@@ -83,7 +83,7 @@
         }
         assertEquals(KEPT, module.arrivals.size(), "the module hears of those that were kept");
         assertEquals(404, client.write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n").read().status());
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     /** Several MB: what can't be read as requests any more is read all the same, and the connection ends with its last answer. */
@@ -96,7 +96,7 @@
         }
         assertEquals("close", client.read().header("Connection"));
         assertTrue(client.ended());
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     /** Of bodies no more is kept than 128 KB, and of those refused nothing. */
@@ -109,7 +109,7 @@
             assertEquals(429, client.read().status());
         }
         assertEquals(2, module.arrivals.size());
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     /** Never a word that the same request may be sent again where it may have run; and what is no request is told so. */
@@ -147,7 +147,7 @@
         assertTrue(module.arrivals.isEmpty());
         backend.setSoTimeout(100);
         assertThrows(SocketTimeoutException.class, backend::accept);
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 
     /** Nothing is asked for: the end alone tells, as soon as it has come through. */
@@ -165,6 +165,6 @@
         assertEquals(open.id(), HeldModule.next(module.departures));
         long tookMs = (System.nanoTime() - since) / 1_000_000;
         assertTrue(tookMs < 100, "took " + tookMs + " ms");
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
     }
 }
--- a/front-door/src/test/java/nettletrail/door/FrontDoorFormTest.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorFormTest.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import nettletrail.core.Additions;
-import nettletrail.decision.SettingsReader;
+import nettletrail.core.FrontDoorExtensions;
+import nettletrail.decision.GatewaySettingsReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -71,31 +71,31 @@
                 private final List<Backend> told = new ArrayList<>();
 
                 @Override
-                public void listed(long now, boolean whole, List<Backend> entries) {
+                public void onBackends(long now, boolean whole, List<Backend> entries) {
                     if (told.isEmpty()) { // the list held from before; the same comes from discovery
                         told.addAll(entries);
-                        entries.forEach(each -> lines.add("listed zone " + each.zone() + " kind " + each.kind()
-                                + " cell " + each.cell() + " size " + each.size() + " state "
+                        entries.forEach(each -> lines.add("listed zone " + each.zone() + " kind " + each.machineType()
+                                + " cell " + each.cell() + " size " + each.weight() + " state "
                                 + each.state().ordinal()));
                     }
                 }
 
                 @Override
-                public void arrived(long now, Request request) {
-                    long s = request.patienceNs() / 1_000_000_000L;
+                public void onRequest(long now, Request request) {
+                    long s = request.timeoutNanos() / 1_000_000_000L;
                     if (s > 20) {
                         actions.fail(request.id());
                     } else if (s > 5) {
-                        actions.refuse(request.id(), 1_500_000_000L);
+                        actions.reject(request.id(), 1_500_000_000L);
                     } else {
                         actions.send(request.id(), told.get(0).id(), 0);
                     }
                 }
 
                 @Override
-                public void answered(long now, Answer answer) {
-                    outcomes.add("told " + answer.outcome().ordinal() + " " + answer.usedPercent() + " "
-                            + answer.settledUnits());
+                public void onAttemptEnd(long now, AttemptReport answer) {
+                    outcomes.add("told " + answer.outcome().ordinal() + " " + answer.quotaUsedPercent() + " "
+                            + answer.actualUnits());
                     actions.fail(answer.requestId());
                 }
             };
@@ -156,7 +156,7 @@
             rig.start(Rig.entry("s-1", 1, "SERVING")); // reads two calls and has answered the first
         }
         try (Rig rig = new Rig(folder)) {
-            FrontDoor door = FrontDoor.start(rig.config(), FrontDoor.MODULE);
+            FrontDoor door = FrontDoor.start(rig.config(), FrontDoor.GATEWAY_FACTORY);
             try (Peer agent = Peer.accept(rig.discovery)) {
                 add("whole list", agent.read());
                 agent.answer("200 OK", "", Rig.list(41, true, Rig.entry("s-1", 1, "SERVING")));
@@ -180,14 +180,14 @@
     /** All that is made of the configuration, whatever its parts are called. */
     private static List<Object> read(Map<String, String> env) {
         try {
-            Config config = Config.read(env);
-            SettingsReader reader = config.settings();
-            return List.of(config.name(), config.listen(), config.discovery(), config.seed(), config.sockets(),
-                    config.known(), reader.settings(1), reader.index(), reader.aperture(Additions.NONE.aperture()),
-                    reader.reportFields(), reader.mostUnits(), reader.longestDeadlineNs(), reader.names("Services"),
+            FrontDoorConfig config = FrontDoorConfig.read(env);
+            GatewaySettingsReader reader = config.settings();
+            return List.of(config.name(), config.listen(), config.discovery(), config.seed(), config.maxSockets(),
+                    config.knownEndpoints(), reader.settings(1), reader.gatewayIndex(), reader.aperture(FrontDoorExtensions.NONE.aperture()),
+                    reader.loadReportFields(), reader.maxUnitsPerRequest(), reader.maxDeadlineNanos(), reader.names("Services"),
                     reader.names("TiersOfService"),
-                    Config.discoveryNow(env));
-        } catch (Config.Unusable unusable) {
+                    FrontDoorConfig.discoveryNow(env));
+        } catch (FrontDoorConfig.InvalidConfigException unusable) {
             return List.of("unusable");
         }
     }
--- a/front-door/src/test/java/nettletrail/door/FrontDoorTest.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorTest.java
@@ -996,7 +996,7 @@
     void aLoopThatIsLateClosesNoConnectionAsIdle() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
         rig.start((settings, now, actions) -> {
-            Gateway module = FrontDoor.MODULE.make(settings, now, actions);
+            Gateway module = FrontDoor.GATEWAY_FACTORY.create(settings, now, actions);
             return (Gateway) java.lang.reflect.Proxy.newProxyInstance(Gateway.class.getClassLoader(),
                     new Class<?>[] {Gateway.class}, (proxy, method, given) -> {
                         if (method.getName().equals("onRequest")) {
--- a/front-door/src/test/java/nettletrail/door/Rig.java
+++ b/front-door/src/test/java/nettletrail/door/Rig.java
@@ -13,8 +13,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Additions;
 import nettletrail.core.Dispatcher;
+import nettletrail.core.FrontDoorExtensions;
 import nettletrail.decision.Gateway;
 
 /** A front door on loopback sockets, with discovery and backends that the test plays. */
@@ -86,8 +86,8 @@
         return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", entries) + "]}";
     }
 
-    Config config() throws IOException, Config.Unusable {
-        return Config.read(env());
+    FrontDoorConfig config() throws IOException, FrontDoorConfig.InvalidConfigException {
+        return FrontDoorConfig.read(env());
     }
 
     Map<String, String> env() throws IOException {
@@ -104,17 +104,17 @@
     FrontDoor prepare(int port, String... entries) throws Exception {
         known = String.join(",", entries);
         listenPort = port;
-        door = FrontDoor.prepare(config(), FrontDoor.MODULE, Additions.NONE);
+        door = FrontDoor.prepare(config(), FrontDoor.GATEWAY_FACTORY, FrontDoorExtensions.NONE);
         return door;
     }
 
     /** Starts it with the project's own module. */
     FrontDoor start(String... entries) throws Exception {
-        return start(FrontDoor.MODULE, entries);
+        return start(FrontDoor.GATEWAY_FACTORY, entries);
     }
 
     /** Starts it and answers its first call with these entries. */
-    FrontDoor start(Dispatcher.Maker module, String... entries) throws Exception {
+    FrontDoor start(Dispatcher.GatewayFactory module, String... entries) throws Exception {
         known = String.join(",", entries);
         door = FrontDoor.start(config(), module);
         watch = Peer.accept(discovery);
@@ -205,7 +205,7 @@
         @Override
         public void onTimer(long now, int token) { }
 
-        Dispatcher.Maker module() {
+        Dispatcher.GatewayFactory module() {
             return (settings, now, asked) -> {
                 actions = asked;
                 return this;
--- a/front-door/src/test/java/nettletrail/door/RoughDayTest.java
+++ b/front-door/src/test/java/nettletrail/door/RoughDayTest.java
@@ -80,10 +80,10 @@
     /** What is run there must be what clients will use; a request that it got wrong would warm the refusals only. */
     @Test
     void theDryRunIsServedAndEnds() throws Exception {
-        Config config = rig.config();
+        FrontDoorConfig config = rig.config();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
-            DryRun run = new DryRun(group.next(), config.settings(), config.settings().settings(1));
+            FrontDoorWarmUp run = new FrontDoorWarmUp(group.next(), config.settings(), config.settings().settings(1));
             CountDownLatch ended = new CountDownLatch(1);
             group.next().execute(() -> run.start(ended::countDown));
             ended.await();
@@ -142,7 +142,7 @@
         Peer client = rig.client().write(Rig.request("look", "a", 9_000, ""));
         rig.keep(Peer.accept(backend)).read();
         door.drain();
-        assertEquals(0, door.held());
+        assertEquals(0, door.activeRequestCount());
         int status = client.read().status();
         assertTrue(status == 429 || status == 504, "as the module decides: " + status);
     }
--- a/front-door/src/test/java/nettletrail/upstream/AnswerBeforeRequestTest.java
+++ b/front-door/src/test/java/nettletrail/upstream/AnswerBeforeRequestTest.java
@@ -18,11 +18,11 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import nettletrail.core.Arrival;
-import nettletrail.core.Attempt;
-import nettletrail.core.Client;
+import nettletrail.core.BackendAttempt;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Report;
+import nettletrail.core.InboundRequest;
+import nettletrail.core.RequestClient;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.Gateway.Outcome;
 import nettletrail.decision.GatewaySettingsReader;
@@ -40,22 +40,22 @@
 class AnswerBeforeRequestTest {
     private static final int SMALL = 4 << 10;
 
-    private static final class Sent extends Attempt {
+    private static final class Sent extends BackendAttempt {
         final CompletableFuture<Outcome> outcome = new CompletableFuture<>();
-        private final Arrival arrival;
+        private final InboundRequest arrival;
 
-        Sent(Arrival arrival) {
-            super(Endpoint.id("s-1"));
+        Sent(InboundRequest arrival) {
+            super(Endpoint.idOf("s-1"));
             this.arrival = arrival;
         }
 
         @Override
-        public Arrival arrival() {
+        public InboundRequest request() {
             return arrival;
         }
 
         @Override
-        public Client client() {
+        public RequestClient client() {
             throw new AssertionError("no carrier speaks to the client");
         }
 
@@ -65,20 +65,20 @@
         }
 
         @Override
-        public long leftNs() {
+        public long remainingNanos() {
             return TimeUnit.SECONDS.toNanos(30);
         }
 
         @Override
-        public void wrote() { }
+        public void sendStarted() { }
 
         @Override
-        public void ended(Outcome how, Report report, ByteBuf body, String contentType) {
+        public void ended(Outcome how, BackendReport report, ByteBuf body, String contentType) {
             assertTrue(outcome.complete(how), "told twice");
         }
 
         @Override
-        public void endedRequest(Outcome how, Report report) {
+        public void endedWithRequest(Outcome how, BackendReport report) {
             throw new AssertionError();
         }
     }
@@ -89,14 +89,16 @@
         try (ServerSocket backend = new ServerSocket()) {
             backend.setReceiveBufferSize(SMALL);
             backend.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            BackendPool pool = new BackendPool(group.next(), new Report.Reader(new GatewaySettingsReader("")),
+            BackendPool pool = new BackendPool(group.next(), new BackendReport.Reader(new GatewaySettingsReader("")),
                     new Bootstrap()
                     .group(group.next()).channel(NioSocketChannel.class).option(ChannelOption.SO_SNDBUF, SMALL),
                     Long.MAX_VALUE, 8);
-            Sent sent = new Sent(new Arrival(HttpMethod.POST, "/api", "0".repeat(16), 0, 0, 1, 1, 1, 30_000, body,
+            Sent sent = new Sent(new InboundRequest(HttpMethod.POST, "/api", "0".repeat(16), 0, 0, 1, 1, 1, 30_000,
+                    body,
                     Long.MAX_VALUE, null));
             group.next().submit(() -> {
-                pool.listed(true, List.of(new Endpoint(Endpoint.id("s-1"), "s-1", backend.getLocalSocketAddress(), "a", "m1", 0,
+                pool.endpointsUpdated(true,
+                        List.of(new Endpoint(Endpoint.idOf("s-1"), "s-1", backend.getLocalSocketAddress(), "a", "m1", 0,
                         Gateway.DiscoveryState.READY, 1, 0)));
                 pool.start(sent);
             }).sync();
--- a/limits/src/main/java/nettletrail/limits/LimitsBound.java
+++ b/limits/src/main/java/nettletrail/limits/LimitsBound.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import nettletrail.core.Arrival;
-import nettletrail.core.Bound;
+import nettletrail.core.InboundRequest;
 import nettletrail.core.Log;
+import nettletrail.core.RequestLimiter;
 import nettletrail.core.SecretFile;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewaySettingsReader;
@@ -20,7 +20,7 @@
 import nettletrail.limits.LimitsDecider.Terms;
 
 /** The decider in a front door: requests in, calls out, a clock. On the event loop. */
-public final class LimitsBound implements Bound {
+public final class LimitsBound implements RequestLimiter {
     private static final long MS = 1_000_000L;
     private static final long TICK_MS = 20;
     private static final long STATUS_S = 30;
@@ -74,38 +74,39 @@
     }
 
     /** What the operator file turns on. */
-    public static Bound.Maker maker(LimitsSettings limits) {
+    public static RequestLimiter.Factory maker(LimitsSettings limits) {
         return (name, loop, reader, settings) -> new LimitsBound(limits, name, loop, reader, settings);
     }
 
     @Override
-    public boolean take(Arrival arrival) {
+    public boolean tryAcquire(InboundRequest arrival) {
         Ceiling ceiling = ceilings.get(arrival.plan());
-        return ceiling == null || decider.take(System.nanoTime(), arrival.customer(), ceiling, arrival.setSize(),
+        return ceiling == null || decider.take(System.nanoTime(), arrival.customer(), ceiling,
+                arrival.customerDoorCount(),
                 arrival.units());
     }
 
     @Override
-    public long retryAfterNs(Arrival arrival) {
+    public long retryAfterNanos(InboundRequest arrival) {
         return decider.waitNs(System.nanoTime(), arrival.customer(), arrival.units());
     }
 
     @Override
-    public void giveBack(Arrival arrival) {
+    public void release(InboundRequest arrival) {
         if (ceilings.get(arrival.plan()) != null) {
             decider.settle(System.nanoTime(), arrival.customer(), -arrival.units());
         }
     }
 
     @Override
-    public void settled(Arrival arrival, double units) {
+    public void unitsCharged(InboundRequest arrival, double units) {
         if (ceilings.get(arrival.plan()) != null) {
             decider.settle(System.nanoTime(), arrival.customer(), units - arrival.units());
         }
     }
 
     @Override
-    public void metered(Arrival arrival, int usedPercent) {
+    public void quotaUsed(InboundRequest arrival, int usedPercent) {
         double rate = settings.plans().get(arrival.plan()).ratePerSecond();
         if (periodNs > 0 && rate > 0 && ceilings.get(arrival.plan()) != null) {
             double used = usedPercent / PERCENT * rate * periodNs / TimeUnit.SECONDS.toNanos(1);
--- a/limits/src/main/java/nettletrail/limits/LimitsSettings.java
+++ b/limits/src/main/java/nettletrail/limits/LimitsSettings.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import nettletrail.core.Endpoint;
 import nettletrail.core.SecretFile;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 import nettletrail.limits.LimitsDecider.Ceiling;
 
 /**
@@ -24,58 +24,63 @@
     }
 
     /** The section's keys. */
-    public static Section section() {
-        return new Section("limits", "Ceilings that all front doors share through a counter (RESP3).")
+    public static SettingsSection section() {
+        return new SettingsSection("limits", "Ceilings that all front doors share through a counter (RESP3).")
                 .flag("enabled", false, "whether ceilings are shared through a counter at all")
                 .address("counter", "127.0.0.1:6379", "the counter's address")
                 .text("prefix", 1, 64, "nettletrail", "of all keys there; one for each installation")
                 .text("password_file", 0, 1_024, "", "file with the counter's password, for this user only; \"\" for none")
                 .text("ceilings", 0, 4_096, "", "plans and their ceilings, as \"business=20/40,basic=5/10\": units a second"
                         + " and at once for each customer; \"\" for those in the settings")
-                .whole("front_doors", 0, 4_096, 0, "front doors that share it; 0 for as many as the settings tell")
-                .whole("lease_ms", 200, 60_000, 2_000, "ms for which leased units are good")
-                .whole("loss_s", 1, 3_600, 120, "s for which a front door without the counter goes by its last share")
-                .whole("idle_s", 1, 3_600, 30, "s without a request after which a customer's lease is given back")
-                .whole("floor_pct", 1, 100, 25, "percent of a ceiling that a customer's front doors have unheard, together")
-                .whole("timeout_ms", 10, 5_000, 200, "ms after which a call has failed")
-                .whole("most_calls", 1, 1_024, 32, "calls out at once")
-                .whole("most_calls_per_s", 1, 100_000, 2_000, "calls a second")
-                .whole("most_customers", 1, 1_000_000, 20_000, "customers remembered at once; beyond, they are refused");
+                .integer("front_doors", 0, 4_096, 0, "front doors that share it; 0 for as many as the settings tell")
+                .integer("lease_ms", 200, 60_000, 2_000, "ms for which leased units are good")
+                .integer("loss_s", 1, 3_600, 120, "s for which a front door without the counter goes by its last share")
+                .integer("idle_s", 1, 3_600, 30, "s without a request after which a customer's lease is given back")
+                .integer("floor_pct", 1, 100, 25,
+                        "percent of a ceiling that a customer's front doors have unheard, together")
+                .integer("timeout_ms", 10, 5_000, 200, "ms after which a call has failed")
+                .integer("most_calls", 1, 1_024, 32, "calls out at once")
+                .integer("most_calls_per_s", 1, 100_000, 2_000, "calls a second")
+                .integer("most_customers", 1, 1_000_000, 20_000,
+                        "customers remembered at once; beyond, they are refused");
     }
 
     /** Rules between the values. */
-    public static void check(Section.Values values, Consumer<Section.Fault> faults) {
+    public static void check(SettingsSection.Values values, Consumer<SettingsSection.Fault> faults) {
         if (values.text("counter").isEmpty() && values.flag("enabled")) {
-            faults.accept(new Section.Fault("counter", "must name a counter where limits are enabled"));
+            faults.accept(new SettingsSection.Fault("counter", "must name a counter where limits are enabled"));
         }
-        if (values.whole("timeout_ms") * 4 > values.whole("lease_ms")) {
-            faults.accept(new Section.Fault("timeout_ms", "must be a quarter of lease_ms at most, or leases end while calls"
+        if (values.integer("timeout_ms") * 4 > values.integer("lease_ms")) {
+            faults.accept(new SettingsSection.Fault("timeout_ms",
+                    "must be a quarter of lease_ms at most, or leases end while calls"
                     + " for the next are out"));
         }
-        if (values.whole("idle_s") * 1_000 < values.whole("lease_ms")) {
-            faults.accept(new Section.Fault("idle_s", "must be as long as lease_ms at least"));
+        if (values.integer("idle_s") * 1_000 < values.integer("lease_ms")) {
+            faults.accept(new SettingsSection.Fault("idle_s", "must be as long as lease_ms at least"));
         }
         try {
             ceilings(values.text("ceilings"));
         } catch (IllegalArgumentException e) {
-            faults.accept(new Section.Fault("ceilings", e.getMessage()));
+            faults.accept(new SettingsSection.Fault("ceilings", e.getMessage()));
         }
         String file = values.text("password_file");
         if (values.flag("enabled") && !file.isEmpty()) {
             try {
                 SecretFile.read(file);
             } catch (IOException e) {
-                faults.accept(new Section.Fault("password_file", e.getMessage()));
+                faults.accept(new SettingsSection.Fault("password_file", e.getMessage()));
             }
         }
     }
 
-    public static LimitsSettings of(Section.Values values) {
-        return new LimitsSettings(Endpoint.address(values.text("counter")), values.text("prefix"),
-                values.text("password_file"), ceilings(values.text("ceilings")), (int) values.whole("front_doors"),
-                values.whole("lease_ms"), values.whole("loss_s"), values.whole("idle_s"), (int) values.whole("floor_pct"),
-                values.whole("timeout_ms"), (int) values.whole("most_calls"), (int) values.whole("most_calls_per_s"),
-                (int) values.whole("most_customers"));
+    public static LimitsSettings of(SettingsSection.Values values) {
+        return new LimitsSettings(Endpoint.parseAddress(values.text("counter")), values.text("prefix"),
+                values.text("password_file"), ceilings(values.text("ceilings")), (int) values.integer("front_doors"),
+                values.integer("lease_ms"), values.integer("loss_s"), values.integer("idle_s"),
+                        (int) values.integer("floor_pct"),
+                values.integer("timeout_ms"), (int) values.integer("most_calls"),
+                        (int) values.integer("most_calls_per_s"),
+                (int) values.integer("most_customers"));
     }
 
     private static Map<String, Ceiling> ceilings(String text) {
--- a/limits/src/test/java/nettletrail/limits/LimitsClientTest.java
+++ b/limits/src/test/java/nettletrail/limits/LimitsClientTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import nettletrail.core.SecretFile;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 import nettletrail.counter.StandInCounter;
 import nettletrail.faults.FaultRelay;
 import nettletrail.faults.Toxic;
@@ -227,13 +227,13 @@
         Path file = folder.resolve("open");
         Files.writeString(file, PASSWORD);
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-r--r--"));
-        Section.Values values = LimitsSettings.section().read(java.util.Map.of("enabled", true, "counter", "",
+        SettingsSection.Values values = LimitsSettings.section().read(java.util.Map.of("enabled", true, "counter", "",
                 "timeout_ms", 1_000L, "lease_ms", 2_000L, "idle_s", 1L, "ceilings", "business=20", "password_file",
                 file.toString()), fault -> said.add(fault.key()));
-        List<Section.Fault> faults = new ArrayList<>();
+        List<SettingsSection.Fault> faults = new ArrayList<>();
         LimitsSettings.check(values, faults::add);
         assertEquals(List.of("counter", "timeout_ms", "idle_s", "ceilings", "password_file"),
-                faults.stream().map(Section.Fault::key).toList());
+                faults.stream().map(SettingsSection.Fault::key).toList());
         assertTrue(said.isEmpty());
         assertFalse(faults.toString().contains(PASSWORD));
         assertTrue(faults.toString().contains("chmod 600"));
--- a/limits/src/test/java/nettletrail/limits/LimitsFormTest.java
+++ b/limits/src/test/java/nettletrail/limits/LimitsFormTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 import nettletrail.counter.StandInCounter;
 import nettletrail.limits.LimitsDecider.Call;
 import nettletrail.limits.LimitsDecider.Row;
@@ -167,9 +167,9 @@
 
     @Test
     void sectionHasItsKeys() throws Exception {
-        Section section = LimitsSettings.section();
-        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.absent() + ", kind "
-                + each.kind().ordinal() + " from " + each.least() + " to " + each.most()));
+        SettingsSection section = LimitsSettings.section();
+        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.defaultValue() + ", kind "
+                + each.kind().ordinal() + " from " + each.min() + " to " + each.max()));
         LimitsSettings.of(section.read(Map.of(), fault -> lines.add("fault " + fault.key())));
         verify("limits-settings.txt");
     }
--- a/members/src/main/java/nettletrail/members/Agree.java
+++ b/members/src/main/java/nettletrail/members/Agree.java
@@ -1,7 +1,7 @@
 package nettletrail.members;
 
-import nettletrail.core.Members.Life;
-import nettletrail.core.Members.View;
+import nettletrail.core.Membership.MemberIncarnation;
+import nettletrail.core.Membership.View;
 
 /**
  * What members say to agree on the next view (Paxos, Lamport 1998). What is agreed on is the one successor of a view, its
@@ -12,7 +12,7 @@
     long after();
 
     /** Who proposes, and the how-many-eth time: of two the higher counts. */
-    record Ballot(int round, Life proposer) implements Comparable<Ballot> {
+    record Ballot(int round, MemberIncarnation proposer) implements Comparable<Ballot> {
         @Override
         public int compareTo(Ballot other) {
             return round != other.round ? Integer.compare(round, other.round) : proposer.compareTo(other.proposer);
@@ -61,7 +61,7 @@
      * @param well a life that the proposal drops and that is well as seen from here, or null
      * @param last view known here
      */
-    record Refusal(long after, Ballot ballot, Ballot promised, Life well, View last) implements Agree { }
+    record Refusal(long after, Ballot ballot, Ballot promised, MemberIncarnation well, View last) implements Agree { }
 
     /** This view was agreed. */
     record Decided(View view) implements Agree {
--- a/members/src/main/java/nettletrail/members/Change.java
+++ b/members/src/main/java/nettletrail/members/Change.java
@@ -1,6 +1,6 @@
 package nettletrail.members;
 
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 
 /**
  * Something that a member came to believe or to know of itself.
@@ -8,7 +8,7 @@
  * @param by who accuses, "" if nobody does
  * @param ms of a pause, else 0
  */
-public record Change(Kind kind, Life who, String by, long ms) {
+public record Change(Kind kind, MemberIncarnation who, String by, long ms) {
     /** What. The names are those of the events in the log. */
     public enum Kind {
         /** A life that wasn't known. */
@@ -37,7 +37,7 @@
         SUPERSEDED
     }
 
-    static Change of(Kind kind, Life who) {
+    static Change of(Kind kind, MemberIncarnation who) {
         return new Change(kind, who, "", 0);
     }
 }
--- a/members/src/main/java/nettletrail/members/Codec.java
+++ b/members/src/main/java/nettletrail/members/Codec.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import nettletrail.core.Endpoint;
-import nettletrail.core.Members.Life;
-import nettletrail.core.Members.View;
+import nettletrail.core.Membership.MemberIncarnation;
+import nettletrail.core.Membership.View;
 import nettletrail.wire.MembersWire;
 
 /**
@@ -58,13 +58,13 @@
         return to.build().toByteArray();
     }
 
-    static MembersWire.Life wire(Life life) {
+    static MembersWire.Life wire(MemberIncarnation life) {
         return MembersWire.Life.newBuilder().setName(life.name()).setLife(life.number()).build();
     }
 
     static MembersWire.View wire(View view) {
         MembersWire.View.Builder to = MembersWire.View.newBuilder().setNumber(view.number());
-        view.lives().forEach(each -> to.addLives(wire(each)));
+        view.incarnations().forEach(each -> to.addLives(wire(each)));
         return to.build();
     }
 
@@ -184,18 +184,18 @@
     }
 
     static View view(MembersWire.View from) throws Refused {
-        List<Life> lives = new ArrayList<>();
+        List<MemberIncarnation> lives = new ArrayList<>();
         for (MembersWire.Life each : bounded(from.getLivesList())) {
             lives.add(life(each));
         }
         return new View(from.getNumber(), lives);
     }
 
-    static Life life(MembersWire.Life from) throws Refused {
+    static MemberIncarnation life(MembersWire.Life from) throws Refused {
         if (from.getLife() <= 0) {
             throw new Refused(Dropped.MALFORMED);
         }
-        return new Life(name(from.getName()), from.getLife());
+        return new MemberIncarnation(name(from.getName()), from.getLife());
     }
 
     private static String name(String text) throws Refused {
@@ -210,7 +210,7 @@
         for (MembersWire.Statement each : bounded(from)) {
             int state = each.getStateValue();
             if (state < 0 || state >= Statement.State.values().length || each.getIncarnation() < 0
-                    || Endpoint.address(each.getAddress()) == null) {
+                    || Endpoint.parseAddress(each.getAddress()) == null) {
                 throw new Refused(Dropped.MALFORMED);
             }
             all.add(new Statement(life(each.getWho()), each.getIncarnation(), Statement.State.values()[state],
--- a/members/src/main/java/nettletrail/members/DoorLinks.java
+++ b/members/src/main/java/nettletrail/members/DoorLinks.java
@@ -31,8 +31,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import nettletrail.core.Doors;
-import nettletrail.core.Members.Life;
+import nettletrail.core.DoorCalls;
+import nettletrail.core.Membership.MemberIncarnation;
 import nettletrail.wire.MembersWire;
 
 /**
@@ -54,7 +54,7 @@
     private static final long IDLE_NS = 30_000_000_000L;
     private static final byte[] GREETING = {'g'};
 
-    private record Pending(Doors.Answer answer, Link link) { }
+    private record Pending(DoorCalls.ResponseCallback answer, Link link) { }
 
     private record Waiting(String channel, byte[] body, long call, long toLife) { }
 
@@ -65,7 +65,7 @@
         private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
         private Channel channel;
         private byte[] sealsFor;
-        private Life peer;
+        private MemberIncarnation peer;
         private long counter = -1;
         private long usedAt = System.nanoTime();
         private long heardAt = usedAt;
@@ -140,7 +140,7 @@
             if (frame.getAnswer()) {
                 Pending pending = calls.remove(frame.getCall());
                 if (pending != null) {
-                    pending.answer().answered(body);
+                    pending.answer().completed(body);
                 }
                 return;
             }
@@ -148,9 +148,9 @@
                 dropped.accept(Dropped.OTHER_LIFE);
                 return;
             }
-            Doors.Handler handler = handlers.get(frame.getChannel());
+            DoorCalls.CallHandler handler = handlers.get(frame.getChannel());
             if (handler != null) {
-                handler.called(peer, body, answer -> onLoop(() -> {
+                handler.handle(peer, body, answer -> onLoop(() -> {
                     if (channel.isActive()) {
                         write(frame.getChannel(), frame.getCall(), true, answer, 0);
                     }
@@ -207,7 +207,7 @@
 
     private final EventLoop loop;
     private final Sealer sealer;
-    private final Supplier<Life> self;
+    private final Supplier<MemberIncarnation> self;
     private final Supplier<String> address;
     private final Consumer<Dropped> dropped;
     private final SecureRandom random = new SecureRandom();
@@ -215,7 +215,7 @@
     private final Set<Link> inbound = new HashSet<>();
     private final Set<Link> strangers = new HashSet<>();
     private final Map<Long, Pending> calls = new HashMap<>();
-    private final Map<String, Doors.Handler> handlers = new HashMap<>();
+    private final Map<String, DoorCalls.CallHandler> handlers = new HashMap<>();
     private long lastCall;
     private Channel listening;
 
@@ -224,7 +224,8 @@
      * @param address where others reach this door
      * @param dropped hears of each thing that was dropped
      */
-    DoorLinks(EventLoop loop, Sealer sealer, Supplier<Life> self, Supplier<String> address, Consumer<Dropped> dropped) {
+    DoorLinks(EventLoop loop, Sealer sealer, Supplier<MemberIncarnation> self, Supplier<String> address,
+            Consumer<Dropped> dropped) {
         this.loop = loop;
         this.sealer = sealer;
         this.self = self;
@@ -270,7 +271,7 @@
     }
 
     /** Who answers on a channel. */
-    void serve(String channel, Doors.Handler handler) {
+    void serve(String channel, DoorCalls.CallHandler handler) {
         handlers.put(channel, handler);
     }
 
@@ -279,8 +280,9 @@
      *
      * @param who if given, only this life is called: another one there is none
      */
-    void call(String to, Life who, String channel, byte[] body, long timeoutNs, Doors.Answer answer) {
-        InetSocketAddress where = nettletrail.core.Endpoint.address(to);
+    void call(String to, MemberIncarnation who, String channel, byte[] body, long timeoutNs,
+            DoorCalls.ResponseCallback answer) {
+        InetSocketAddress where = nettletrail.core.Endpoint.parseAddress(to);
         Link link = where == null || calls.size() >= MOST_CALLS ? null : outbound.get(to);
         if (where != null && calls.size() < MOST_CALLS && (link == null || who != null && link.peer != null
                 && !link.peer.equals(who))) {
@@ -308,12 +310,13 @@
         }, timeoutNs, TimeUnit.NANOSECONDS);
     }
 
-    private static Doors.Answer checked(Link link, Life who, Doors.Answer answer) {
-        return who == null ? answer : new Doors.Answer() {
+    private static DoorCalls.ResponseCallback checked(Link link, MemberIncarnation who,
+            DoorCalls.ResponseCallback answer) {
+        return who == null ? answer : new DoorCalls.ResponseCallback() {
             @Override
-            public void answered(byte[] body) {
+            public void completed(byte[] body) {
                 if (who.equals(link.peer)) {
-                    answer.answered(body);
+                    answer.completed(body);
                 } else {
                     answer.failed();
                 }
--- a/members/src/main/java/nettletrail/members/MembersDecider.java
+++ b/members/src/main/java/nettletrail/members/MembersDecider.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 import nettletrail.members.Change.Kind;
 import nettletrail.members.Message.Datagram;
 import nettletrail.members.Statement.State;
@@ -77,10 +77,10 @@
     private final Map<String, Peer> peers = new LinkedHashMap<>();
     private final Map<Integer, Probe> probes = new LinkedHashMap<>();
     private final Map<Integer, Probe.Relay> relays = new LinkedHashMap<>();
-    private final Map<Life, Long> confirm = new LinkedHashMap<>();
+    private final Map<MemberIncarnation, Long> confirm = new LinkedHashMap<>();
     private final List<String> round = new ArrayList<>();
     private Set<String> kept = Set.of();
-    private Life self;
+    private MemberIncarnation self;
     private int incarnation;
     private final String address;
     private boolean cut;
@@ -103,7 +103,8 @@
      * @param address where others reach this one
      * @param seeds addresses of others to join through, by name
      */
-    public MembersDecider(Terms terms, Life self, String address, Map<String, String> seeds, long seed, long now,
+    public MembersDecider(Terms terms, MemberIncarnation self, String address, Map<String, String> seeds, long seed,
+            long now,
             Actions actions) {
         this.terms = terms;
         this.self = self;
@@ -567,7 +568,7 @@
 
     /** Goes by a new life, higher than this at least. */
     public void renew(long least, long now) {
-        self = new Life(self.name(), Math.max(least, self.number() + 1));
+        self = new MemberIncarnation(self.name(), Math.max(least, self.number() + 1));
         incarnation = 0;
         superseded = false;
         probes.clear();
@@ -652,7 +653,7 @@
 
     // ---- What is known -------------------------------------------------------------------------------------
 
-    public Life self() {
+    public MemberIncarnation self() {
         return self;
     }
 
@@ -678,7 +679,7 @@
     }
 
     /** ns since it last answered a question of this one; far more than any time if it never did. */
-    public long sinceAnswerNs(Life who, long now) {
+    public long sinceAnswerNs(MemberIncarnation who, long now) {
         Peer peer = peers.get(who.name());
         return peer == null || !peer.life().equals(who) ? -Peer.NEVER : now - peer.answeredAt;
     }
--- a/members/src/main/java/nettletrail/members/MembersServer.java
+++ b/members/src/main/java/nettletrail/members/MembersServer.java
@@ -26,10 +26,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import nettletrail.core.Doors;
+import nettletrail.core.DoorCalls;
 import nettletrail.core.Endpoint;
 import nettletrail.core.Log;
-import nettletrail.core.Members;
+import nettletrail.core.Membership;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.members.Message.Datagram;
@@ -42,7 +42,7 @@
  * own, so that a flood on its port costs no request its time; what listeners hear is told on the front door's loop. A front
  * door whose own loop stands still is silent here too: what can't serve is no member.
  */
-public final class MembersServer implements Members, MembersDecider.Actions {
+public final class MembersServer implements Membership, MembersDecider.Actions {
     private static final Logger EVENTS = LoggerFactory.getLogger("nettletrail.events");
     private static final long MS = 1_000_000L;
     private static final int MOST_DATAGRAM = 1_472;
@@ -72,7 +72,7 @@
     private final Channel datagrams;
     private final Map<Dropped, Long> dropped = new EnumMap<>(Dropped.class);
     private final List<Listener> listeners = new ArrayList<>();
-    private volatile Life self;
+    private volatile MemberIncarnation self;
     private FileTime keysFrom;
     private long beatAt;
     private long askedAt;
@@ -100,7 +100,7 @@
         beaten = startedAt;
         sealer = new Sealer(keys, 2 * settings.terms().mostMembers());
         SecureRandom random = new SecureRandom();
-        self = new Life(name, System.currentTimeMillis() << LIFE_SHIFT | random.nextInt(1 << LIFE_SHIFT));
+        self = new MemberIncarnation(name, System.currentTimeMillis() << LIFE_SHIFT | random.nextInt(1 << LIFE_SHIFT));
         links = new DoorLinks(loop, sealer, () -> self, this::address, this::dropped);
         datagrams = bind();
         InetSocketAddress bound = (InetSocketAddress) datagrams.localAddress();
@@ -117,7 +117,7 @@
     }
 
     /** What the operator file turns on. */
-    public static Members.Maker maker(MembersSettings settings) {
+    public static Membership.Factory maker(MembersSettings settings) {
         return (String name, EventLoop loop, GatewaySettingsReader reader, Gateway.Settings told) ->
                 new MembersServer(settings, name, loop, settings.doors() > 0 ? settings.doors() : told.gatewayCount());
     }
@@ -211,7 +211,7 @@
     }
 
     /** Another knows of a later view: it is asked for all that it knows. */
-    private void behind(Life who, long view) {
+    private void behind(MemberIncarnation who, long view) {
         long now = System.nanoTime();
         Statement told = decider.of(who.name());
         if (view > views.view().number() && told != null && now - askedAt > BEHIND_NS) {
@@ -250,7 +250,7 @@
                 + settings.mostKbPerS() * 1_024.0 * (now - creditAt) / 1e9);
         creditAt = now;
         byte[] sealed = sealer.seal(Codec.bytes(datagram, views.view().number()), Sealer.DATAGRAM, now);
-        InetSocketAddress where = Endpoint.address(way(name, to));
+        InetSocketAddress where = Endpoint.parseAddress(way(name, to));
         if (where == null || sealed.length > MOST_DATAGRAM || sendCredit < sealed.length) {
             dropped(Dropped.OVER_RATE);
             return;
@@ -263,9 +263,9 @@
 
     @Override
     public void sync(String name, String to) {
-        links.call(way(name, to), null, SYNC, known(), SYNC_NS, new Doors.Answer() {
+        links.call(way(name, to), null, SYNC, known(), SYNC_NS, new DoorCalls.ResponseCallback() {
             @Override
-            public void answered(byte[] body) {
+            public void completed(byte[] body) {
                 try {
                     Codec.Known its = Codec.known(body);
                     decider.synced(System.nanoTime(), its.statements(), its.rows());
@@ -284,7 +284,7 @@
         return Codec.bytes(new Codec.Known(decider.statements(), decider.rows(), views.view()));
     }
 
-    private void synced(Life from, byte[] body, Consumer<byte[]> answer) {
+    private void synced(MemberIncarnation from, byte[] body, Consumer<byte[]> answer) {
         try {
             Codec.Known its = Codec.known(body);
             answer.accept(known());
@@ -295,7 +295,7 @@
         }
     }
 
-    private void agrees(Life from, byte[] body, Consumer<byte[]> answer) {
+    private void agrees(MemberIncarnation from, byte[] body, Consumer<byte[]> answer) {
         try {
             Agree said = views.heard(from, Codec.agree(body));
             if (said != null) {
@@ -309,14 +309,15 @@
     /** What the agreement on views asks for. */
     private final class Views implements ViewDecider.Actions {
         @Override
-        public void say(Life to, Agree what) {
+        public void say(MemberIncarnation to, Agree what) {
             Statement told = decider.of(to.name());
             if (told == null || !told.who().equals(to)) {
                 return;
             }
-            links.call(way(to.name(), told.address()), to, AGREE, Codec.bytes(what), AGREE_NS, new Doors.Answer() {
+            links.call(way(to.name(), told.address()), to, AGREE, Codec.bytes(what), AGREE_NS,
+                    new DoorCalls.ResponseCallback() {
                 @Override
-                public void answered(byte[] body) {
+                public void completed(byte[] body) {
                     try {
                         views.answered(to, Codec.agree(body), System.nanoTime());
                     } catch (Refused e) {
@@ -330,16 +331,17 @@
         }
 
         @Override
-        public void decided(View view, List<Life> gone, boolean in) {
-            decider.keep(view.lives().stream().map(Life::name).toList());
-            event("members.view", self, "").addKeyValue("number", view.number()).addKeyValue("lives", view.lives())
+        public void decided(View view, List<MemberIncarnation> gone, boolean in) {
+            decider.keep(view.incarnations().stream().map(MemberIncarnation::name).toList());
+            event("members.view", self, "").addKeyValue("number", view.number())
+                    .addKeyValue("lives", view.incarnations())
                     .addKeyValue("in", in).log();
             gone.forEach(each -> event("members.surely_gone", each, "").addKeyValue("view", view.number()).log());
             doors.execute(() -> listeners.forEach(each -> {
                 if (in) {
-                    gone.forEach(each::surelyGone);
+                    gone.forEach(each::removedByMajority);
                 }
-                each.view(in ? view : View.NONE);
+                each.viewChanged(in ? view : View.NONE);
             }));
         }
 
@@ -360,7 +362,7 @@
 
     // ---- What it tells -------------------------------------------------------------------------------------
 
-    private static LoggingEventBuilder event(String kind, Life who, String by) {
+    private static LoggingEventBuilder event(String kind, MemberIncarnation who, String by) {
         LoggingEventBuilder event = EVENTS.atInfo().setMessage(kind).addKeyValue("who", who.name())
                 .addKeyValue("life", who.number());
         return by.isEmpty() ? event : event.addKeyValue("by", by);
@@ -383,35 +385,35 @@
     }
 
     private static void tell(Listener to, Change change) {
-        Life who = change.who();
+        MemberIncarnation who = change.who();
         switch (change.kind()) {
             case JOINED -> to.joined(who);
-            case SUSPECT -> to.suspect(who);
-            case GONE, REPLACED -> to.likelyGone(who);
-            case BACK -> to.back(who);
+            case SUSPECT -> to.suspected(who);
+            case GONE, REPLACED -> to.presumedFailed(who);
+            case BACK -> to.recovered(who);
             case LEFT -> to.left(who);
             case CUT, HEALED, ACCUSED, PAUSED, DOUBT, TRUST, RENEWED, SUPERSEDED -> { }
         }
     }
 
     @Override
-    public Life self() {
+    public MemberIncarnation self() {
         return self;
     }
 
     @Override
-    public void hear(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
         loop.execute(() -> {
             for (Statement each : decider.statements()) {
                 if (!each.who().name().equals(self.name())) {
-                    Life who = each.who();
+                    MemberIncarnation who = each.who();
                     doors.execute(() -> {
                         listener.joined(who);
                         switch (each.state()) {
                             case ALIVE -> { }
-                            case SUSPECT -> listener.suspect(who);
-                            case GONE -> listener.likelyGone(who);
+                            case SUSPECT -> listener.suspected(who);
+                            case GONE -> listener.presumedFailed(who);
                             case LEFT -> listener.left(who);
                         }
                     });
@@ -464,7 +466,7 @@
         all.put("health", decider.health());
         all.put("view", views.view().number());
         all.put("in_view", views.in());
-        all.put("view_lives", views.view().lives().stream().map(Life::toString).toList());
+        all.put("view_lives", views.view().incarnations().stream().map(MemberIncarnation::toString).toList());
         all.put("members", members);
         all.put("broken_links", broken);
         all.put("sent_bytes", sentBytes);
--- a/members/src/main/java/nettletrail/members/Message.java
+++ b/members/src/main/java/nettletrail/members/Message.java
@@ -1,7 +1,7 @@
 package nettletrail.members;
 
 import java.util.List;
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 
 /** What members send each other in datagrams. */
 public sealed interface Message {
@@ -21,7 +21,7 @@
     record Ack(int sequence, boolean straight) implements Message { }
 
     /** Ask this one for me. */
-    record PingRequest(int sequence, Life whom) implements Message { }
+    record PingRequest(int sequence, MemberIncarnation whom) implements Message { }
 
     /** The helper got no answer; the helper at least is there. */
     record Nack(int sequence) implements Message { }
@@ -34,7 +34,7 @@
      *
      * @param toLife the life that it is meant for: another life of that name takes no notice
      */
-    record Datagram(Life from, long toLife, Message what, List<Statement> statements, List<Row> rows) {
+    record Datagram(MemberIncarnation from, long toLife, Message what, List<Statement> statements, List<Row> rows) {
         public Datagram {
             statements = List.copyOf(statements);
             rows = List.copyOf(rows);
--- a/members/src/main/java/nettletrail/members/Peer.java
+++ b/members/src/main/java/nettletrail/members/Peer.java
@@ -1,6 +1,6 @@
 package nettletrail.members;
 
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 import nettletrail.members.Statement.State;
 
 /** What is known of another name: the statement believed, and this member's own contact with it. */
@@ -48,7 +48,7 @@
         suspicion = null;
     }
 
-    Life life() {
+    MemberIncarnation life() {
         return statement.who();
     }
 
--- a/members/src/main/java/nettletrail/members/Probe.java
+++ b/members/src/main/java/nettletrail/members/Probe.java
@@ -1,11 +1,11 @@
 package nettletrail.members;
 
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 
 /** One question to one member: asked straight, then through helpers, then over. */
 final class Probe {
     final int sequence;
-    final Life whom;
+    final MemberIncarnation whom;
     final long startedAt;
     /** When helpers are asked, and when it is over. */
     final long helpAt;
@@ -15,7 +15,7 @@
     int nacks;
     boolean answered;
 
-    Probe(int sequence, Life whom, long startedAt, long helpAt, long endsAt) {
+    Probe(int sequence, MemberIncarnation whom, long startedAt, long helpAt, long endsAt) {
         this.sequence = sequence;
         this.whom = whom;
         this.startedAt = startedAt;
@@ -24,5 +24,5 @@
     }
 
     /** A probe in another's place. */
-    record Relay(Life asker, int askers, long endsAt) { }
+    record Relay(MemberIncarnation asker, int askers, long endsAt) { }
 }
--- a/members/src/main/java/nettletrail/members/Reach.java
+++ b/members/src/main/java/nettletrail/members/Reach.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 
 /** Which links are told broken, by observer: each pair's two directions, as both ends have them. */
 final class Reach {
@@ -14,7 +14,7 @@
     private Row own;
 
     /** The observer's own links have changed. */
-    Row own(Life self, Collection<Peer> peers) {
+    Row own(MemberIncarnation self, Collection<Peer> peers) {
         own = new Row(self, ++version, links(peers));
         return own;
     }
@@ -56,7 +56,7 @@
         own = null;
     }
 
-    List<Row> all(Life self) {
+    List<Row> all(MemberIncarnation self) {
         List<Row> all = new ArrayList<>(rows.values());
         if (own != null && own.observer().equals(self)) {
             all.add(own);
--- a/members/src/main/java/nettletrail/members/Row.java
+++ b/members/src/main/java/nettletrail/members/Row.java
@@ -1,14 +1,14 @@
 package nettletrail.members;
 
 import java.util.List;
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 
 /**
  * The links that one observer finds broken; all others work or were not needed. A later version replaces an earlier one.
  *
  * @param version counts the observer's changes in this life
  */
-public record Row(Life observer, int version, List<Link> links) {
+public record Row(MemberIncarnation observer, int version, List<Link> links) {
     /** More are not told on: who finds so many broken is cut off itself. */
     static final int MOST_LINKS = 32;
     private static final int OVERHEAD = 16;
--- a/members/src/main/java/nettletrail/members/Seen.java
+++ b/members/src/main/java/nettletrail/members/Seen.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 import nettletrail.members.Statement.State;
 
 /** What a {@link MembersDecider} sees, for the agreement on views. */
@@ -14,8 +14,8 @@
     }
 
     @Override
-    public List<Life> there(long atLeastNs) {
-        List<Life> there = new ArrayList<>();
+    public List<MemberIncarnation> there(long atLeastNs) {
+        List<MemberIncarnation> there = new ArrayList<>();
         for (Statement each : decider.statements()) {
             boolean mine = each.who().equals(decider.self());
             boolean counts = mine ? !decider.cut() : each.state() == State.ALIVE
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public boolean gone(Life who, long atLeastNs) {
+    public boolean gone(MemberIncarnation who, long atLeastNs) {
         if (who.equals(decider.self())) {
             return false;
         }
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public boolean well(Life who) {
+    public boolean well(MemberIncarnation who) {
         Statement told = decider.of(who.name());
         return told != null && told.who().equals(who) && told.state() != State.LEFT
                 && decider.sinceAnswerNs(who, clock.getAsLong()) < terms.suspicionNs(1);
--- a/members/src/main/java/nettletrail/members/Statement.java
+++ b/members/src/main/java/nettletrail/members/Statement.java
@@ -1,6 +1,6 @@
 package nettletrail.members;
 
-import nettletrail.core.Members.Life;
+import nettletrail.core.Membership.MemberIncarnation;
 
 /**
  * What is said of one life of a name. Of two about one name the one that {@link #overrides} the other is believed, so that
@@ -11,7 +11,7 @@
  * @param cut it gets no answer from anyone; only it says so of itself
  * @param by name of who accuses it, "" if nobody does
  */
-public record Statement(Life who, int incarnation, State state, String address, boolean cut, String by) {
+public record Statement(MemberIncarnation who, int incarnation, State state, String address, boolean cut, String by) {
     /** In the order of what wins at one incarnation. */
     public enum State { ALIVE, SUSPECT, GONE, LEFT }
 
@@ -19,7 +19,7 @@
     private static final int OVERHEAD = 32;
 
     /** Its own word. */
-    static Statement alive(Life who, int incarnation, String address, boolean cut) {
+    static Statement alive(MemberIncarnation who, int incarnation, String address, boolean cut) {
         return new Statement(who, incarnation, State.ALIVE, address, cut, "");
     }
 
--- a/members/src/main/java/nettletrail/members/ViewDecider.java
+++ b/members/src/main/java/nettletrail/members/ViewDecider.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import nettletrail.core.Members.Life;
-import nettletrail.core.Members.View;
+import nettletrail.core.Membership.MemberIncarnation;
+import nettletrail.core.Membership.View;
 import nettletrail.members.Agree.Ballot;
 
 /**
@@ -48,7 +48,7 @@
     /** What the decider asks for, while it is told something. */
     public interface Actions {
         /** Says it to this life; {@link #answered} may come of it. */
-        void say(Life to, Agree what);
+        void say(MemberIncarnation to, Agree what);
 
         /**
          * A view is known that wasn't.
@@ -56,7 +56,7 @@
          * @param gone lives of the one known before that it doesn't hold
          * @param in whether it holds this member's life
          */
-        void decided(View view, List<Life> gone, boolean in);
+        void decided(View view, List<MemberIncarnation> gone, boolean in);
 
         /** This member's life was in a view and is not in the next: others may act for it. It needs a new life. */
         void expelled();
@@ -71,7 +71,7 @@
     private final Sight sight;
     private final int doors;
     private final SplittableRandom random;
-    private Life self;
+    private MemberIncarnation self;
     private View last = View.NONE;
     // As acceptor, for number last + 1.
     private Ballot promised;
@@ -82,16 +82,16 @@
     private Ballot ballot;
     private int round;
     private View value;
-    private Set<Life> electors = Set.of();
+    private Set<MemberIncarnation> electors = Set.of();
     private int needed;
-    private final Map<Life, Agree.Promise> promises = new LinkedHashMap<>();
-    private final Set<Life> acceptances = new HashSet<>();
+    private final Map<MemberIncarnation, Agree.Promise> promises = new LinkedHashMap<>();
+    private final Set<MemberIncarnation> acceptances = new HashSet<>();
     private long triedAt;
     private long notBefore;
     private long differsSince = -1;
 
     /** @param doors names in the installation, at least */
-    public ViewDecider(Life self, int doors, Sight sight, long seed, Actions actions) {
+    public ViewDecider(MemberIncarnation self, int doors, Sight sight, long seed, Actions actions) {
         this.self = self;
         this.doors = doors;
         this.sight = sight;
@@ -106,9 +106,9 @@
         if (phase != Phase.IDLE && now - triedAt >= TRY_NS) {
             giveUp(now);
         }
-        List<Life> there = sight.there(JOIN_NS);
-        List<Life> wanted = wanted(there);
-        if (wanted.equals(last.lives()) || !there.contains(self)) {
+        List<MemberIncarnation> there = sight.there(JOIN_NS);
+        List<MemberIncarnation> wanted = wanted(there);
+        if (wanted.equals(last.incarnations()) || !there.contains(self)) {
             differsSince = -1;
             return;
         }
@@ -120,9 +120,9 @@
     }
 
     /** The view that this member would have: the last, without whom is gone, with whom is there. */
-    private List<Life> wanted(List<Life> there) {
-        Set<Life> wanted = new HashSet<>();
-        for (Life each : last.lives()) {
+    private List<MemberIncarnation> wanted(List<MemberIncarnation> there) {
+        Set<MemberIncarnation> wanted = new HashSet<>();
+        for (MemberIncarnation each : last.incarnations()) {
             if (!sight.gone(each, GONE_NS)) {
                 wanted.add(each);
             }
@@ -132,19 +132,20 @@
     }
 
     /** Which this member is in the row of proposers, or below 0: who is in no view proposes only where there is none. */
-    private int turn(List<Life> there) {
-        List<Life> row = there.stream().filter(each -> majorityLives(there) ? last.has(each) : true).sorted().toList();
+    private int turn(List<MemberIncarnation> there) {
+        List<MemberIncarnation> row = there.stream().filter(each -> majorityLives(there) ? last.contains(each) : true)
+                .sorted().toList();
         return row.indexOf(self);
     }
 
-    private boolean majorityLives(List<Life> there) {
-        return last.number() > 0 && last.lives().stream().filter(there::contains).count() >= last.majority();
+    private boolean majorityLives(List<MemberIncarnation> there) {
+        return last.number() > 0 && last.incarnations().stream().filter(there::contains).count() >= last.majority();
     }
 
-    private void propose(long now, List<Life> there, List<Life> wanted) {
+    private void propose(long now, List<MemberIncarnation> there, List<MemberIncarnation> wanted) {
         boolean majority = majorityLives(there);
         if (majority) {
-            electors = Set.copyOf(last.lives());
+            electors = Set.copyOf(last.incarnations());
             needed = last.majority();
         } else {
             Set<String> names = new HashSet<>();
@@ -168,12 +169,12 @@
      * Higher than any before, also where nobody remembers one: lives grow with the time of their start. It leaves a gap: word
      * of a successor that only the dead accepted, still on its way, comes too late to count.
      */
-    private long numberOfAll(List<Life> lives) {
-        return Math.max(last.number() + GAP, lives.stream().mapToLong(Life::number).max().orElse(0));
+    private long numberOfAll(List<MemberIncarnation> lives) {
+        return Math.max(last.number() + GAP, lives.stream().mapToLong(MemberIncarnation::number).max().orElse(0));
     }
 
     private void sayAll(Agree what) {
-        for (Life each : electors.stream().sorted().toList()) {
+        for (MemberIncarnation each : electors.stream().sorted().toList()) {
             if (each.equals(self)) {
                 Agree mine = heard(self, what);
                 if (mine != null) {
@@ -191,7 +192,7 @@
     }
 
     /** An answer to what was said before. */
-    public void answered(Life from, Agree answer, long now) {
+    public void answered(MemberIncarnation from, Agree answer, long now) {
         if (answer instanceof Agree.Refusal refusal) {
             refused(refusal, now);
         } else if (answer instanceof Agree.Promise promise) {
@@ -225,12 +226,12 @@
 
     private void decided() {
         View next = value;
-        Set<Life> all = new HashSet<>(electors);
-        all.addAll(next.lives());
+        Set<MemberIncarnation> all = new HashSet<>(electors);
+        all.addAll(next.incarnations());
         all.addAll(sight.there(0));
         all.remove(self);
         learn(next);
-        for (Life each : all.stream().sorted().toList()) {
+        for (MemberIncarnation each : all.stream().sorted().toList()) {
             actions.say(each, new Agree.Decided(next));
         }
     }
@@ -248,7 +249,7 @@
     // ---- As acceptor ---------------------------------------------------------------------------------------
 
     /** What another says; the answer, or null for none. */
-    public Agree heard(Life from, Agree what) {
+    public Agree heard(MemberIncarnation from, Agree what) {
         if (what instanceof Agree.Prepare prepare) {
             learn(prepare.last());
             if (prepare.after() != last.number() || promised != null && prepare.ballot().compareTo(promised) < 0) {
@@ -262,8 +263,8 @@
             if (accept.after() != last.number() || accept.next().number() <= last.number() || promised != null && accept.ballot().compareTo(promised) < 0) {
                 return new Agree.Refusal(accept.after(), accept.ballot(), promised, null, last);
             }
-            for (Life each : last.lives()) {
-                if (!accept.bound() && !accept.next().has(each) && sight.well(each)) {
+            for (MemberIncarnation each : last.incarnations()) {
+                if (!accept.bound() && !accept.next().contains(each) && sight.well(each)) {
                     return new Agree.Refusal(accept.after(), accept.ballot(), null, each, last);
                 }
             }
@@ -294,16 +295,16 @@
         phase = Phase.IDLE;
         differsSince = -1;
         round = 0;
-        List<Life> gone = new ArrayList<>(before.lives());
-        gone.removeAll(view.lives());
-        actions.decided(view, gone, view.has(self));
-        if (before.has(self) && !view.has(self)) {
+        List<MemberIncarnation> gone = new ArrayList<>(before.incarnations());
+        gone.removeAll(view.incarnations());
+        actions.decided(view, gone, view.contains(self));
+        if (before.contains(self) && !view.contains(self)) {
             actions.expelled();
         }
     }
 
     /** This member goes by a new life, which no view holds. What the process accepted it goes on to remember. */
-    public void renewed(Life life) {
+    public void renewed(MemberIncarnation life) {
         self = life;
         phase = Phase.IDLE;
     }
@@ -315,6 +316,6 @@
 
     /** Whether this member's life is in it. */
     public boolean in() {
-        return last.has(self);
+        return last.contains(self);
     }
 }
--- a/router/src/main/java/nettletrail/router/ClientConnection.java
+++ b/router/src/main/java/nettletrail/router/ClientConnection.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.ReferenceCountUtil;
 import nettletrail.configuration.Limits;
-import nettletrail.core.Unread;
+import nettletrail.core.PendingInput;
 import nettletrail.http.LingeringClose;
 import nettletrail.http.RequestHeadValidator;
 import nettletrail.http.RequestAggregator;
@@ -208,7 +208,7 @@
    */
   boolean isClientConnected() {
     if (channel.isActive()) {
-      Unread.take(channel);
+      PendingInput.readAll(channel);
       if (!channel.isActive()) {
         disconnected(); // the channel's own event comes in a later turn of the loop
       }
--- a/tokens/src/main/java/nettletrail/tokens/IntrospectionCalls.java
+++ b/tokens/src/main/java/nettletrail/tokens/IntrospectionCalls.java
@@ -14,15 +14,15 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import nettletrail.core.Arrival;
-import nettletrail.core.Attempt;
-import nettletrail.core.Bound;
-import nettletrail.core.Client;
+import nettletrail.core.BackendAttempt;
+import nettletrail.core.BackendReport;
 import nettletrail.core.Dispatcher;
 import nettletrail.core.Endpoint;
+import nettletrail.core.EventLoopClock;
+import nettletrail.core.InboundRequest;
 import nettletrail.core.Log;
-import nettletrail.core.LoopClock;
-import nettletrail.core.Report;
+import nettletrail.core.RequestClient;
+import nettletrail.core.RequestLimiter;
 import nettletrail.core.SecretFile;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewayDecider;
@@ -76,7 +76,8 @@
     private String said = "";
 
     /** @param authority its keys, or null where answers need not be signed */
-    IntrospectionCalls(TokensSettings settings, EventLoop loop, LoopClock clock, String name, TrustedKeys authority) {
+    IntrospectionCalls(TokensSettings settings, EventLoop loop, EventLoopClock clock, String name,
+            TrustedKeys authority) {
         this.settings = settings;
         signed = settings.signedAnswers() ? new SignedAnswer(authority, settings.issuer(), settings.clientId(), settings.skewS(),
                 settings.freshS()) : null;
@@ -87,19 +88,21 @@
                 "Services.0.Deadline=" + settings.callMs() * 1_000_000L, "Services.0.Effect=free", "TiersOfService.count=1",
                 "TiersOfService.0.Name=introspection", "TiersOfService.0.PerSecond=" + settings.callsPerS(),
                 "TiersOfService.0.Burst=" + settings.callsAtOnce()));
-        pool = new BackendPool(loop, new Report.Reader(reader), this::head, CONNECT_TIMEOUT_NS, IDLE_NS,
+        pool = new BackendPool(loop, new BackendReport.Reader(reader), this::head, CONNECT_TIMEOUT_NS, IDLE_NS,
                 Math.min(SERVER_SOCKETS, settings.mostOut()));
-        dispatcher = new Dispatcher(loop, clock, Bound.NONE, List.of(pool), reader, reader.settings(name.hashCode()),
+        dispatcher = new Dispatcher(loop, clock, RequestLimiter.NONE, List.of(pool), reader,
+                reader.settings(name.hashCode()),
                 GatewayDecider::new);
         List<Endpoint> servers = new ArrayList<>();
         int lanes = Math.max(1, (settings.mostOut() + PLACES - 1) / PLACES / settings.servers().size());
         for (int i = 0; i < settings.servers().size() * lanes; i++) {
             String server = "introspection-" + i;
-            servers.add(new Endpoint(Endpoint.id(server), server, settings.servers().get(i % settings.servers().size()), "", "", 0,
+            servers.add(new Endpoint(Endpoint.idOf(server), server,
+                    settings.servers().get(i % settings.servers().size()), "", "", 0,
                     Gateway.DiscoveryState.READY, 1, 0));
         }
         path = settings.path();
-        loop.execute(() -> dispatcher.listed(true, servers));
+        loop.execute(() -> dispatcher.endpointsUpdated(true, servers));
         if (!settings.metadataPath().isEmpty()) {
             loop.scheduleWithFixedDelay(this::findEndpoint, 0, METADATA_S, TimeUnit.SECONDS);
         }
@@ -107,8 +110,9 @@
 
     /** What the authority's metadata say (RFC 8414 section 3): the path that it names is taken if it is one of our servers'. */
     private void findEndpoint() {
-        dispatcher.arrived(new Arrival(HttpMethod.GET, settings.metadataPath(), nextId(), 0, 0, 0, 1, 1, settings.callMs(),
-                Unpooled.EMPTY_BUFFER, Long.MAX_VALUE), new Client() {
+        dispatcher.accept(new InboundRequest(HttpMethod.GET, settings.metadataPath(), nextId(), 0, 0, 0, 1, 1,
+                settings.callMs(),
+                Unpooled.EMPTY_BUFFER, Long.MAX_VALUE), new RequestClient() {
                     @Override
                     public void served(ByteBuf answer, String contentType) {
                         try {
@@ -119,7 +123,7 @@
                     }
 
                     @Override
-                    public void refused(long retryAfterNs) { }
+                    public void rejected(long retryAfterNs) { }
 
                     @Override
                     public void failed(int status) {
@@ -139,7 +143,7 @@
      * @param answered told once, perhaps before this returns
      */
     void ask(String token, long customer, Consumer<Introspected> answered) {
-        if (dispatcher.held() >= settings.mostAsking()) {
+        if (dispatcher.activeRequestCount() >= settings.mostAsking()) {
             answered.accept(new Introspected.Unusable("too many calls"));
             return;
         }
@@ -152,8 +156,8 @@
             return;
         }
         ByteBuf body = Unpooled.copiedBuffer(form, StandardCharsets.US_ASCII);
-        dispatcher.arrived(new Arrival(HttpMethod.POST, path, nextId(), 0, 0, customer, 1, 1,
-                settings.callMs(), body, Long.MAX_VALUE), new Client() {
+        dispatcher.accept(new InboundRequest(HttpMethod.POST, path, nextId(), 0, 0, customer, 1, 1,
+                settings.callMs(), body, Long.MAX_VALUE), new RequestClient() {
                     @Override
                     public void served(ByteBuf answer, String contentType) {
                         byte[] bytes = ByteBufUtil.getBytes(answer);
@@ -167,7 +171,7 @@
                     }
 
                     @Override
-                    public void refused(long retryAfterNs) {
+                    public void rejected(long retryAfterNs) {
                         answered.accept(new Introspected.Unusable("refused"));
                     }
 
@@ -197,13 +201,15 @@
         return URLEncoder.encode(text, StandardCharsets.UTF_8);
     }
 
-    private HeadBytes head(Attempt attempt) {
-        if (attempt.arrival().method() == HttpMethod.GET) {
-            return new HeadBytes(EXPECTED_HEAD).add(GET).add(attempt.arrival().uri()).add(HOST).add(host).add(ACCEPT).add(PLAIN)
+    private HeadBytes head(BackendAttempt attempt) {
+        if (attempt.request().method() == HttpMethod.GET) {
+            return new HeadBytes(EXPECTED_HEAD).add(GET).add(attempt.request().uri()).add(HOST).add(host).add(ACCEPT)
+                    .add(PLAIN)
                     .add(END);
         }
-        HeadBytes head = new HeadBytes(EXPECTED_HEAD).add(POST).add(attempt.arrival().uri()).add(HOST).add(host).add(FORM)
-                .add(signed == null ? PLAIN : SIGNED).add(LENGTH).add(attempt.arrival().body().readableBytes());
+        HeadBytes head = new HeadBytes(EXPECTED_HEAD).add(POST).add(attempt.request().uri()).add(HOST).add(host)
+                .add(FORM)
+                .add(signed == null ? PLAIN : SIGNED).add(LENGTH).add(attempt.request().body().readableBytes());
         if (settings.auth() == TokensSettings.ClientAuth.BASIC) {
             try {
                 // Read anew for each call: a secret that was changed is used at once, and none lies in memory for long.
--- a/tokens/src/main/java/nettletrail/tokens/Metadata.java
+++ b/tokens/src/main/java/nettletrail/tokens/Metadata.java
@@ -38,7 +38,7 @@
         }
         try {
             URI uri = new URI(endpoint);
-            InetSocketAddress address = uri.getAuthority() == null ? null : Endpoint.address(uri.getAuthority());
+            InetSocketAddress address = uri.getAuthority() == null ? null : Endpoint.parseAddress(uri.getAuthority());
             if (address == null || !servers.contains(address) || !"http".equals(uri.getScheme())) {
                 throw new IllegalArgumentException("their introspection_endpoint is not at one of our servers, over http");
             }
--- a/tokens/src/main/java/nettletrail/tokens/TokensAdmission.java
+++ b/tokens/src/main/java/nettletrail/tokens/TokensAdmission.java
@@ -12,10 +12,10 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import nettletrail.core.Admission;
-import nettletrail.core.Arrival;
+import nettletrail.core.Authorizer;
+import nettletrail.core.EventLoopClock;
+import nettletrail.core.InboundRequest;
 import nettletrail.core.Log;
-import nettletrail.core.LoopClock;
 import nettletrail.decision.Gateway;
 import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.tokens.TokensDecider.Asker;
@@ -24,7 +24,7 @@
 import nettletrail.tokens.TokensDecider.Terms;
 
 /** The decider at a front door's entrance: requests in, calls out, a clock. On the event loop. */
-public final class TokensAdmission implements Admission, TokensDecider.Actions {
+public final class TokensAdmission implements Authorizer, TokensDecider.Actions {
     private static final long MS = 1_000_000L;
     private static final long STATUS_S = 30;
     private static final int KIB = 1_024;
@@ -39,19 +39,19 @@
     private final LocalJwt local;
     private final Revocations revocations;
     private final TokenKey.Maker keys = new TokenKey.Maker();
-    private final Map<Long, Waiting> waiting = new HashMap<>();
+    private final Map<Long, AuthorizationCallback> waiting = new HashMap<>();
     private final List<Future<?>> clocks = new ArrayList<>();
     /** Added to the monotonic clock: the decider's starts at Unix time and never goes back. */
     private final long clockOffset = System.currentTimeMillis() * MS - System.nanoTime();
-    private Withdrawn withdrawn;
+    private RevocationListener withdrawn;
     /** Of the request that is being asked for; only a call that it causes reads it. */
     private String asked;
-    private Arrival asking;
+    private InboundRequest asking;
     private Future<?> wake;
     private long wakeAt = Long.MAX_VALUE;
     private Status told;
 
-    private TokensAdmission(TokensSettings settings, String name, EventLoop loop, LoopClock clock,
+    private TokensAdmission(TokensSettings settings, String name, EventLoop loop, EventLoopClock clock,
             GatewaySettingsReader reader) {
         this.settings = settings;
         this.loop = loop;
@@ -97,12 +97,12 @@
     }
 
     /** What the operator file turns on. */
-    public static Admission.Maker maker(TokensSettings settings) {
+    public static Authorizer.Factory maker(TokensSettings settings) {
         return (name, loop, clock, reader, platform) -> new TokensAdmission(settings, name, loop, clock, reader);
     }
 
     @Override
-    public void tells(Withdrawn listener) {
+    public void setRevocationListener(RevocationListener listener) {
         withdrawn = listener;
     }
 
@@ -113,7 +113,7 @@
     // ---- Requests ------------------------------------------------------------------------------------------
 
     @Override
-    public Word ask(long id, Arrival arrival, long leftNs, Waiting listener) {
+    public Decision authorize(long id, InboundRequest arrival, long leftNs, AuthorizationCallback listener) {
         BearerToken credentials = credentials(arrival);
         if (credentials instanceof BearerToken.Malformed malformed) {
             return denial(Verdict.Why.MALFORMED, "", malformed.why(), 0);
@@ -135,12 +135,12 @@
         if (verdict instanceof Verdict.Wait) {
             waiting.put(id, listener);
             wakeInTime();
-            return new Wait();
+            return new Pending();
         }
         return word(verdict);
     }
 
-    private static BearerToken credentials(Arrival arrival) {
+    private static BearerToken credentials(InboundRequest arrival) {
         return BearerToken.read(arrival.authorization() == null ? List.of() : List.of(arrival.authorization()));
     }
 
@@ -150,20 +150,20 @@
     }
 
     @Override
-    public void left(long id, Arrival arrival) {
+    public void requestEnded(long id, InboundRequest arrival) {
         if (waiting.remove(id) != null && credentials(arrival) instanceof BearerToken.Present present) {
             decider.left(keys.of(present.text()), id);
         }
     }
 
-    private Word word(Verdict verdict) {
+    private Decision word(Verdict verdict) {
         if (verdict instanceof Verdict.Denied denied) {
             return denial(denied.why(), denied.scope(), denied.why().text(), 0);
         }
         if (verdict instanceof Verdict.Unknown unknown) {
             return denial(unknown.why(), "", unknown.why().text(), unknown.retryAfterNs());
         }
-        return new Pass();
+        return new Allowed();
     }
 
     private Denial denial(Verdict.Why why, String scope, String text, long retryAfterNs) {
@@ -191,15 +191,15 @@
 
     @Override
     public void decided(long id, Verdict verdict) {
-        Waiting listener = waiting.remove(id);
+        AuthorizationCallback listener = waiting.remove(id);
         if (listener != null) {
-            Word word = word(verdict);
+            Decision word = word(verdict);
             // At the next turn too: what it brings about may ask the decider again.
             loop.execute(() -> {
                 if (word instanceof Denial denial) {
                     listener.denied(denial);
                 } else {
-                    listener.admitted();
+                    listener.allowed();
                 }
             });
         }
@@ -207,7 +207,7 @@
 
     @Override
     public void revoked(TokenKey token) {
-        loop.execute(() -> withdrawn.turnAway(arrival -> credentials(arrival) instanceof BearerToken.Present present
+        loop.execute(() -> withdrawn.revoked(arrival -> credentials(arrival) instanceof BearerToken.Present present
                 && keys.of(present.text()).equals(token),
                 denial(Verdict.Why.REVOKED, "", Verdict.Why.REVOKED.text(), 0)));
     }
--- a/tokens/src/main/java/nettletrail/tokens/TokensSettings.java
+++ b/tokens/src/main/java/nettletrail/tokens/TokensSettings.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import nettletrail.core.Endpoint;
 import nettletrail.core.SecretFile;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 
 /**
  * {@code [tokens]} of the operator file. Times as their keys name them.
@@ -52,8 +52,9 @@
     }
 
     /** The section's keys. */
-    public static Section section() {
-        return new Section("tokens", "OAuth 2 bearer tokens, asked about at introspection servers (RFC 6750, RFC 7662).")
+    public static SettingsSection section() {
+        return new SettingsSection("tokens",
+                "OAuth 2 bearer tokens, asked about at introspection servers (RFC 6750, RFC 7662).")
                 .flag("enabled", false, "whether each request needs an active token")
                 .text("servers", 0, 4_096, "127.0.0.1:8090", "introspection servers, as \"IP:PORT,IP:PORT\"")
                 .text("path", 1, 1_024, "/introspect", "path of the introspection endpoint there")
@@ -78,25 +79,26 @@
                 .text("scopes", 0, 4_096, "", "scope that a class needs, as \"order-submit=orders:write\"; \"\" for none")
                 .text("stale", 0, 4_096, "", "s for which an answer that is no longer fresh may stand in for a slow server, by"
                         + " class, as \"order-status=30\"; \"\" for none")
-                .whole("fresh_s", 1, 3_600, 30, "s for which a good answer is good")
-                .whole("bad_s", 1, 3_600, 5, "s for which a bad one is")
-                .whole("revoked_s", 1, 86_400, 300, "s for which a token told revoked is not asked about")
-                .whole("failed_ms", 10, 60_000, 250, "ms after which a token is asked about again when a call failed")
-                .whole("patience_ms", 0, 60_000, 100, "ms that a request waits where a stale answer may stand in")
-                .whole("reserve_ms", 1, 60_000, 300, "ms of its time that a request needs for itself")
-                .whole("skew_s", 0, 300, 30, "s by which the issuer's clock may differ")
-                .whole("call_ms", 100, 5_000, 4_000, "ms after which a call has failed, whoever still waits")
-                .whole("calls_per_s", 1, 100_000, 200, "calls a second for one customer's requests")
-                .whole("calls_at_once", 1, 100_000, 400, "calls at once for one customer's requests")
-                .whole("most_out", 1, 10_000, 64, "calls out at once")
-                .whole("most_kb", 64, 1_048_576, 8_192, "KiB for what is known of tokens")
-                .whole("most_waiting", 1, 1_000_000, 4_096, "requests that wait at once; beyond, they are told to come again")
-                .whole("most_asking", 1, 1_000_000, 1_024, "tokens asked about at once; beyond, the same")
-                .whole("most_part_pct", 1, 100, 25, "percent of both that one customer's requests take at most");
+                .integer("fresh_s", 1, 3_600, 30, "s for which a good answer is good")
+                .integer("bad_s", 1, 3_600, 5, "s for which a bad one is")
+                .integer("revoked_s", 1, 86_400, 300, "s for which a token told revoked is not asked about")
+                .integer("failed_ms", 10, 60_000, 250, "ms after which a token is asked about again when a call failed")
+                .integer("patience_ms", 0, 60_000, 100, "ms that a request waits where a stale answer may stand in")
+                .integer("reserve_ms", 1, 60_000, 300, "ms of its time that a request needs for itself")
+                .integer("skew_s", 0, 300, 30, "s by which the issuer's clock may differ")
+                .integer("call_ms", 100, 5_000, 4_000, "ms after which a call has failed, whoever still waits")
+                .integer("calls_per_s", 1, 100_000, 200, "calls a second for one customer's requests")
+                .integer("calls_at_once", 1, 100_000, 400, "calls at once for one customer's requests")
+                .integer("most_out", 1, 10_000, 64, "calls out at once")
+                .integer("most_kb", 64, 1_048_576, 8_192, "KiB for what is known of tokens")
+                .integer("most_waiting", 1, 1_000_000, 4_096,
+                        "requests that wait at once; beyond, they are told to come again")
+                .integer("most_asking", 1, 1_000_000, 1_024, "tokens asked about at once; beyond, the same")
+                .integer("most_part_pct", 1, 100, 25, "percent of both that one customer's requests take at most");
     }
 
     /** Rules between the values. */
-    public static void check(Section.Values values, Consumer<Section.Fault> faults) {
+    public static void check(SettingsSection.Values values, Consumer<SettingsSection.Fault> faults) {
         if (!values.flag("enabled")) {
             return;
         }
@@ -107,31 +109,37 @@
         String auth = values.text("client_auth");
         faulty(faults, "client_auth", () -> ClientAuth.named(auth));
         if (auth.equals("private_key_jwt") && values.text("assertion_audience").isEmpty()) {
-            faults.accept(new Section.Fault("assertion_audience", "must name the authority where client_auth is private_key_jwt"));
+            faults.accept(new SettingsSection.Fault("assertion_audience",
+                    "must name the authority where client_auth is private_key_jwt"));
         }
         if (values.flag("local_jwts") && values.text("issuer").isEmpty()) {
-            faults.accept(new Section.Fault("issuer", "must name whose JWTs are checked here where local_jwts is true"));
+            faults.accept(new SettingsSection.Fault("issuer",
+                    "must name whose JWTs are checked here where local_jwts is true"));
         }
         boolean needsKeys = values.flag("signed_answers") || values.flag("local_jwts") || !values.text("revocations_listen").isEmpty();
         if (needsKeys && values.text("authority_keys_file").isEmpty()) {
-            faults.accept(new Section.Fault("authority_keys_file", "must be there if signed_answers, local_jwts or revocations_listen is"));
+            faults.accept(new SettingsSection.Fault("authority_keys_file",
+                    "must be there if signed_answers, local_jwts or revocations_listen is"));
         }
         if (!values.text("path").startsWith("/") || !values.text("path").chars().allMatch(each -> each > ' ' && each < 127)) {
-            faults.accept(new Section.Fault("path", "must begin with / and have no spaces, as /introspect"));
+            faults.accept(new SettingsSection.Fault("path", "must begin with / and have no spaces, as /introspect"));
         }
         if (!values.text("metadata_path").isEmpty() && (!values.text("metadata_path").startsWith("/")
                 || values.text("issuer").isEmpty())) {
-            faults.accept(new Section.Fault("metadata_path", "must begin with /, and issuer must name who is believed"));
+            faults.accept(new SettingsSection.Fault("metadata_path",
+                    "must begin with /, and issuer must name who is believed"));
         }
         if (values.text("realm").chars().anyMatch(each -> each < ' ' || each > 126 || each == '"' || each == '\\')) {
-            faults.accept(new Section.Fault("realm", "must be printable ASCII without quotes and backslashes"));
+            faults.accept(new SettingsSection.Fault("realm", "must be printable ASCII without quotes and backslashes"));
         }
-        if (values.whole("revoked_s") * 1_000 <= values.whole("call_ms")) {
-            faults.accept(new Section.Fault("revoked_s", "must be longer than call_ms, or an answer made before the revocation"
+        if (values.integer("revoked_s") * 1_000 <= values.integer("call_ms")) {
+            faults.accept(new SettingsSection.Fault("revoked_s",
+                    "must be longer than call_ms, or an answer made before the revocation"
                     + " could count again"));
         }
         if (values.text("client_id").isEmpty() != values.text("client_secret_file").isEmpty()) {
-            faults.accept(new Section.Fault("client_secret_file", "must be there if client_id is, and only then"));
+            faults.accept(new SettingsSection.Fault("client_secret_file",
+                    "must be there if client_id is, and only then"));
         } else if (auth.equals("private_key_jwt") && !values.text("client_secret_file").isEmpty()) {
             faulty(faults, "client_secret_file", () -> ClientAssertion.make(values.text("client_secret_file"), "check", "check", 0));
         } else if (!values.text("client_secret_file").isEmpty()) {
@@ -146,33 +154,35 @@
         void read() throws IOException;
     }
 
-    private static void faulty(Consumer<Section.Fault> faults, String key, Reading reading) {
+    private static void faulty(Consumer<SettingsSection.Fault> faults, String key, Reading reading) {
         try {
             reading.read();
         } catch (IllegalArgumentException | IOException e) {
-            faults.accept(new Section.Fault(key, e.getMessage()));
+            faults.accept(new SettingsSection.Fault(key, e.getMessage()));
         }
     }
 
-    public static TokensSettings of(Section.Values values) {
+    public static TokensSettings of(SettingsSection.Values values) {
         return new TokensSettings(addresses(values.text("servers")), values.text("path"), values.text("metadata_path"), values.text("client_id"),
                 values.text("client_secret_file"), values.text("client_id").isEmpty() ? ClientAuth.NONE
                         : ClientAuth.named(values.text("client_auth")), values.text("assertion_audience"),
                 values.flag("signed_answers"), values.flag("local_jwts"), values.text("authority_keys_file"),
-                Endpoint.address(values.text("revocations_listen")), values.text("realm"),
+                Endpoint.parseAddress(values.text("revocations_listen")), values.text("realm"),
                 values.text("issuer"), values.text("audience"), values.text("customer_claim"),
-                byClass(values.text("scopes"), ""), byClass(values.text("stale"), ""), values.whole("fresh_s"),
-                values.whole("bad_s"), values.whole("revoked_s"), values.whole("failed_ms"), values.whole("patience_ms"),
-                values.whole("reserve_ms"), values.whole("skew_s"), values.whole("call_ms"), values.whole("calls_per_s"),
-                values.whole("calls_at_once"), (int) values.whole("most_out"), values.whole("most_kb"),
-                (int) values.whole("most_waiting"), (int) values.whole("most_asking"),
-                (int) values.whole("most_part_pct"));
+                byClass(values.text("scopes"), ""), byClass(values.text("stale"), ""), values.integer("fresh_s"),
+                values.integer("bad_s"), values.integer("revoked_s"), values.integer("failed_ms"),
+                        values.integer("patience_ms"),
+                values.integer("reserve_ms"), values.integer("skew_s"), values.integer("call_ms"),
+                        values.integer("calls_per_s"),
+                values.integer("calls_at_once"), (int) values.integer("most_out"), values.integer("most_kb"),
+                (int) values.integer("most_waiting"), (int) values.integer("most_asking"),
+                (int) values.integer("most_part_pct"));
     }
 
     private static List<InetSocketAddress> addresses(String text) {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (String part : text.split(",")) {
-            InetSocketAddress address = Endpoint.address(part.strip());
+            InetSocketAddress address = Endpoint.parseAddress(part.strip());
             if (address == null || addresses.contains(address)) {
                 throw new IllegalArgumentException(address == null ? "has '" + part.strip() + "'; write IP:PORT,IP:PORT"
                         : "names " + part.strip() + " twice; name it once");
--- a/tokens/src/test/java/nettletrail/tokens/ReadingTest.java
+++ b/tokens/src/test/java/nettletrail/tokens/ReadingTest.java
@@ -80,7 +80,7 @@
 
     @Test
     void metadataAreFollowedToOurServersOnly() {
-        java.net.InetSocketAddress ours = nettletrail.core.Endpoint.address("127.0.0.1:8090");
+        java.net.InetSocketAddress ours = nettletrail.core.Endpoint.parseAddress("127.0.0.1:8090");
         java.util.function.Function<String, String> path = json -> Metadata.introspectionPath(
                 json.getBytes(StandardCharsets.UTF_8), "as", List.of(ours));
         assertEquals("/a?b=c", path.apply("{\"issuer\":\"as\",\"introspection_endpoint\":\"http://127.0.0.1:8090/a?b=c\"}"));
--- a/tokens/src/test/java/nettletrail/tokens/TokensFormTest.java
+++ b/tokens/src/test/java/nettletrail/tokens/TokensFormTest.java
@@ -23,8 +23,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import nettletrail.core.LoopClock;
-import nettletrail.core.Section;
+import nettletrail.core.EventLoopClock;
+import nettletrail.core.SettingsSection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -64,7 +64,7 @@
                     fault -> lines.add("" + fault)));
             EventLoop loop = group.next();
             loop.submit(() -> {
-                IntrospectionCalls calls = new IntrospectionCalls(settings, loop, new LoopClock(), "n0", null);
+                IntrospectionCalls calls = new IntrospectionCalls(settings, loop, new EventLoopClock(), "n0", null);
                 if (settings.metadataPath().isEmpty()) {
                     loop.execute(() -> calls.ask("a token+/=", 7, answer -> { }));
                 }
@@ -127,9 +127,9 @@
 
     @Test
     void sectionHasItsKeys() throws Exception {
-        Section section = TokensSettings.section();
-        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.absent() + ", kind "
-                + each.kind().ordinal() + " from " + each.least() + " to " + each.most()));
+        SettingsSection section = TokensSettings.section();
+        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.defaultValue() + ", kind "
+                + each.kind().ordinal() + " from " + each.min() + " to " + each.max()));
         TokensSettings.of(section.read(Map.of(), fault -> lines.add("fault " + fault.key())));
         verify("tokens-settings.txt");
     }
--- a/tokens/src/test/java/nettletrail/tokens/TokensSettingsTest.java
+++ b/tokens/src/test/java/nettletrail/tokens/TokensSettingsTest.java
@@ -11,7 +11,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import nettletrail.core.Section;
+import nettletrail.core.SettingsSection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -19,8 +19,8 @@
     @TempDir
     private Path folder;
 
-    private static List<Section.Fault> faults(Map<String, Object> given) {
-        List<Section.Fault> faults = new ArrayList<>();
+    private static List<SettingsSection.Fault> faults(Map<String, Object> given) {
+        List<SettingsSection.Fault> faults = new ArrayList<>();
         Map<String, Object> on = new HashMap<>(given);
         on.putIfAbsent("enabled", true);
         TokensSettings.check(TokensSettings.section().read(on, faults::add), faults::add);
@@ -28,7 +28,7 @@
     }
 
     private static List<String> keys(Map<String, Object> given) {
-        return faults(given).stream().map(Section.Fault::key).toList();
+        return faults(given).stream().map(SettingsSection.Fault::key).toList();
     }
 
     @Test
@@ -54,13 +54,14 @@
         Path open = folder.resolve("open");
         Files.writeString(open, "s3cret-never-shown");
         Files.setPosixFilePermissions(open, PosixFilePermissions.fromString("rw-r--r--"));
-        List<Section.Fault> told = faults(Map.of("client_id", "gw", "client_secret_file", open.toString()));
+        List<SettingsSection.Fault> told = faults(Map.of("client_id", "gw", "client_secret_file", open.toString()));
         assertEquals(1, told.size());
-        assertTrue(told.get(0).what().contains("chmod 600"));
+        assertTrue(told.get(0).message().contains("chmod 600"));
         assertFalse(told.toString().contains("never-shown"));
         Files.setPosixFilePermissions(open, PosixFilePermissions.fromString("rw-------"));
         told = faults(Map.of("client_id", "gw", "client_secret_file", open.toString(), "client_auth", "private_key_jwt"));
-        assertEquals(List.of("assertion_audience", "client_secret_file"), told.stream().map(Section.Fault::key).toList());
+        assertEquals(List.of("assertion_audience", "client_secret_file"), told.stream().map(SettingsSection.Fault::key)
+                .toList());
         assertFalse(told.toString().contains("never-shown"));
     }
 }
