--- a/decision/src/main/java/nettletrail/decision/Aperture.java
+++ b/decision/src/main/java/nettletrail/decision/Aperture.java
@@ -14,52 +14,54 @@
 import nettletrail.decision.Gateway.Settings;
 
 /**
- * Which of the listed backends one of many gateways uses: a deterministic aperture (Finagle's term). No two gateways
- * talk about it: each derives its part from the list and from its number among them.
+ * Chooses which of the listed backends one of many gateways uses: a deterministic aperture, as in Finagle. Gateways do
+ * not coordinate: each derives its subset from the list and from its own index.
  *
- * <p><b>Ring.</b> The backends of a zone that aren't gone, by the hash of their id (of their cell first, where a class
- * drops repeats by cell, so that a cell's backends stand together): the same at every gateway. They have ranks 0 to b - 1.
+ * <p><b>Ring.</b> The backends of a zone that are not gone, ordered by the hash of their id (of their cell first, where
+ * a class drops repeats by cell, so that a cell's backends are adjacent): the same at every gateway. They have ranks 0
+ * to b - 1.
  *
- * <p><b>Place.</b> Gateway {@code index} of D has the place p that it gets when all are put in the order of the golden
- * ratio's multiples: a bijection, so places are even; and gateways with close indexes (a rack, a zone) are far apart, so
- * that no backend loses all of its gateways with one rack.
+ * <p><b>Position.</b> Gateway {@code index} of D has the position p that it gets when all are sorted by multiples of
+ * the golden ratio, modulo 1: a bijection, so positions are even; and gateways with close indexes (a rack, a zone) are
+ * far apart, so that no backend loses all of its gateways with one rack.
  *
- * <p><b>Arc.</b> Of each ring it uses the ranks from floor(p b / D + t) to before floor((p + s) b / D + t), over the end
- * to rank 0, with t from 0 to 1 by the zone's hash, lest all zones round the same gateway's arc down, and s = max(doorsPerBackend, least D / n, D / b of the largest zone) for n backends in all; all of them if s reaches D.
- * Each backend is so in the arcs of floor(s) or ceil(s) gateways, exactly s for a whole s; each gateway has floor or
- * ceil of s b / D of the zone, least or more in all. A zone of fewer than D / s is used by some gateways only: were it
- * used by all, each of its backends would get the load of D gateways, and none of them would come up from the cold.
+ * <p><b>Arc.</b> On each ring a gateway uses the ranks from floor(p b / D + t) up to but excluding floor((p + s) b / D
+ * + t), wrapping around to rank 0. The offset t from 0 to 1 comes from the zone's hash, so that not all zones round the
+ * same gateway's arc down. s = max(minGatewaysPerBackend, minBackends D / n, D / b of the largest zone) for n backends
+ * in all; a gateway uses all backends if s reaches D. So each backend is in the arcs of floor(s) or ceil(s) gateways,
+ * exactly s for a whole s; each gateway has floor or ceil of s b / D of the zone, minBackends or more in all. A zone of
+ * fewer than D / s backends is used by some gateways only: if all used it, each of its backends would get the load of D
+ * gateways, and none would get through slow start.
  *
- * <p><b>Drains.</b> Who drains keeps its rank until it is gone, so that a drain takes nobody else out of a set. As many
- * ready ones as the arc has ranks are used: where some of these drain, the next ready ones of the ring are taken too.
+ * <p><b>Drains.</b> A draining backend keeps its rank until it is gone, so that a drain removes no other backend from a
+ * subset. A gateway uses as many ready backends as its arc has ranks: where some of these drain, the next ready ones of
+ * the ring are added.
  *
- * <p>A change costs the set's size, and the move of the ranks above in an array. One thread; no clock, no randomness.
+ * <p>A change costs the subset's size, and shifting the higher ranks in an array. Single-threaded; no clock, no
+ * randomness.
  */
 final class Aperture {
-    /** 2^64 over the golden ratio. */
-    private static final long GOLDEN = 0x9E3779B97F4A7C15L;
+    /** 2^64 divided by the golden ratio. */
+    private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L;
 
-    /** Parts of a rank that a zone's arcs begin behind those of another. */
-    private static final long TURN = 64;
+    /** Steps per rank of the offset between the arcs of different zones. */
+    private static final long OFFSET_STEPS = 64;
 
-    /**
-     * What the module is to be told, as {@link Gateway#onBackends} has it; nothing if it is not whole and has no
-     * entries.
-     */
-    record Told(boolean whole, List<Backend> entries) { }
+    /** The arguments for {@link Gateway#onBackends}; no call is needed if it is neither whole nor has entries. */
+    record Update(boolean whole, List<Backend> entries) { }
 
     private static final class Member implements Comparable<Member> {
         private Backend entry;
         private final long cell;
         private final long hash;
-        /** The last list that told it, and the last whose set had it. */
-        private long toldBy;
-        private long usedBy;
+        /** Number of the last list that had it, and of the last list whose subset had it. */
+        private long listedIn;
+        private long usedIn;
 
         Member(Backend entry, boolean byCell) {
             this.entry = entry;
-            cell = byCell ? mixed(entry.cell()) : 0;
-            hash = mixed(entry.id());
+            cell = byCell ? mix(entry.cell()) : 0;
+            hash = mix(entry.id());
         }
 
         @Override
@@ -70,7 +72,7 @@
         }
     }
 
-    /** A zone's, in order. */
+    /** The backends of a zone, in rank order. */
     private static final class Ring {
         private Member[] ranks = new Member[8];
         private int size;
@@ -90,8 +92,10 @@
             ranks[size] = null;
         }
 
-        /** From the rank on, around: so many, and on until so many of them are ready. */
-        void arc(long from, long count, List<Member> into) {
+        /**
+         * Collects {@code count} members from this rank on, wrapping around, and more until {@code count} are ready.
+         */
+        void collect(long from, long count, List<Member> into) {
             int ready = 0;
             for (int i = 0; i < size && (i < count || ready < count); i++) {
                 Member member = ranks[(int) ((from + i) % size)];
@@ -104,27 +108,27 @@
         }
     }
 
-    /** s as a fraction, so that every gateway and every rank comes to the same. */
-    private record Share(long over, long under) {
-        boolean above(Share other) {
-            return over * (double) other.under > other.over * (double) under;
+    /** s as a fraction, so that every gateway computes the same for every rank. */
+    private record Ratio(long numerator, long denominator) {
+        boolean greaterThan(Ratio other) {
+            return numerator * (double) other.denominator > other.numerator * (double) denominator;
         }
     }
 
     private final ApertureSettings settings;
-    private final int doors;
-    private final long place;
+    private final int gatewayCount;
+    private final long position;
     private final boolean byCell;
     private final Map<Long, Member> listed = new HashMap<>();
     private final TreeMap<Integer, Ring> rings = new TreeMap<>();
-    private List<Member> set = List.of();
-    private boolean all = true;
-    private double sharers;
-    private long lists;
+    private List<Member> subset = List.of();
+    private boolean usesAll = true;
+    private double gatewaysPerBackend;
+    private long listCount;
 
     /**
-     * @param gateways what this one is told at its start
-     * @param index its number among them, from 0
+     * @param gateways the settings of the gateway
+     * @param index the gateway's index, from 0
      */
     Aperture(ApertureSettings settings, Settings gateways, int index) {
         this(settings, gateways.gatewayCount(), index, byCell(gateways));
@@ -139,49 +143,49 @@
         return false;
     }
 
-    Aperture(ApertureSettings settings, int doors, int index, boolean byCell) {
-        Gateway.requireInRange(index >= 0 && index < doors, "Aperture.index");
+    Aperture(ApertureSettings settings, int gatewayCount, int index, boolean byCell) {
+        Gateway.requireInRange(index >= 0 && index < gatewayCount, "Aperture.index");
         this.settings = settings;
-        this.doors = doors;
+        this.gatewayCount = gatewayCount;
         this.byCell = byCell;
-        place = place(index, doors);
-        sharers = doors;
+        position = position(index, gatewayCount);
+        gatewaysPerBackend = gatewayCount;
     }
 
-    /** That gateway's place among so many: how many have a lower multiple of the golden ratio, modulo 1. */
-    static long place(int index, int doors) {
-        long place = 0;
-        for (int i = 0; i < doors; i++) {
-            place += Long.compareUnsigned(i * GOLDEN, index * GOLDEN) < 0 ? 1 : 0;
+    /** Position of a gateway: how many others have a lower multiple of the golden ratio, modulo 1. */
+    static long position(int index, int gatewayCount) {
+        long position = 0;
+        for (int i = 0; i < gatewayCount; i++) {
+            position += Long.compareUnsigned(i * GOLDEN_RATIO, index * GOLDEN_RATIO) < 0 ? 1 : 0;
         }
-        return place;
+        return position;
     }
 
-    /** SplitMix64's last steps: ids that are numbered through come to lie anywhere. */
-    static long mixed(long value) {
-        long mixed = (value + GOLDEN ^ value + GOLDEN >>> 30) * 0xBF58476D1CE4E5B9L;
+    /** Finalizer of SplitMix64: spreads sequential ids evenly. */
+    static long mix(long value) {
+        long mixed = (value + GOLDEN_RATIO ^ value + GOLDEN_RATIO >>> 30) * 0xBF58476D1CE4E5B9L;
         mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
         return mixed ^ mixed >>> 31;
     }
 
-    /** Gateways that use each backend, on the mean. */
-    double sharers() {
-        return sharers;
+    /** Mean number of gateways that use each backend. */
+    double gatewaysPerBackend() {
+        return gatewaysPerBackend;
     }
 
     /** Whether all listed backends are used. */
-    boolean all() {
-        return all;
+    boolean usesAll() {
+        return usesAll;
     }
 
-    /** The set in use: by zone, and from the arc's first rank on. */
-    List<Backend> set() {
-        return entries(set(place));
+    /** The subset in use: by zone, and from the arc's first rank on. */
+    List<Backend> subset() {
+        return entries(subset(position));
     }
 
-    /** That of another gateway, by the same list. */
-    List<Backend> setOf(int index) {
-        return entries(set(place(index, doors)));
+    /** The subset of another gateway, for the same list. */
+    List<Backend> subsetOf(int index) {
+        return entries(subset(position(index, gatewayCount)));
     }
 
     private static List<Backend> entries(List<Member> members) {
@@ -192,50 +196,50 @@
         return entries;
     }
 
-    /** Takes a list in, whole or only what changed, and says what the module is to be told of it. */
-    Told listed(boolean whole, List<Backend> entries) {
-        lists++;
-        boolean before = all;
+    /** Applies a list, whole or only its changes, and returns what to report to the delegate. */
+    Update listed(boolean whole, List<Backend> entries) {
+        listCount++;
+        boolean usedAll = usesAll;
         List<Backend> gone = new ArrayList<>();
         for (Backend entry : entries) {
-            take(entry, gone);
+            apply(entry, gone);
         }
         if (whole) {
             for (Iterator<Member> it = listed.values().iterator(); it.hasNext();) {
                 Member member = it.next();
-                if (member.toldBy != lists) {
-                    leaves(member);
+                if (member.listedIn != listCount) {
+                    removeFromRing(member);
                     it.remove();
                 }
             }
         }
-        Share share = share();
-        all = share.over() >= doors * share.under();
-        sharers = all ? doors : share.over() / (double) share.under();
-        if (all) {
-            set = List.of();
-            return before ? new Told(whole, entries) : new Told(true, set());
+        Ratio share = share();
+        usesAll = share.numerator() >= gatewayCount * share.denominator();
+        gatewaysPerBackend = usesAll ? gatewayCount : share.numerator() / (double) share.denominator();
+        if (usesAll) {
+            subset = List.of();
+            return usedAll ? new Update(whole, entries) : new Update(true, subset());
         }
-        List<Member> old = set;
-        set = set(place);
-        if (whole || before) {
-            for (Member member : set) {
-                member.usedBy = lists;
+        List<Member> old = subset;
+        subset = subset(position);
+        if (whole || usedAll) {
+            for (Member member : subset) {
+                member.usedIn = listCount;
             }
-            return new Told(true, set());
+            return new Update(true, subset());
         }
-        return new Told(false, changes(old, gone));
+        return new Update(false, changes(old, gone));
     }
 
-    private void take(Backend entry, List<Backend> gone) {
+    private void apply(Backend entry, List<Backend> removed) {
         Member known = listed.get(entry.id());
         boolean moved = known != null && (known.entry.zone() != entry.zone()
                 || byCell && known.entry.cell() != entry.cell());
         if (known != null && (moved || entry.state() == DiscoveryState.GONE)) {
-            leaves(known);
+            removeFromRing(known);
             listed.remove(entry.id());
-            if (known.usedBy == lists - 1) {
-                gone.add(entry);
+            if (known.usedIn == listCount - 1) {
+                removed.add(entry);
             }
             known = null;
         }
@@ -253,10 +257,10 @@
             ring.add(known);
         }
         known.entry = entry;
-        known.toldBy = lists;
+        known.listedIn = listCount;
     }
 
-    private void leaves(Member member) {
+    private void removeFromRing(Member member) {
         Ring ring = rings.get(member.entry.zone());
         ring.remove(member);
         if (ring.size == 0) {
@@ -264,58 +268,59 @@
         }
     }
 
-    private Share share() {
+    private Ratio share() {
         int largest = 1;
         for (Ring ring : rings.values()) {
             largest = Math.max(largest, ring.size);
         }
-        Share share = new Share(settings.minGatewaysPerBackend(), 1);
-        for (Share each : List.of(new Share((long) settings.minBackends() * doors, Math.max(1, listed.size())),
-                new Share(doors, largest))) {
-            share = each.above(share) ? each : share;
+        Ratio share = new Ratio(settings.minGatewaysPerBackend(), 1);
+        for (Ratio each : List.of(new Ratio((long) settings.minBackends() * gatewayCount, Math.max(1, listed.size())),
+                new Ratio(gatewayCount, largest))) {
+            share = each.greaterThan(share) ? each : share;
         }
         return share;
     }
 
-    private List<Member> set(long from) {
+    private List<Member> subset(long from) {
         List<Member> found = new ArrayList<>();
-        Share share = share();
-        boolean every = share.over() >= doors * share.under();
+        Ratio share = share();
+        boolean wholeRings = share.numerator() >= gatewayCount * share.denominator();
         for (Map.Entry<Integer, Ring> each : rings.entrySet()) {
             Ring ring = each.getValue();
-            long turn = Math.floorMod(mixed(each.getKey()), TURN);
-            long first = (TURN * from * ring.size + turn * doors) / (TURN * doors);
-            long whole = TURN * doors * share.under();
-            long end = (TURN * (from * share.under() + share.over()) * ring.size + turn * doors * share.under()) / whole;
-            ring.arc(every ? 0 : first, every ? ring.size : end - first, found);
+            long offset = Math.floorMod(mix(each.getKey()), OFFSET_STEPS);
+            long first = (OFFSET_STEPS * from * ring.size + offset * gatewayCount) / (OFFSET_STEPS * gatewayCount);
+            long whole = OFFSET_STEPS * gatewayCount * share.denominator();
+            long end = (OFFSET_STEPS * (from * share.denominator() + share.numerator()) * ring.size
+                    + offset * gatewayCount * share.denominator()) / whole;
+            ring.collect(wholeRings ? 0 : first, wholeRings ? ring.size : end - first, found);
         }
         return found;
     }
 
-    /** Who left the list, who left the set (gone, as far as the module may know), who came in, and who changed. */
+    /** Backends that left the list or the subset (both as gone), that joined the subset, and that changed. */
     private List<Backend> changes(List<Member> old, List<Backend> gone) {
         List<Backend> changes = new ArrayList<>();
-        for (Member member : set) {
-            if (member.usedBy != lists - 1 || member.toldBy == lists) {
+        for (Member member : subset) {
+            if (member.usedIn != listCount - 1 || member.listedIn == listCount) {
                 changes.add(member.entry);
             }
-            member.usedBy = lists;
+            member.usedIn = listCount;
         }
         for (Member member : old) {
-            if (member.usedBy != lists && listed.get(member.entry.id()) == member) {
-                changes.add(as(member.entry, DiscoveryState.GONE));
+            if (member.usedIn != listCount && listed.get(member.entry.id()) == member) {
+                changes.add(withState(member.entry, DiscoveryState.GONE));
             }
         }
         for (Backend entry : gone) {
             Member again = listed.get(entry.id());
-            if (again == null || again.usedBy != lists) {
-                changes.add(as(entry, DiscoveryState.GONE));
+            if (again == null || again.usedIn != listCount) {
+                changes.add(withState(entry, DiscoveryState.GONE));
             }
         }
         return changes;
     }
 
-    private static Backend as(Backend entry, DiscoveryState state) {
+    private static Backend withState(Backend entry, DiscoveryState state) {
         return new Backend(entry.id(), entry.zone(), entry.machineType(), entry.cell(), state, entry.weight(),
                 entry.startedAtNanos());
     }
--- a/decision/src/main/java/nettletrail/decision/ApertureGateway.java
+++ b/decision/src/main/java/nettletrail/decision/ApertureGateway.java
@@ -3,75 +3,76 @@
 import java.util.List;
 
 /**
- * A decision module that is told only of the backends in its gateway's {@link Aperture}; all other events go through as
- * they are. A backend that leaves the set is told as gone: nothing new is sent there, what is out ends as it ends. Where
- * all backends are in the set, the module gets exactly the calls that it would get without this.
+ * Limits the backends that a gateway's decisions see to the gateway's {@link Aperture}; all other events pass through
+ * unchanged. A backend that leaves the subset is reported as gone: it gets no new attempts, and those in flight end
+ * normally. While all backends are in the subset, the delegate receives exactly the calls it would receive without an
+ * aperture.
  */
 public final class ApertureGateway implements Gateway {
-    private final Gateway module;
+    private final Gateway delegate;
     private final Aperture aperture;
-    private double sharers;
+    private double gatewaysPerBackend;
 
-    private ApertureGateway(Gateway module, Settings settings, Aperture aperture) {
-        this.module = module;
+    private ApertureGateway(Gateway delegate, Settings settings, Aperture aperture) {
+        this.delegate = delegate;
         this.aperture = aperture;
-        sharers = settings.gatewayCount();
+        gatewaysPerBackend = settings.gatewayCount();
     }
 
     /**
-     * The module behind an aperture; the module itself where that could change nothing: it is off, the gateway doesn't
-     * know its number, or there are no more gateways than each backend is to have.
+     * Wraps the delegate with an aperture, or returns it unchanged where an aperture could have no effect: it is
+     * disabled, the gateway's index is unknown, or there are no more gateways than each backend should have.
      *
-     * @param settings what the module was told
-     * @param index the gateway's number among {@code settings.gateways()}, from 0; below 0 if it isn't known
+     * @param settings the settings of the delegate
+     * @param index the gateway's index among {@code settings.gatewayCount()}, from 0; negative if unknown
      */
-    public static Gateway wrap(Gateway module, Settings settings, int index, ApertureSettings aperture) {
+    public static Gateway wrap(Gateway delegate, Settings settings, int index, ApertureSettings aperture) {
         if (!aperture.enabled() || index < 0 || index >= settings.gatewayCount()
                 || settings.gatewayCount() <= aperture.minGatewaysPerBackend()) {
-            return module;
+            return delegate;
         }
-        return new ApertureGateway(module, settings, new Aperture(aperture, settings, index));
+        return new ApertureGateway(delegate, settings, new Aperture(aperture, settings, index));
     }
 
     @Override
     public void onBackends(long now, boolean whole, List<Backend> entries) {
-        Aperture.Told told = aperture.listed(whole, entries);
-        if (sharers != aperture.sharers()) {
-            sharers = aperture.sharers();
-            module.onGatewaysPerBackend(now, sharers);
+        Aperture.Update update = aperture.listed(whole, entries);
+        if (gatewaysPerBackend != aperture.gatewaysPerBackend()) {
+            gatewaysPerBackend = aperture.gatewaysPerBackend();
+            delegate.onGatewaysPerBackend(now, gatewaysPerBackend);
         }
-        if (told.whole() || !told.entries().isEmpty() || aperture.all()) {
-            module.onBackends(now, told.whole(), told.entries());
+        if (update.whole() || !update.entries().isEmpty() || aperture.usesAll()) {
+            delegate.onBackends(now, update.whole(), update.entries());
         }
     }
 
     @Override
     public void onGatewaysPerBackend(long now, double gateways) {
-        module.onGatewaysPerBackend(now, gateways);
+        delegate.onGatewaysPerBackend(now, gateways);
     }
 
     @Override
     public void onDiscoveryFailure(long now) {
-        module.onDiscoveryFailure(now);
+        delegate.onDiscoveryFailure(now);
     }
 
     @Override
     public void onRequest(long now, Request request) {
-        module.onRequest(now, request);
+        delegate.onRequest(now, request);
     }
 
     @Override
     public void onAttemptEnd(long now, AttemptReport answer) {
-        module.onAttemptEnd(now, answer);
+        delegate.onAttemptEnd(now, answer);
     }
 
     @Override
     public void onRequestCancelled(long now, long requestId) {
-        module.onRequestCancelled(now, requestId);
+        delegate.onRequestCancelled(now, requestId);
     }
 
     @Override
     public void onTimer(long now, int token) {
-        module.onTimer(now, token);
+        delegate.onTimer(now, token);
     }
 }
--- a/decision/src/main/java/nettletrail/decision/Gateway.java
+++ b/decision/src/main/java/nettletrail/decision/Gateway.java
@@ -3,81 +3,84 @@
 import java.util.List;
 
 /**
- * What a front door tells its decision module, and what the module asks of it.
+ * The decisions of one gateway: the events it handles and the actions it requests.
  *
- * <p>One instance serves one gateway and is called by one thread at a time. Every event carries the caller's clock
- * in nanoseconds; it has any origin and never goes back. The module keeps no clock, thread or file of its own and
- * draws its random numbers from the seed it is given. It calls {@link Actions} only while it handles an event.
+ * <p>One instance serves one gateway and is called by one thread at a time. Every event carries the caller's clock in
+ * nanoseconds, with any origin; it never goes back. An implementation has no clock, thread or file of its own, and
+ * draws random numbers from the seed it is given. It calls {@link Actions} only while it handles an event.
  *
- * <p>The caller promises: exactly one {@link #onAttemptEnd} for each {@link Actions#send}; request ids are never used
- * twice; list changes come in order. The module promises exactly one final answer for each request: the first
- * answer with {@link Outcome#OK} (which the caller passes on by itself), {@link Actions#reject} or
- * {@link Actions#fail}.
+ * <p>The caller guarantees exactly one {@link #onAttemptEnd} for each {@link Actions#send}, request ids that are never
+ * reused, and list changes in order. The implementation guarantees exactly one final answer for each request: the first
+ * response with {@link Outcome#OK} (which the caller forwards by itself), {@link Actions#reject} or {@link
+ * Actions#fail}.
  */
 public interface Gateway {
 
-    /** The list of backends: the whole list, or only the entries that changed. */
+    /** The list of backends has changed: {@code entries} are the whole list, or only the entries that changed. */
     void onBackends(long now, boolean whole, List<Backend> entries);
 
     /**
-     * Of the gateways, so many use each backend that this one is told of, on the mean; 1 or more. Comes before the list
-     * that it holds for. Without a word, all {@link Settings#gatewayCount} do.
+     * Sets how many gateways use each backend of this gateway's list, on average; at least 1. Called before the list
+     * that it applies to. Until it is called, all {@link Settings#gatewayCount} gateways do.
      */
     default void onGatewaysPerBackend(long now, double gateways) { }
 
-    /** A call for the list failed, or the subscription broke; the list held so far stays valid. */
+    /** A request for the list failed, or the subscription ended; the last list stays valid. */
     void onDiscoveryFailure(long now);
 
-    /** A client's request came in. It is the module's until its one final answer. */
+    /** A client's request has arrived. The implementation owns it until its one final answer. */
     void onRequest(long now, Request request);
 
-    /** An attempt ended. May concern a request that has ended already. */
+    /** An attempt has ended. The request may have ended before. */
     void onAttemptEnd(long now, AttemptReport answer);
 
-    /** The client left, or its time is up: the request has ended and nothing more is owed for it. */
+    /** The client has disconnected, or its deadline has passed: the request has ended and needs no answer. */
     void onRequestCancelled(long now, long requestId);
 
-    /** A time asked for with {@link Actions#startTimer} has come. */
+    /** A timer set with {@link Actions#startTimer} has fired. */
     void onTimer(long now, int token);
 
-    /** What the module asks of its front door. */
+    /** The actions that a gateway's decisions request from its caller. */
     interface Actions {
-        /** Send the request to this backend as its next attempt (numbered from 0); 0 ns: until the client leaves. */
+        /**
+         * Sends the request to this backend as its next attempt (numbered from 0), with a timeout in ns; 0 for none but
+         * the client's.
+         */
         void send(long requestId, long backendId, long timeoutNs);
 
-        /** Final answer: declined, and trying again is harmless. 0 ns: no word on when to come again. */
+        /** Final answer: rejected, and a retry by the client is safe. Retry-after in ns; 0 for none. */
         void reject(long requestId, long retryAfterNs);
 
-        /** Final answer: failed, nothing promised about its effect. */
+        /** Final answer: failed; the request may have had an effect. */
         void fail(long requestId);
 
-        /** Wake the module after this time. */
+        /** Starts a timer that calls {@link Gateway#onTimer} with this token after so many ns. */
         void startTimer(int token, long ns);
 
-        /** Ask for the list of backends to be sent, and its changes from now on. */
+        /** Subscribes to the list of backends and its changes. */
         void subscribeBackends();
 
-        /** A line for the operators. */
+        /** Logs a line for operators. */
         void log(String line);
     }
 
     /** How an attempt ended. */
     enum Outcome {
-        /** Served. */
+        /** The backend responded successfully. */
         OK(true),
         /** The backend answered with an error. */
         ERROR(true),
-        /** The backend turned the request away unseen. */
+        /** The backend rejected the request without processing it. */
         FULL(false),
-        /** No answer in time; it may still run. */
+        /** No response before the timeout; the attempt may still run. */
         TIMED_OUT(true),
-        /** No connection could be made. */
+        /** No connection could be established. */
         CONNECT_FAILED(false),
-        /** The connection broke while the attempt was out. */
+        /** The connection broke while the attempt was in flight. */
         RESET(true),
-        /** Called off; it may have run. */
+        /** Cancelled; the attempt may have run. */
         CANCELLED(true),
-        /** Never left the front door. */
+        /** The attempt never left the gateway. */
         NEVER_SENT(false);
 
         /** Whether the attempt may have run at the backend. */
@@ -88,25 +91,25 @@
         }
     }
 
-    /** Whether a request of a class may run twice. */
+    /** Whether a request of a class may run twice: always, with an idempotency key within a window, or never. */
     enum Idempotency { IDEMPOTENT, KEYED, NOT_IDEMPOTENT }
 
-    /** Which backends drop repeats of a keyed request. */
+    /** Which backends share the memory of idempotency keys that drops repeats. */
     enum DedupScope { ALL, ZONE, CELL }
 
-    /** What the list says of a backend. */
+    /** State of a backend in the list. */
     enum DiscoveryState { READY, DRAINING, GONE }
 
     /**
-     * One entry of the list.
+     * An entry of the list of backends.
      *
-     * @param id names the backend, also after a restart
-     * @param zone where it stands
-     * @param machineType its machine kind
-     * @param cell the small group it shares its memory of keys with
-     * @param state what the list says of it
-     * @param weight its size against other backends; 0 or less counts as 1
-     * @param startedAtNanos clock time of its last start, 0 for long ago
+     * @param id identifies the backend, also after a restart
+     * @param zone its zone
+     * @param machineType its machine type
+     * @param cell the small group of backends that shares its memory of idempotency keys
+     * @param state its state in the list
+     * @param weight its capacity relative to other backends; 0 or less counts as 1
+     * @param startedAtNanos clock time of its last start; 0 for long ago
      */
     record Backend(long id, int zone, int machineType, int cell, DiscoveryState state, double weight,
             long startedAtNanos) {
@@ -118,19 +121,19 @@
     /**
      * A client's request.
      *
-     * @param id unique for ever
-     * @param requestClass position in {@link Settings#classes}
-     * @param plan position in {@link Settings#plans}
-     * @param customer whose quota it draws from
-     * @param units what it draws, told or guessed; above 0
-     * @param gatewaySubsetSize the number of gateways the customer's requests come in through; at least 1
-     * @param timeoutNanos time until the client leaves
-     * @param maxQueueNanos how long it may be held before its first attempt or its refusal, where its front has to say
-     *     within a budget; {@link Long#MAX_VALUE} for no such bound
+     * @param id unique forever
+     * @param requestClass index into {@link Settings#classes}
+     * @param plan index into {@link Settings#plans}
+     * @param customer the customer whose quota it draws from
+     * @param units units that it draws, reported or estimated; above 0
+     * @param gatewaySubsetSize number of gateways that receive the customer's requests; at least 1
+     * @param timeoutNanos time until the client's deadline
+     * @param maxQueueNanos maximum time in the queue before its first attempt or its rejection, for a caller that must
+     *     decide within a budget; {@link Long#MAX_VALUE} for no limit
      */
     record Request(long id, int requestClass, int plan, long customer, double units, int gatewaySubsetSize,
             long timeoutNanos, long maxQueueNanos) {
-        /** One that may be held as long as its client waits. */
+        /** A request that may be queued until its client's deadline. */
         public Request(long id, int requestClass, int plan, long customer, double units, int gatewaySubsetSize,
                 long timeoutNanos) {
             this(id, requestClass, plan, customer, units, gatewaySubsetSize, timeoutNanos, Long.MAX_VALUE);
@@ -150,14 +153,14 @@
      * The end of an attempt.
      *
      * @param requestId the request
-     * @param attempt its number, from 0 in order of sending
-     * @param backendId where it was sent
+     * @param attempt the attempt's number, from 0 in order of sending
+     * @param backendId the backend it was sent to
      * @param outcome how it ended
-     * @param requestEnded whether the request has ended, by this or before
+     * @param requestEnded whether the request has ended, with this attempt or before
      * @param durationNanos time since it was sent
-     * @param quotaUsedPercent metered use of the customer over all gateways in the last totalled period, in percent of
-     *     the rate (without a rate: most attempts out, in percent of the limit); -1 for none
-     * @param actualUnits the true units, 0 if not told
+     * @param quotaUsedPercent metered use of the customer over all gateways in the last complete period, in percent of
+     *     the rate (without a rate: peak concurrency, in percent of the cap); -1 if not reported
+     * @param actualUnits units actually used; 0 if not reported
      * @param load the backend's load report, or null
      */
     record AttemptReport(long requestId, int attempt, long backendId, Outcome outcome, boolean requestEnded,
@@ -169,23 +172,23 @@
     }
 
     /**
-     * A backend's late and noisy report; a value it does not tell is NaN.
+     * A backend's load report, delayed and noisy; NaN for a value that it does not report.
      *
-     * @param queuedRequests requests that wait there
+     * @param queuedRequests requests queued there
      * @param cpuUtilization share of its CPU in use, 0 to 1
-     * @param requestsPerSecond requests served a second
+     * @param requestsPerSecond requests served per second
      */
     record LoadReport(double queuedRequests, double cpuUtilization, double requestsPerSecond) { }
 
     /**
      * A class of requests.
      *
-     * @param targetLatencyNanos an answer within this time earns the full worth
-     * @param value of one request
-     * @param lateValueShare share of the worth earned after the aim
+     * @param targetLatencyNanos a response within this time earns the full value
+     * @param value value of one request
+     * @param lateValueShare share of the value earned after the target latency
      * @param idempotency whether it may run twice
-     * @param dedupScope for keyed requests, who drops repeats
-     * @param dedupWindowNanos for keyed requests, for how long
+     * @param dedupScope for keyed requests, which backends drop repeats
+     * @param dedupWindowNanos for keyed requests, how long repeats are dropped
      */
     record RequestClass(long targetLatencyNanos, double value, double lateValueShare, Idempotency idempotency,
             DedupScope dedupScope, long dedupWindowNanos) {
@@ -200,17 +203,17 @@
     }
 
     /**
-     * A plan; its figures hold for each customer over all gateways together.
+     * A plan; its limits apply to each customer over all gateways together.
      *
-     * @param ratePerSecond units a second, 0 for no such quota
-     * @param burstUnits units the store holds, full at first
-     * @param maxConcurrency attempts out at once, 0 for no such quota
-     * @param ceilingRatePerSecond units a second of the hard ceiling, 0 for none
-     * @param ceilingBurstUnits units the ceiling's store holds, full at first
-     * @param ceilingOverdraftUnits units it may fall below nothing
-     * @param overQuotaCost share of the worth that a request sent beyond the quota costs
-     * @param overQuotaValue share of the worth that it earns
-     * @param price factor on the worth of its requests
+     * @param ratePerSecond units per second; 0 for no rate quota
+     * @param burstUnits capacity of the token bucket, full at first
+     * @param maxConcurrency maximum attempts in flight; 0 for no concurrency cap
+     * @param ceilingRatePerSecond units per second of the hard ceiling; 0 for none
+     * @param ceilingBurstUnits capacity of the ceiling's token bucket, full at first
+     * @param ceilingOverdraftUnits units by which the ceiling's bucket may go below 0
+     * @param overQuotaCost share of the value that a request over the quota costs
+     * @param overQuotaValue share of the value that a request over the quota earns
+     * @param price factor on the value of its requests
      */
     record Plan(double ratePerSecond, double burstUnits, int maxConcurrency, double ceilingRatePerSecond,
             double ceilingBurstUnits, double ceilingOverdraftUnits, double overQuotaCost, double overQuotaValue,
@@ -229,22 +232,22 @@
     }
 
     /**
-     * What a gateway is told once, at its start. Times in ns.
+     * The settings of a gateway, fixed at its start.
      *
-     * @param gatewayCount how many gateways share the backends
-     * @param zone where this one stands
-     * @param seed for its random numbers
-     * @param tickNanos events come no more often than this
-     * @param maxAttempts for one request
-     * @param subscribesToBackends whether the list comes only when asked for
-     * @param coldCapacityShare a started backend has at least this share of its capacity
-     * @param slowStartNanos it is warm after this time at the latest
-     * @param overloadFactor a cold backend sent more than this multiple of what it can do falls over
-     * @param overloadNanos when it lasts this long
-     * @param crossZoneCost points for each request that crosses zones once
-     * @param meteringPeriodNanos over which the meter totals use; 0 for no meter
-     * @param classes of requests
-     * @param plans of customers
+     * @param gatewayCount number of gateways that share the backends
+     * @param zone the gateway's zone
+     * @param seed seed of its random numbers
+     * @param tickNanos minimum interval between events
+     * @param maxAttempts maximum attempts for one request
+     * @param subscribesToBackends whether the list of backends comes only after {@link Actions#subscribeBackends}
+     * @param coldCapacityShare minimum share of its capacity that a backend has right after its start
+     * @param slowStartNanos time after which a started backend has its full capacity at the latest
+     * @param overloadFactor a cold backend fails if it is sent more than this multiple of its current capacity
+     * @param overloadNanos for this long
+     * @param crossZoneCost cost of each request that crosses zones once
+     * @param meteringPeriodNanos period over which the meter totals use; 0 for no meter
+     * @param classes the classes of requests
+     * @param plans the customers' plans
      */
     record Settings(int gatewayCount, int zone, long seed, long tickNanos, int maxAttempts,
             boolean subscribesToBackends, double coldCapacityShare, long slowStartNanos, double overloadFactor,
@@ -265,14 +268,14 @@
         }
     }
 
-    /** Rejects a value that makes no sense, naming the field. */
-    static void requireInRange(boolean sound, String field) {
-        if (!sound) {
+    /** Throws IllegalArgumentException, naming the field, unless its value is in range. */
+    static void requireInRange(boolean inRange, String field) {
+        if (!inRange) {
             throw new IllegalArgumentException(field + " is out of range");
         }
     }
 
-    /** Rejects a missing value, naming the field. */
+    /** Returns the value; throws IllegalArgumentException, naming the field, if it is null. */
     static <T> T requirePresent(T value, String field) {
         if (value == null) {
             throw new IllegalArgumentException(field + " is missing");
--- a/decision/src/main/java/nettletrail/decision/GatewaySettingsReader.java
+++ b/decision/src/main/java/nettletrail/decision/GatewaySettingsReader.java
@@ -6,16 +6,17 @@
 import java.util.Map;
 
 /**
- * Reads the settings, as the {@code start} event's text or as the same lines made of a configuration: path=value.
- * Unknown keys are ignored; a key that is absent has the default given at its place below, in most cases 0.
+ * Reads a gateway's settings from lines of the form path=value: the text of the {@code start} event, or the same lines
+ * made from a configuration file. Unknown keys are ignored; an absent key has the default given where it is read, in
+ * most cases 0.
  */
 public final class GatewaySettingsReader {
-    /** What the settings call the values of a load report that the module uses. */
+    /** Names in the settings of the load report values that the gateway uses. */
     public static final String QUEUED_REQUESTS = "pending";
     public static final String CPU_UTILIZATION = "cpu_share";
     public static final String REQUESTS_PER_SECOND = "served_ps";
 
-    private static final long LONGEST_DEADLINE = 3_000_000_000L;
+    private static final long DEFAULT_MAX_DEADLINE = 3_000_000_000L;
 
     private final Map<String, String> values = new HashMap<>();
 
@@ -46,21 +47,21 @@
                 number("Charges.CrossZone", 0), durationNanos("FamilyInfo.Metering"), classes, plans);
     }
 
-    /** This gateway's number among all, from 0; below 0 where the settings don't tell it. */
+    /** This gateway's index among all gateways, from 0; -1 if absent or out of range. */
     public int gatewayIndex() {
         double index = number("Index", -1);
         return index >= 0 && index < count("Balancers", 1) ? (int) index : -1;
     }
 
-    /** How many backends it uses, where these settings say so; else as given. */
-    public ApertureSettings aperture(ApertureSettings absent) {
-        boolean enabled = switch (text("Aperture.Enabled", String.valueOf(absent.enabled()))) {
+    /** The aperture's settings; each absent key keeps the value of {@code defaults}. */
+    public ApertureSettings aperture(ApertureSettings defaults) {
+        boolean enabled = switch (text("Aperture.Enabled", String.valueOf(defaults.enabled()))) {
             case "true" -> true;
             case "false" -> false;
             default -> throw malformed("Aperture.Enabled");
         };
-        return new ApertureSettings(enabled, count("Aperture.Least", absent.minBackends()),
-                count("Aperture.DoorsPerBackend", absent.minGatewaysPerBackend()));
+        return new ApertureSettings(enabled, count("Aperture.Least", defaults.minBackends()),
+                count("Aperture.DoorsPerBackend", defaults.minGatewaysPerBackend()));
     }
 
     /** The names of a load report's values, in their order on the wire. */
@@ -68,29 +69,27 @@
         return list("Report.Fields");
     }
 
-    /** The most units that a request takes; 0 if the settings don't tell. */
+    /** Maximum units of one request; 0 if the settings do not say. */
     public double maxUnitsPerRequest() {
         return number("FamilyInfo.MostUnits", 0);
     }
 
-    /**
-     * The longest that a client waits, ns: over all classes, 3 s where none tells (the most that the protocol knows).
-     */
+    /** The longest client deadline over all classes, ns; 3 s, the protocol's maximum, if no class has one. */
     public long maxDeadlineNanos() {
         long longest = 0;
         for (int i = 0; i < count("Services.count"); i++) {
             longest = Math.max(longest, durationNanos("Services." + i + ".Deadline"));
         }
-        return longest > 0 ? longest : LONGEST_DEADLINE;
+        return longest > 0 ? longest : DEFAULT_MAX_DEADLINE;
     }
 
-    /** A list of plain values. */
+    /** A comma-separated list of values; empty if absent. */
     public List<String> list(String key) {
         String values = text(key, "");
         return values.isEmpty() ? List.of() : List.of(values.split(","));
     }
 
-    /** The names of a list of objects, by their places in it. */
+    /** The names of a list of objects, in order. */
     public List<String> names(String key) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < count(key + ".count"); i++) {
@@ -99,57 +98,58 @@
         return names;
     }
 
-    private Gateway.RequestClass requestClass(String at) {
-        long deadline = durationNanos(at + "Deadline");
-        Gateway.Idempotency effect = switch (text(at + "Effect", "single_shot")) {
+    private Gateway.RequestClass requestClass(String prefix) {
+        long deadline = durationNanos(prefix + "Deadline");
+        Gateway.Idempotency idempotency = switch (text(prefix + "Effect", "single_shot")) {
             case "free" -> Gateway.Idempotency.IDEMPOTENT;
             case "guarded" -> Gateway.Idempotency.KEYED;
             case "single_shot" -> Gateway.Idempotency.NOT_IDEMPOTENT;
-            default -> throw malformed(at + "Effect");
+            default -> throw malformed(prefix + "Effect");
         };
-        Gateway.DedupScope group = switch (text(at + "DedupScope", "cell")) {
+        Gateway.DedupScope dedupScope = switch (text(prefix + "DedupScope", "cell")) {
             case "all" -> Gateway.DedupScope.ALL;
             case "zone" -> Gateway.DedupScope.ZONE;
             default -> Gateway.DedupScope.CELL;
         };
-        long aim = values.containsKey(at + "Aim") ? durationNanos(at + "Aim")
-                : deadline > 0 ? deadline : LONGEST_DEADLINE;
-        return new Gateway.RequestClass(Math.max(1, aim),
-                number(at + "Worth", 1), number(at + "LateValue", 0), effect, group, durationNanos(at + "Window"));
+        long target = values.containsKey(prefix + "Aim") ? durationNanos(prefix + "Aim")
+                : deadline > 0 ? deadline : DEFAULT_MAX_DEADLINE;
+        return new Gateway.RequestClass(Math.max(1, target),
+                number(prefix + "Worth", 1), number(prefix + "LateValue", 0), idempotency, dedupScope,
+                durationNanos(prefix + "Window"));
     }
 
-    private Gateway.Plan plan(String at) {
-        return new Gateway.Plan(number(at + "PerSecond", 0), number(at + "Burst", 0), count(at + "MaxOut"),
-                number(at + "NeverOverRate", 0), number(at + "HardBurst", 0), number(at + "HardSlack", 0),
-                number(at + "ExcessCost", 0), number(at + "BeyondEarns", 0),
-                number(at + "Pays", 1));
+    private Gateway.Plan plan(String prefix) {
+        return new Gateway.Plan(number(prefix + "PerSecond", 0), number(prefix + "Burst", 0), count(prefix + "MaxOut"),
+                number(prefix + "NeverOverRate", 0), number(prefix + "HardBurst", 0), number(prefix + "HardSlack", 0),
+                number(prefix + "ExcessCost", 0), number(prefix + "BeyondEarns", 0),
+                number(prefix + "Pays", 1));
     }
 
-    private String text(String key, String absent) {
-        return values.getOrDefault(key, absent);
+    private String text(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
     private int count(String key) {
         return count(key, 0);
     }
 
-    private int count(String key, int absent) {
-        double value = number(key, absent);
+    private int count(String key, int defaultValue) {
+        double value = number(key, defaultValue);
         if (value < 0 || value > 1_000_000) {
             throw malformed(key);
         }
         return (int) value;
     }
 
-    /** A span of time in ns. */
+    /** A duration in ns; 0 if absent. */
     public long durationNanos(String key) {
         return (long) number(key, 0);
     }
 
-    private double number(String key, double absent) {
+    private double number(String key, double defaultValue) {
         String value = values.get(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             double number = Double.parseDouble(value);
--- a/decision/src/main/java/nettletrail/decision/InvalidInputException.java
+++ b/decision/src/main/java/nettletrail/decision/InvalidInputException.java
@@ -1,6 +1,6 @@
 package nettletrail.decision;
 
-/** Input that is not as the wire's page has it; the message names what and where. */
+/** Input that violates its format, such as settings or a frame; the message says what is wrong and where. */
 public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/decision/src/main/java/nettletrail/decision/package-info.java
+++ b/decision/src/main/java/nettletrail/decision/package-info.java
@@ -1,2 +1,5 @@
-/** What every front asks: the decision module (all decisions of one gateway), its interface and its settings. No I/O, no thread, no clock of its own. */
+/**
+ * The decisions of a gateway ({@link nettletrail.decision.GatewayDecider}), their interface ({@link
+ * nettletrail.decision.Gateway}), the choice of backends per gateway, and settings. No I/O, threads or clock.
+ */
 package nettletrail.decision;
--- a/decision/src/test/java/nettletrail/decision/ApertureGatewayTest.java
+++ b/decision/src/test/java/nettletrail/decision/ApertureGatewayTest.java
@@ -140,7 +140,7 @@
         Aperture same = new Aperture(SMALL, 10, 0, false);
         gateway.onBackends(5, true, ready(60));
         same.listed(true, ready(60));
-        Backend outside = ready(60).stream().filter(each -> !same.set().contains(each)).findFirst().orElseThrow();
+        Backend outside = ready(60).stream().filter(each -> !same.subset().contains(each)).findFirst().orElseThrow();
         heard.calls.clear();
         gateway.onBackends(6, false, List.of(backend(outside.id(), DiscoveryState.DRAINING, 0)));
         gateway.onBackends(7, false, List.of(backend(outside.id(), DiscoveryState.READY, 7)));
@@ -155,7 +155,7 @@
         Aperture same = new Aperture(SMALL, 10, 0, false);
         gateway.onBackends(5, true, ready(60));
         same.listed(true, ready(60));
-        long id = same.set().get(0).id();
+        long id = same.subset().get(0).id();
         for (Backend told : List.of(backend(id, DiscoveryState.READY, 123), backend(id, DiscoveryState.DRAINING, 123),
                 backend(id, DiscoveryState.GONE, 123))) {
             heard.calls.clear();
@@ -221,7 +221,7 @@
             Aperture same = new Aperture(SMALL, 10, index, false);
             gateway.onBackends(1_000, true, ready(60));
             same.listed(true, ready(60));
-            Set<Long> set = new HashSet<>(same.set().stream().map(Backend::id).toList());
+            Set<Long> set = new HashSet<>(same.subset().stream().map(Backend::id).toList());
             Set<Long> used = sends(gateway, actions, 2_000, 600);
             assertEquals(600, actions.sent.size());
             assertEquals(set, used);
@@ -229,7 +229,7 @@
             List<Backend> gone = List.of(backend(set.iterator().next(), DiscoveryState.GONE, 0));
             gateway.onBackends(9 * SECOND, false, gone);
             same.listed(false, gone);
-            assertEquals(new HashSet<>(same.set().stream().map(Backend::id).toList()),
+            assertEquals(new HashSet<>(same.subset().stream().map(Backend::id).toList()),
                     sends(gateway, actions, 10 * SECOND, 600));
         }
         assertEquals(60, all.size());
--- a/decision/src/test/java/nettletrail/decision/ApertureTest.java
+++ b/decision/src/test/java/nettletrail/decision/ApertureTest.java
@@ -110,7 +110,8 @@
     }
 
     private static int differ(Aperture before, Aperture after, int zone, long without) {
-        return differ(byZone(before.set()).getOrDefault(zone, Set.of()), byZone(after.set()).getOrDefault(zone, Set.of()),
+        return differ(byZone(before.subset()).getOrDefault(zone, Set.of()),
+                byZone(after.subset()).getOrDefault(zone, Set.of()),
                 without);
     }
 
@@ -129,7 +130,7 @@
         Map<Long, Integer> known = new LinkedHashMap<>();
         Map<Integer, int[]> sizes = new TreeMap<>();
         for (int index = 0; index < doors; index++) {
-            List<Backend> set = aperture.setOf(index);
+            List<Backend> set = aperture.subsetOf(index);
             set.forEach(each -> known.merge(each.id(), 1, Integer::sum));
             assertEquals(set.size(), ids(set).size());
             assertFalse(set.isEmpty());
@@ -145,7 +146,7 @@
         }
         sizes.values().forEach(range -> assertTrue(range[1] - range[0] <= 1));
         double share = fleet.share();
-        assertEquals(share, aperture.sharers(), 1e-9 * share);
+        assertEquals(share, aperture.gatewaysPerBackend(), 1e-9 * share);
         for (Backend each : fleet.entries()) {
             int gateways = known.getOrDefault(each.id(), 0);
             assertTrue(gateways >= Math.floor(share - 1e-9) && gateways <= Math.ceil(share + 1e-9),
@@ -165,7 +166,7 @@
         Aperture aperture = fleet.at(0);
         Map<Long, Double> sends = new LinkedHashMap<>();
         for (int index = 0; index < fleet.doors; index++) {
-            List<Backend> set = aperture.setOf(index);
+            List<Backend> set = aperture.subsetOf(index);
             double each = weight.applyAsDouble(index) / set.size();
             set.forEach(backend -> sends.merge(backend.id(), each, Double::sum));
         }
@@ -198,7 +199,7 @@
             @ForAll @IntRange(min = 1, max = 60) int backends) {
         Fleet fleet = new Fleet(seed, doors, backends, new ApertureSettings(true, 1, 1));
         Aperture aperture = fleet.at(0);
-        IntStream.range(0, doors).forEach(index -> assertFalse(aperture.setOf(index).isEmpty()));
+        IntStream.range(0, doors).forEach(index -> assertFalse(aperture.subsetOf(index).isEmpty()));
     }
 
     /** A rack of neighbours by index, a twentieth of all: no backend loses more than two of its eight gateways. */
@@ -211,7 +212,7 @@
             for (int first = 0; first + rack <= doors; first++) {
                 Map<Long, Integer> lost = new LinkedHashMap<>();
                 IntStream.range(first, first + rack).forEach(index ->
-                        aperture.setOf(index).forEach(each -> lost.merge(each.id(), 1, Integer::sum)));
+                        aperture.subsetOf(index).forEach(each -> lost.merge(each.id(), 1, Integer::sum)));
                 assertTrue(Collections.max(lost.values()) <= 2, lost + "");
             }
         }
@@ -219,7 +220,7 @@
 
     @Property(tries = TRIES)
     void placesAreOneForEachGateway(@ForAll @IntRange(min = 1, max = 480) int doors) {
-        assertEquals(doors, IntStream.range(0, doors).mapToLong(index -> Aperture.place(index, doors)).distinct()
+        assertEquals(doors, IntStream.range(0, doors).mapToLong(index -> Aperture.position(index, doors)).distinct()
                 .filter(place -> place >= 0 && place < doors).count());
     }
 
@@ -260,8 +261,8 @@
         Aperture before = fleet.at(0);
         Map<Integer, Long> zones = fleet.zones();
         for (int index = 0; index < doors; index += 1 + doors / 20) {
-            Map<Integer, Set<Long>> was = byZone(before.setOf(index));
-            Map<Integer, Set<Long>> is = byZone(more.setOf(index));
+            Map<Integer, Set<Long>> was = byZone(before.subsetOf(index));
+            Map<Integer, Set<Long>> is = byZone(more.subsetOf(index));
             for (int zone : zones.keySet()) {
                 int moved = differ(was.getOrDefault(zone, Set.of()), is.getOrDefault(zone, Set.of()), 0);
                 double step = zones.get(zone) / (double) doors;
@@ -282,15 +283,15 @@
                 continue;
             }
             int index = fleet.random.nextInt(doors);
-            Map<Integer, Set<Long>> was = byZone(fleet.at(index).set());
-            Map<Integer, Set<Long>> is = byZone(rest.at(index).set());
+            Map<Integer, Set<Long>> was = byZone(fleet.at(index).subset());
+            Map<Integer, Set<Long>> is = byZone(rest.at(index).subset());
             rest.zones().forEach((zone, size) -> {
                 assertTrue(size < doors / 8.0 || !is.getOrDefault(zone, Set.of()).isEmpty());
                 if (fleet.share() == rest.share()) {
                     assertEquals(was.get(zone), is.get(zone));
                 }
             });
-            assertFalse(rest.at(index).set().isEmpty());
+            assertFalse(rest.at(index).subset().isEmpty());
         }
     }
 
@@ -304,26 +305,26 @@
         int index = fleet.random.nextInt(doors);
         Aperture aperture = fleet.at(index);
         Map<Long, Backend> told = new LinkedHashMap<>();
-        aperture.set().forEach(each -> told.put(each.id(), each));
+        aperture.subset().forEach(each -> told.put(each.id(), each));
         for (int i = 0; i < 60; i++) {
             boolean whole = fleet.random.nextInt(8) == 0;
             List<Backend> changes = drawn(fleet, backends);
-            Aperture.Told news = aperture.listed(whole, whole ? shuffled(fleet) : changes);
+            Aperture.Update news = aperture.listed(whole, whole ? shuffled(fleet) : changes);
             if (news.whole()) {
                 told.clear();
             }
             for (Backend each : news.entries()) {
                 if (each.state() == DiscoveryState.GONE) {
-                    assertTrue(told.remove(each.id()) != null || aperture.all(), "never told: " + each);
+                    assertTrue(told.remove(each.id()) != null || aperture.usesAll(), "never told: " + each);
                 } else {
                     told.put(each.id(), each);
                 }
             }
             Aperture anew = fleet.at(index);
-            assertEquals(anew.set(), aperture.set());
-            assertEquals(new HashSet<>(anew.set()), new HashSet<>(told.values()));
-            assertEquals(anew.sharers(), aperture.sharers());
-            assertEquals(anew.all(), aperture.all());
+            assertEquals(anew.subset(), aperture.subset());
+            assertEquals(new HashSet<>(anew.subset()), new HashSet<>(told.values()));
+            assertEquals(anew.gatewaysPerBackend(), aperture.gatewaysPerBackend());
+            assertEquals(anew.usesAll(), aperture.usesAll());
         }
     }
 
@@ -370,16 +371,16 @@
         Fleet fleet = new Fleet(seed, doors, backends, ApertureSettings.DEFAULT);
         Aperture aperture = new Aperture(fleet.settings, doors, fleet.random.nextInt(doors), false);
         List<Backend> entries = shuffled(fleet);
-        assertEquals(new Aperture.Told(true, entries), aperture.listed(true, entries));
-        assertEquals(ids(fleet.entries()), ids(aperture.set()));
+        assertEquals(new Aperture.Update(true, entries), aperture.listed(true, entries));
+        assertEquals(ids(fleet.entries()), ids(aperture.subset()));
         for (int i = 0; i < 20; i++) {
             List<Backend> changes = drawn(fleet, 1);
             if (fleet.list.size() > 256) {
                 return;
             }
-            assertEquals(new Aperture.Told(false, changes), aperture.listed(false, changes));
-            assertTrue(aperture.all());
-            assertEquals(doors, aperture.sharers());
+            assertEquals(new Aperture.Update(false, changes), aperture.listed(false, changes));
+            assertTrue(aperture.usesAll());
+            assertEquals(doors, aperture.gatewaysPerBackend());
         }
     }
 
@@ -392,19 +393,19 @@
         Fleet fleet = new Fleet(seed, doors, backends, new ApertureSettings(true, 1, 8));
         int index = fleet.random.nextInt(doors);
         Aperture aperture = fleet.at(index);
-        Map<Integer, Set<Long>> first = byZone(aperture.set());
-        Set<Long> arc = ids(aperture.set());
+        Map<Integer, Set<Long>> first = byZone(aperture.subset());
+        Set<Long> arc = ids(aperture.subset());
         for (int i = 0; i < 40; i++) {
-            Set<Long> before = ids(aperture.set());
-            List<Backend> set = aperture.set();
+            Set<Long> before = ids(aperture.subset());
+            List<Backend> set = aperture.subset();
             Backend drained = as(set.get(fleet.random.nextInt(set.size())), DiscoveryState.DRAINING);
             fleet.list.put(drained.id(), drained);
             aperture.listed(false, List.of(drained));
-            Set<Long> after = ids(aperture.set());
+            Set<Long> after = ids(aperture.subset());
             before.removeAll(after);
             // Itself it may leave where another's drain had brought it in.
             assertTrue(before.isEmpty() || before.equals(Set.of(drained.id())) && !arc.contains(drained.id()), before + "");
-            Map<Integer, Long> ready = aperture.set().stream().filter(each -> each.state() == DiscoveryState.READY)
+            Map<Integer, Long> ready = aperture.subset().stream().filter(each -> each.state() == DiscoveryState.READY)
                     .collect(Collectors.groupingBy(Backend::zone, Collectors.counting()));
             first.forEach((zone, ids) -> assertEquals(Math.min(ids.size(), fleet.entries().stream()
                     .filter(each -> each.zone() == zone && each.state() == DiscoveryState.READY).count()),
@@ -419,9 +420,9 @@
         List<Backend> list = IntStream.range(0, 400).mapToObj(i ->
                 new Backend(i, 0, 0, i % 100, DiscoveryState.READY, 1, 0)).toList();
         aperture.listed(true, list);
-        Map<Integer, Long> cells = aperture.set().stream()
+        Map<Integer, Long> cells = aperture.subset().stream()
                 .collect(Collectors.groupingBy(Backend::cell, Collectors.counting()));
-        assertEquals(40, aperture.set().size());
+        assertEquals(40, aperture.subset().size());
         assertTrue(cells.values().stream().filter(count -> count < 4).count() <= 2, cells + "");
     }
 
