--- a/decision/src/test/java/nettletrail/decision/ApertureGatewayTest.java
+++ b/decision/src/test/java/nettletrail/decision/ApertureGatewayTest.java
@@ -24,13 +24,13 @@
 import nettletrail.decision.Gateway.Settings;
 import org.junit.jupiter.api.Test;
 
-/** What a module behind an aperture is told, and what becomes of its requests. */
+/** Which calls the delegate of an aperture receives, and where its requests are sent. */
 class ApertureGatewayTest {
     private static final long SECOND = 1_000_000_000L;
     private static final ApertureSettings SMALL = new ApertureSettings(true, 4, 2);
 
-    /** Keeps the calls, word for word. */
-    private static final class Heard implements Gateway {
+    /** Records the calls with their arguments. */
+    private static final class RecordedCalls implements Gateway {
         final List<String> calls = new ArrayList<>();
 
         @Override
@@ -83,7 +83,7 @@
         return IntStream.rangeClosed(1, count).mapToObj(id -> backend(id, DiscoveryState.READY, 0)).toList();
     }
 
-    private static void play(Gateway gateway, int backends) {
+    private static void sendEvents(Gateway gateway, int backends) {
         gateway.onBackends(1, false, ready(2));
         gateway.onBackends(1, true, ready(backends));
         gateway.onBackends(2, false, List.of());
@@ -99,21 +99,21 @@
     }
 
     @Test
-    void upToLeastBackendsTheModuleGetsTheSameCallsInTheSameOrder() {
+    void passesCallsThroughUnchangedUpToMinBackends() {
         for (int index = 0; index < 40; index += 13) {
-            Heard without = new Heard();
-            play(without, 256);
-            Heard with = new Heard();
+            RecordedCalls without = new RecordedCalls();
+            sendEvents(without, 256);
+            RecordedCalls with = new RecordedCalls();
             Gateway gateway = ApertureGateway.wrap(with, settings(40), index, ApertureSettings.DEFAULT);
             assertInstanceOf(ApertureGateway.class, gateway);
-            play(gateway, 256);
+            sendEvents(gateway, 256);
             assertEquals(without.calls, with.calls);
         }
     }
 
     @Test
-    void itIsLeftOutWhereItCouldChangeNothing() {
-        Heard module = new Heard();
+    void returnsTheDelegateWhereAnApertureHasNoEffect() {
+        RecordedCalls module = new RecordedCalls();
         assertSame(module, ApertureGateway.wrap(module, settings(40), 3, ApertureSettings.OFF));
         assertSame(module, ApertureGateway.wrap(module, settings(40), -1, ApertureSettings.DEFAULT));
         assertSame(module, ApertureGateway.wrap(module, settings(40), 40, ApertureSettings.DEFAULT));
@@ -122,53 +122,56 @@
     }
 
     @Test
-    void theModuleHearsFirstHowManyShareEachBackend() {
-        Heard heard = new Heard();
-        Gateway gateway = ApertureGateway.wrap(heard, settings(10), 0, SMALL);
+    void reportsGatewaysPerBackendBeforeTheList() {
+        RecordedCalls recorded = new RecordedCalls();
+        Gateway gateway = ApertureGateway.wrap(recorded, settings(10), 0, SMALL);
         gateway.onBackends(5, true, ready(4));
         gateway.onBackends(6, true, ready(60));
         gateway.onBackends(7, true, ready(60));
         gateway.onBackends(8, true, ready(4));
         assertEquals(List.of("listed 5", "sharedBy 6 2.0", "listed 6", "listed 7", "sharedBy 8 10.0", "listed 8"),
-                heard.calls.stream().map(each -> each.startsWith("listed") ? each.substring(0, 8) : each).toList());
+                recorded.calls.stream().map(each -> each.startsWith("listed") ? each.substring(0, 8) : each).toList());
     }
 
     @Test
-    void aChangeOutsideTheSetIsNotToldAtAll() {
-        Heard heard = new Heard();
-        Gateway gateway = ApertureGateway.wrap(heard, settings(10), 0, SMALL);
+    void doesNotReportChangesOutsideTheSubset() {
+        RecordedCalls recorded = new RecordedCalls();
+        Gateway gateway = ApertureGateway.wrap(recorded, settings(10), 0, SMALL);
         Aperture same = new Aperture(SMALL, 10, 0, false);
         gateway.onBackends(5, true, ready(60));
         same.listed(true, ready(60));
         Backend outside = ready(60).stream().filter(each -> !same.subset().contains(each)).findFirst().orElseThrow();
-        heard.calls.clear();
+        recorded.calls.clear();
         gateway.onBackends(6, false, List.of(backend(outside.id(), DiscoveryState.DRAINING, 0)));
         gateway.onBackends(7, false, List.of(backend(outside.id(), DiscoveryState.READY, 7)));
-        assertEquals(List.of(), heard.calls);
+        assertEquals(List.of(), recorded.calls);
     }
 
-    /** Cold or draining, an entry comes as the list has it; who leaves the list while in the set is gone. */
+    /**
+     * An entry in the subset is passed on as listed, also cold or draining; one that leaves the list is reported as
+     * gone.
+     */
     @Test
-    void entriesOfTheSetComeUnchanged() {
-        Heard heard = new Heard();
-        Gateway gateway = ApertureGateway.wrap(heard, settings(10), 0, SMALL);
+    void passesEntriesOfTheSubsetThroughUnchanged() {
+        RecordedCalls recorded = new RecordedCalls();
+        Gateway gateway = ApertureGateway.wrap(recorded, settings(10), 0, SMALL);
         Aperture same = new Aperture(SMALL, 10, 0, false);
         gateway.onBackends(5, true, ready(60));
         same.listed(true, ready(60));
         long id = same.subset().get(0).id();
-        for (Backend told : List.of(backend(id, DiscoveryState.READY, 123), backend(id, DiscoveryState.DRAINING, 123),
+        for (Backend entry : List.of(backend(id, DiscoveryState.READY, 123), backend(id, DiscoveryState.DRAINING, 123),
                 backend(id, DiscoveryState.GONE, 123))) {
-            heard.calls.clear();
-            gateway.onBackends(6, false, List.of(told));
-            assertTrue(heard.calls.get(0).contains(told.toString()), heard.calls + "");
+            recorded.calls.clear();
+            gateway.onBackends(6, false, List.of(entry));
+            assertTrue(recorded.calls.get(0).contains(entry.toString()), recorded.calls + "");
         }
     }
 
-    // ---- With the module --------------------------------------------------------------------------------
+    // ---- With GatewayDecider ----------------------------------------------------------------------------
 
-    private static final class Doors implements Gateway.Actions {
+    private static final class RecordedActions implements Gateway.Actions {
         final List<Long> sent = new ArrayList<>();
-        final List<Long> refused = new ArrayList<>();
+        final List<Long> rejected = new ArrayList<>();
 
         @Override
         public void send(long requestId, long backendId, long timeoutNs) {
@@ -177,12 +180,12 @@
 
         @Override
         public void reject(long requestId, long retryAfterNs) {
-            refused.add(requestId);
+            rejected.add(requestId);
         }
 
         @Override
         public void fail(long requestId) {
-            refused.add(requestId);
+            rejected.add(requestId);
         }
 
         @Override
@@ -195,8 +198,8 @@
         public void log(String line) { }
     }
 
-    /** Each answer takes the time that the module takes for usual, so that it keeps to no favourite. */
-    private static Set<Long> sends(Gateway gateway, Doors actions, long from, int count) {
+    /** Each response takes the typical latency that is assumed at first, so that no backend becomes the favourite. */
+    private static Set<Long> sends(Gateway gateway, RecordedActions actions, long from, int count) {
         actions.sent.clear();
         for (int i = 0; i < count; i++) {
             long now = from + i * SECOND / 100;
@@ -210,12 +213,15 @@
         return new HashSet<>(actions.sent);
     }
 
-    /** All gateways together use all backends, each only its set; who left the set gets nothing more. */
+    /**
+     * All gateways together use all backends, each only its subset; a backend that left the subset gets no new
+     * requests.
+     */
     @Test
-    void eachGatewaySendsToItsSetAndAllOfThemToAll() {
+    void eachGatewaySendsToItsSubsetAndAllTogetherToAllBackends() {
         Set<Long> all = new HashSet<>();
         for (int index = 0; index < 10; index++) {
-            Doors actions = new Doors();
+            RecordedActions actions = new RecordedActions();
             Gateway gateway = ApertureGateway.wrap(new GatewayDecider(settings(10), 1_000, actions), settings(10),
                     index, SMALL);
             Aperture same = new Aperture(SMALL, 10, index, false);
@@ -238,7 +244,7 @@
     // ---- Settings ---------------------------------------------------------------------------------------
 
     @Test
-    void theSettingsTellTheNumberAndMaySetTheFigures() {
+    void readsIndexAndApertureFromTheSettings() {
         GatewaySettingsReader plain = new GatewaySettingsReader("Balancers=3\nIndex=2");
         assertEquals(2, plain.gatewayIndex());
         assertSame(ApertureSettings.DEFAULT.enabled(), plain.aperture(ApertureSettings.DEFAULT).enabled());
--- a/decision/src/test/java/nettletrail/decision/ApertureTest.java
+++ b/decision/src/test/java/nettletrail/decision/ApertureTest.java
@@ -23,21 +23,23 @@
 import nettletrail.decision.Gateway.DiscoveryState;
 import org.junit.jupiter.api.Test;
 
-/** Each property over drawn fleets: 1 to 480 gateways, up to 8,000 backends in one to five uneven zones. */
+/**
+ * Properties of the aperture over random fleets: 1 to 480 gateways, up to 8,000 backends in one to five uneven zones.
+ */
 class ApertureTest {
     private static final int TRIES = 60;
 
-    /** A fleet as drawn from a seed. */
+    /** A random fleet, determined by a seed. */
     private static final class Fleet {
         final Random random;
-        final int doors;
+        final int gatewayCount;
         final ApertureSettings settings;
         final Map<Long, Backend> list = new LinkedHashMap<>();
         private long nextId;
 
-        Fleet(long seed, int doors, int backends, ApertureSettings settings) {
+        Fleet(long seed, int gatewayCount, int backends, ApertureSettings settings) {
             random = new Random(seed);
-            this.doors = doors;
+            this.gatewayCount = gatewayCount;
             this.settings = settings;
             double[] weights = random.doubles(1 + random.nextInt(5), 0.02, 1).toArray();
             double sum = java.util.Arrays.stream(weights).sum();
@@ -68,7 +70,7 @@
         }
 
         Aperture at(int index) {
-            Aperture made = new Aperture(settings, doors, index, false);
+            Aperture made = new Aperture(settings, gatewayCount, index, false);
             made.listed(true, entries());
             return made;
         }
@@ -77,15 +79,15 @@
             return entries().stream().collect(Collectors.groupingBy(Backend::zone, TreeMap::new, Collectors.counting()));
         }
 
-        /** s of the class comment. */
+        /** The s of the comment of {@link Aperture}. */
         double share() {
             double largest = zones().values().stream().mapToLong(each -> each).max().orElse(1);
-            return Math.min(doors, Math.max(Math.max(settings.minGatewaysPerBackend(),
-                    settings.minBackends() * (double) doors / list.size()), doors / largest));
+            return Math.min(gatewayCount, Math.max(Math.max(settings.minGatewaysPerBackend(),
+                    settings.minBackends() * (double) gatewayCount / list.size()), gatewayCount / largest));
         }
     }
 
-    private static Backend as(Backend entry, DiscoveryState state) {
+    private static Backend withState(Backend entry, DiscoveryState state) {
         return new Backend(entry.id(), entry.zone(), entry.machineType(), entry.cell(), state, entry.weight(),
                 entry.startedAtNanos());
     }
@@ -115,21 +117,24 @@
                 without);
     }
 
-    // ---- Spread -----------------------------------------------------------------------------------------
+    // ---- Distribution -----------------------------------------------------------------------------------
 
     /**
-     * Each backend is in the sets of floor(s) or ceil(s) gateways; with s of 8 or more, max/mean is below 9/8 in each zone,
-     * and 1 for a whole s. Sets of two gateways differ by one in each zone at most.
+     * Each backend is in the subsets of floor(s) or ceil(s) gateways; with s of 8 or more, max/mean is at most 9/8 in
+     * each zone, and 1 for a whole s. The subsets of two gateways differ in size by at most one in each zone.
      */
     @Property(tries = TRIES)
-    void eachBackendHasTheSameNumberOfGateways(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int doors,
-            @ForAll @IntRange(min = 1, max = 8_000) int backends, @ForAll @IntRange(min = 1, max = 16) int doorsPerBackend,
-            @ForAll @IntRange(min = 1, max = 400) int least) {
-        Fleet fleet = new Fleet(seed, doors, backends, new ApertureSettings(true, least, doorsPerBackend));
+    void eachBackendHasTheSameNumberOfGateways(@ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 480) int gatewayCount,
+            @ForAll @IntRange(min = 1, max = 8_000) int backends,
+                    @ForAll @IntRange(min = 1, max = 16) int minGatewaysPerBackend,
+            @ForAll @IntRange(min = 1, max = 400) int minBackends) {
+        Fleet fleet = new Fleet(seed, gatewayCount, backends,
+                new ApertureSettings(true, minBackends, minGatewaysPerBackend));
         Aperture aperture = fleet.at(0);
         Map<Long, Integer> known = new LinkedHashMap<>();
         Map<Integer, int[]> sizes = new TreeMap<>();
-        for (int index = 0; index < doors; index++) {
+        for (int index = 0; index < gatewayCount; index++) {
             List<Backend> set = aperture.subsetOf(index);
             set.forEach(each -> known.merge(each.id(), 1, Integer::sum));
             assertEquals(set.size(), ids(set).size());
@@ -141,7 +146,7 @@
                 range[0] = Math.min(range[0], size);
                 range[1] = Math.max(range[1], size);
             });
-            double most = Math.min(backends, Math.max(least, fleet.share() * backends / doors));
+            double most = Math.min(backends, Math.max(minBackends, fleet.share() * backends / gatewayCount));
             assertTrue(Math.abs(set.size() - most) < fleet.zones().size() + 1e-6, set.size() + " for " + most);
         }
         sizes.values().forEach(range -> assertTrue(range[1] - range[0] <= 1));
@@ -161,11 +166,11 @@
         }
     }
 
-    /** Sends at each backend where each gateway, of its weight, spreads evenly over its set: max/mean, the worst zone's. */
+    /** Load of the backends if each gateway spreads its weight evenly over its subset: max/mean in the worst zone. */
     private static double imbalance(Fleet fleet, java.util.function.IntToDoubleFunction weight) {
         Aperture aperture = fleet.at(0);
         Map<Long, Double> sends = new LinkedHashMap<>();
-        for (int index = 0; index < fleet.doors; index++) {
+        for (int index = 0; index < fleet.gatewayCount; index++) {
             List<Backend> set = aperture.subsetOf(index);
             double each = weight.applyAsDouble(index) / set.size();
             set.forEach(backend -> sends.merge(backend.id(), each, Double::sum));
@@ -175,41 +180,46 @@
                 .mapToDouble(zone -> zone.getMax() / zone.getAverage()).max().orElseThrow();
     }
 
-    /** With equal gateways, by the figures that hold without operators: 1.2 in each zone is kept. */
+    /** With equal gateways and the default settings, max/mean is at most 1.2 in each zone. */
     @Property(tries = TRIES)
-    void evenChoiceInEachSetIsEvenOverAll(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int doors,
+    void evenLoadInEachSubsetIsEvenOverAllBackends(@ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 480) int gatewayCount,
             @ForAll @IntRange(min = 1, max = 8_000) int backends) {
-        double imbalance = imbalance(new Fleet(seed, doors, backends, ApertureSettings.DEFAULT), index -> 1);
+        double imbalance = imbalance(new Fleet(seed, gatewayCount, backends, ApertureSettings.DEFAULT), index -> 1);
         assertTrue(imbalance <= 1.2, imbalance + "");
     }
 
-    /** A gateway of three times the mean weight adds two parts in s to its arc, and no more anywhere. */
+    /** A gateway of three times the mean weight adds 2/s to the load of its arc, and nothing elsewhere. */
     @Property(tries = TRIES)
-    void aGatewayOfThriceTheWeightLoadsItsArcByTwoPartsInS(@ForAll long seed, @ForAll @IntRange(min = 9, max = 480) int doors,
+    void aGatewayOfThreeTimesTheWeightAddsTwoOverSToItsArc(@ForAll long seed,
+            @ForAll @IntRange(min = 9, max = 480) int gatewayCount,
             @ForAll @IntRange(min = 300, max = 8_000) int backends) {
-        Fleet fleet = new Fleet(seed, doors, backends, ApertureSettings.DEFAULT);
-        int heavy = fleet.random.nextInt(doors);
+        Fleet fleet = new Fleet(seed, gatewayCount, backends, ApertureSettings.DEFAULT);
+        int heavy = fleet.random.nextInt(gatewayCount);
         double imbalance = imbalance(fleet, index -> index == heavy ? 3 : 1);
         assertTrue(imbalance <= 1.2 * (1 + 2 / fleet.share()), imbalance + " with s " + fleet.share());
     }
 
-    /** Few backends in many zones: in none would a gateway's arc have a rank, if the largest didn't count. */
+    /** Few backends in many zones: without the term for the largest zone, a gateway's arcs could all be empty. */
     @Property(tries = TRIES)
-    void noGatewayIsLeftWithoutBackends(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int doors,
+    void noGatewayIsLeftWithoutBackends(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int gatewayCount,
             @ForAll @IntRange(min = 1, max = 60) int backends) {
-        Fleet fleet = new Fleet(seed, doors, backends, new ApertureSettings(true, 1, 1));
+        Fleet fleet = new Fleet(seed, gatewayCount, backends, new ApertureSettings(true, 1, 1));
         Aperture aperture = fleet.at(0);
-        IntStream.range(0, doors).forEach(index -> assertFalse(aperture.subsetOf(index).isEmpty()));
+        IntStream.range(0, gatewayCount).forEach(index -> assertFalse(aperture.subsetOf(index).isEmpty()));
     }
 
-    /** A rack of neighbours by index, a twentieth of all: no backend loses more than two of its eight gateways. */
+    /**
+     * Loss of a rack of gateways with adjacent indexes, a twentieth of all: no backend loses more than two of its
+     * eight.
+     */
     @Test
-    void neighboursByIndexHaveFarPlaces() {
-        for (int doors : new int[] {30, 60, 120, 240, 480}) {
-            Fleet fleet = new Fleet(5, doors, 16 * doors, new ApertureSettings(true, 1, 8));
+    void gatewaysWithAdjacentIndexesHaveDistantPositions() {
+        for (int gatewayCount : new int[] {30, 60, 120, 240, 480}) {
+            Fleet fleet = new Fleet(5, gatewayCount, 16 * gatewayCount, new ApertureSettings(true, 1, 8));
             Aperture aperture = fleet.at(0);
-            int rack = Math.max(1, doors / 20);
-            for (int first = 0; first + rack <= doors; first++) {
+            int rack = Math.max(1, gatewayCount / 20);
+            for (int first = 0; first + rack <= gatewayCount; first++) {
                 Map<Long, Integer> lost = new LinkedHashMap<>();
                 IntStream.range(first, first + rack).forEach(index ->
                         aperture.subsetOf(index).forEach(each -> lost.merge(each.id(), 1, Integer::sum)));
@@ -219,29 +229,32 @@
     }
 
     @Property(tries = TRIES)
-    void placesAreOneForEachGateway(@ForAll @IntRange(min = 1, max = 480) int doors) {
-        assertEquals(doors, IntStream.range(0, doors).mapToLong(index -> Aperture.position(index, doors)).distinct()
-                .filter(place -> place >= 0 && place < doors).count());
+    void positionsAreUniqueAndInRange(@ForAll @IntRange(min = 1, max = 480) int gatewayCount) {
+        assertEquals(gatewayCount, IntStream.range(0,
+                gatewayCount).mapToLong(index -> Aperture.position(index, gatewayCount)).distinct()
+                .filter(place -> place >= 0 && place < gatewayCount).count());
     }
 
     // ---- Changes ----------------------------------------------------------------------------------------
 
     /**
-     * One backend more or fewer moves, beside itself, at most two of its zone and none of others where doorsPerBackend
-     * decides; else (least, or the largest zone) three and one.
+     * Adding or removing one backend moves, besides itself, at most two backends of its zone and none of others where
+     * minGatewaysPerBackend determines s; otherwise (minBackends, or the largest zone) three and one.
      */
     @Property(tries = 4 * TRIES)
-    void aChangeOfOneBackendMovesFewOthers(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int doors,
-            @ForAll @IntRange(min = 2, max = 3_000) int backends, @ForAll @IntRange(min = 1, max = 16) int doorsPerBackend,
-            @ForAll @IntRange(min = 1, max = 400) int least) {
-        Fleet fleet = new Fleet(seed, doors, backends, new ApertureSettings(true, least, doorsPerBackend));
-        int index = fleet.random.nextInt(doors);
+    void aChangeOfOneBackendMovesFewOthers(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int gatewayCount,
+            @ForAll @IntRange(min = 2, max = 3_000) int backends,
+            @ForAll @IntRange(min = 1, max = 16) int minGatewaysPerBackend,
+            @ForAll @IntRange(min = 1, max = 400) int minBackends) {
+        Fleet fleet = new Fleet(seed, gatewayCount, backends,
+                new ApertureSettings(true, minBackends, minGatewaysPerBackend));
+        int index = fleet.random.nextInt(gatewayCount);
         double share = fleet.share();
         Aperture before = fleet.at(index);
         Backend changed = fleet.any();
         fleet.list.remove(changed.id());
         Aperture after = fleet.at(index);
-        boolean byShare = share == doorsPerBackend && fleet.share() == doorsPerBackend;
+        boolean byShare = share == minGatewaysPerBackend && fleet.share() == minGatewaysPerBackend;
         for (int zone : fleet.zones().keySet()) {
             int others = differ(before, after, zone, changed.id());
             int most = byShare ? zone == changed.zone() ? 2 : 0 : zone == changed.zone() ? 3 : 1;
@@ -250,43 +263,51 @@
         }
     }
 
-    /** A gateway more: an arc begins a step further on or back at most, b / D of its ring, and ends s / D of one more so. */
+    /**
+     * With one gateway more, an arc's start moves by at most one step, b / D of its ring, and its end by s / D of a
+     * step more.
+     */
     @Property(tries = TRIES)
-    void aGatewayMoreMovesNoArcFurtherThanItsStep(@ForAll long seed, @ForAll @IntRange(min = 10, max = 479) int doors,
+    void addingAGatewayMovesEachArcByAtMostOneStep(@ForAll long seed,
+            @ForAll @IntRange(min = 10, max = 479) int gatewayCount,
             @ForAll @IntRange(min = 500, max = 8_000) int backends) {
         ApertureSettings settings = new ApertureSettings(true, 1, 8);
-        Fleet fleet = new Fleet(seed, doors, backends, settings);
-        Aperture more = new Aperture(settings, doors + 1, 0, false);
+        Fleet fleet = new Fleet(seed, gatewayCount, backends, settings);
+        Aperture more = new Aperture(settings, gatewayCount + 1, 0, false);
         more.listed(true, fleet.entries());
         Aperture before = fleet.at(0);
         Map<Integer, Long> zones = fleet.zones();
-        for (int index = 0; index < doors; index += 1 + doors / 20) {
+        for (int index = 0; index < gatewayCount; index += 1 + gatewayCount / 20) {
             Map<Integer, Set<Long>> was = byZone(before.subsetOf(index));
             Map<Integer, Set<Long>> is = byZone(more.subsetOf(index));
             for (int zone : zones.keySet()) {
                 int moved = differ(was.getOrDefault(zone, Set.of()), is.getOrDefault(zone, Set.of()), 0);
-                double step = zones.get(zone) / (double) doors;
-                assertTrue(moved <= (2 + 8.0 / (doors + 1)) * step + 2, moved + " of a step of " + step);
+                double step = zones.get(zone) / (double) gatewayCount;
+                assertTrue(moved <= (2 + 8.0 / (gatewayCount + 1)) * step + 2, moved + " of a step of " + step);
             }
         }
     }
 
-    /** A whole zone goes: of the others each gateway has what it had, where doorsPerBackend decides. */
+    /**
+     * Loss of a whole zone: in the other zones each gateway keeps its subset, where minGatewaysPerBackend determines s.
+     */
     @Property(tries = TRIES)
-    void theLossOfAZoneLeavesTheOthers(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int doors,
-            @ForAll @IntRange(min = 100, max = 8_000) int backends, @ForAll @IntRange(min = 1, max = 400) int least) {
-        Fleet fleet = new Fleet(seed, doors, backends, new ApertureSettings(true, least, 8));
+    void losingAZoneKeepsTheSubsetsOfOtherZones(@ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 480) int gatewayCount,
+            @ForAll @IntRange(min = 100, max = 8_000) int backends,
+                    @ForAll @IntRange(min = 1, max = 400) int minBackends) {
+        Fleet fleet = new Fleet(seed, gatewayCount, backends, new ApertureSettings(true, minBackends, 8));
         for (int lost : fleet.zones().keySet()) {
-            Fleet rest = new Fleet(seed, doors, backends, fleet.settings);
+            Fleet rest = new Fleet(seed, gatewayCount, backends, fleet.settings);
             rest.list.values().removeIf(each -> each.zone() == lost);
             if (rest.list.isEmpty()) {
                 continue;
             }
-            int index = fleet.random.nextInt(doors);
+            int index = fleet.random.nextInt(gatewayCount);
             Map<Integer, Set<Long>> was = byZone(fleet.at(index).subset());
             Map<Integer, Set<Long>> is = byZone(rest.at(index).subset());
             rest.zones().forEach((zone, size) -> {
-                assertTrue(size < doors / 8.0 || !is.getOrDefault(zone, Set.of()).isEmpty());
+                assertTrue(size < gatewayCount / 8.0 || !is.getOrDefault(zone, Set.of()).isEmpty());
                 if (fleet.share() == rest.share()) {
                     assertEquals(was.get(zone), is.get(zone));
                 }
@@ -295,20 +316,21 @@
         }
     }
 
-    // ---- What the module is told ------------------------------------------------------------------------
+    // ---- Reports to the delegate ------------------------------------------------------------------------
 
-    /** By whatever events the list came: the set is that of the list, and the module has been told just it. */
+    /** After any sequence of changes, the subset is that of the list, and the delegate was told exactly the subset. */
     @Property(tries = 2 * TRIES)
-    void theSetIsTheListsAndTheModuleKnowsIt(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int doors,
-            @ForAll @IntRange(min = 1, max = 600) int backends, @ForAll @IntRange(min = 1, max = 300) int least) {
-        Fleet fleet = new Fleet(seed, doors, backends, new ApertureSettings(true, least, 8));
-        int index = fleet.random.nextInt(doors);
+    void reportedChangesAddUpToTheSubsetOfTheList(@ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 480) int gatewayCount,
+            @ForAll @IntRange(min = 1, max = 600) int backends, @ForAll @IntRange(min = 1, max = 300) int minBackends) {
+        Fleet fleet = new Fleet(seed, gatewayCount, backends, new ApertureSettings(true, minBackends, 8));
+        int index = fleet.random.nextInt(gatewayCount);
         Aperture aperture = fleet.at(index);
         Map<Long, Backend> told = new LinkedHashMap<>();
         aperture.subset().forEach(each -> told.put(each.id(), each));
         for (int i = 0; i < 60; i++) {
             boolean whole = fleet.random.nextInt(8) == 0;
-            List<Backend> changes = drawn(fleet, backends);
+            List<Backend> changes = randomChanges(fleet, backends);
             Aperture.Update news = aperture.listed(whole, whole ? shuffled(fleet) : changes);
             if (news.whole()) {
                 told.clear();
@@ -334,16 +356,18 @@
         return entries;
     }
 
-    /** Joins, losses, restarts, drains, their ends, moves: some at once. The fleet's list has them then. */
-    private static List<Backend> drawn(Fleet fleet, int most) {
+    /**
+     * Random joins, losses, restarts, drains, ends of drains and moves, several at once; applied to the fleet's list.
+     */
+    private static List<Backend> randomChanges(Fleet fleet, int most) {
         Map<Long, Backend> changes = new LinkedHashMap<>();
         for (int n = 1 + fleet.random.nextInt(fleet.random.nextInt(5) == 0 ? most : 3); n > 0; n--) {
             int kind = fleet.random.nextInt(8);
             Backend entry = fleet.list.isEmpty() || kind == 0 && fleet.list.size() < 2 * most
                     ? fleet.add(fleet.random.nextInt(6)) : fleet.any();
             Backend told = switch (kind) {
-                case 1, 2 -> as(entry, DiscoveryState.GONE);
-                case 3, 4 -> as(entry, DiscoveryState.DRAINING);
+                case 1, 2 -> withState(entry, DiscoveryState.GONE);
+                case 3, 4 -> withState(entry, DiscoveryState.DRAINING);
                 case 5 -> new Backend(entry.id(), entry.zone(), 0, entry.cell(), DiscoveryState.READY, 1, 1 + n);
                 case 6 -> new Backend(entry.id(), fleet.random.nextInt(6), 0, entry.cell(), entry.state(), 2, 0);
                 default -> entry;
@@ -364,46 +388,51 @@
         return entries;
     }
 
-    /** Up to least backends the set is the list, and what is told is what came: the same object, the same order. */
+    /** Up to minBackends the subset is the list, and it is passed on as it came: the same object, in the same order. */
     @Property(tries = TRIES)
-    void upToLeastAllAreUsedAndToldAsTheyCame(@ForAll long seed, @ForAll @IntRange(min = 1, max = 480) int doors,
+    void usesAllBackendsAndPassesListsThroughUpToMinBackends(@ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 480) int gatewayCount,
             @ForAll @IntRange(min = 1, max = 256) int backends) {
-        Fleet fleet = new Fleet(seed, doors, backends, ApertureSettings.DEFAULT);
-        Aperture aperture = new Aperture(fleet.settings, doors, fleet.random.nextInt(doors), false);
+        Fleet fleet = new Fleet(seed, gatewayCount, backends, ApertureSettings.DEFAULT);
+        Aperture aperture = new Aperture(fleet.settings, gatewayCount, fleet.random.nextInt(gatewayCount), false);
         List<Backend> entries = shuffled(fleet);
         assertEquals(new Aperture.Update(true, entries), aperture.listed(true, entries));
         assertEquals(ids(fleet.entries()), ids(aperture.subset()));
         for (int i = 0; i < 20; i++) {
-            List<Backend> changes = drawn(fleet, 1);
+            List<Backend> changes = randomChanges(fleet, 1);
             if (fleet.list.size() > 256) {
                 return;
             }
             assertEquals(new Aperture.Update(false, changes), aperture.listed(false, changes));
             assertTrue(aperture.usesAll());
-            assertEquals(doors, aperture.gatewaysPerBackend());
+            assertEquals(gatewayCount, aperture.gatewaysPerBackend());
         }
     }
 
     // ---- Drains -----------------------------------------------------------------------------------------
 
-    /** A drain puts nobody out of a set, and as many ready ones as the arc has ranks are in it while there are some. */
+    /**
+     * A drain removes no backend from a subset, which has as many ready backends as the arc has ranks, if there are
+     * enough.
+     */
     @Property(tries = TRIES)
-    void drainsPutNobodyOutAndTheNextReadyOnesIn(@ForAll long seed, @ForAll @IntRange(min = 9, max = 480) int doors,
+    void drainsRemoveNoBackendAndAddTheNextReadyOnes(@ForAll long seed,
+            @ForAll @IntRange(min = 9, max = 480) int gatewayCount,
             @ForAll @IntRange(min = 300, max = 3_000) int backends) {
-        Fleet fleet = new Fleet(seed, doors, backends, new ApertureSettings(true, 1, 8));
-        int index = fleet.random.nextInt(doors);
+        Fleet fleet = new Fleet(seed, gatewayCount, backends, new ApertureSettings(true, 1, 8));
+        int index = fleet.random.nextInt(gatewayCount);
         Aperture aperture = fleet.at(index);
         Map<Integer, Set<Long>> first = byZone(aperture.subset());
         Set<Long> arc = ids(aperture.subset());
         for (int i = 0; i < 40; i++) {
             Set<Long> before = ids(aperture.subset());
             List<Backend> set = aperture.subset();
-            Backend drained = as(set.get(fleet.random.nextInt(set.size())), DiscoveryState.DRAINING);
+            Backend drained = withState(set.get(fleet.random.nextInt(set.size())), DiscoveryState.DRAINING);
             fleet.list.put(drained.id(), drained);
             aperture.listed(false, List.of(drained));
             Set<Long> after = ids(aperture.subset());
             before.removeAll(after);
-            // Itself it may leave where another's drain had brought it in.
+            // The drained backend itself may leave if another's drain had added it.
             assertTrue(before.isEmpty() || before.equals(Set.of(drained.id())) && !arc.contains(drained.id()), before + "");
             Map<Integer, Long> ready = aperture.subset().stream().filter(each -> each.state() == DiscoveryState.READY)
                     .collect(Collectors.groupingBy(Backend::zone, Collectors.counting()));
@@ -413,9 +442,12 @@
         }
     }
 
-    /** Where a class drops repeats by cell, a cell's backends stand together: all but those at the ends are whole. */
+    /**
+     * Where a class drops repeats by cell, a cell's backends are adjacent: all cells but those at the ends are
+     * complete.
+     */
     @Test
-    void cellsStandTogetherWhereRepeatsAreDroppedByCell() {
+    void cellsAreAdjacentWhereRepeatsAreDroppedByCell() {
         Aperture aperture = new Aperture(new ApertureSettings(true, 40, 2), 20, 3, true);
         List<Backend> list = IntStream.range(0, 400).mapToObj(i ->
                 new Backend(i, 0, 0, i % 100, DiscoveryState.READY, 1, 0)).toList();
@@ -428,9 +460,11 @@
 
     // ---- Cost -------------------------------------------------------------------------------------------
 
-    /** 7,500 entries, each told anew: far below a millisecond on the mean, with room for a busy machine. */
+    /**
+     * A change of one of 7,500 entries takes far less than a millisecond on average, with tolerance for a busy machine.
+     */
     @Test
-    void aChangeCostsFarLessThanAMillisecond() {
+    void aChangeTakesFarLessThanAMillisecond() {
         Fleet fleet = new Fleet(3, 480, 7_500, ApertureSettings.DEFAULT);
         Aperture aperture = fleet.at(7);
         Function<Integer, Double> play = rounds -> {
@@ -438,10 +472,10 @@
             for (int i = 0; i < rounds; i++) {
                 Backend gone = fleet.entries().get(0);
                 fleet.list.remove(gone.id());
-                aperture.listed(false, List.of(as(gone, DiscoveryState.GONE)));
+                aperture.listed(false, List.of(withState(gone, DiscoveryState.GONE)));
                 Backend made = fleet.add(gone.zone());
                 aperture.listed(false, List.of(made));
-                aperture.listed(false, List.of(as(made, DiscoveryState.READY)));
+                aperture.listed(false, List.of(withState(made, DiscoveryState.READY)));
             }
             return (System.nanoTime() - from) / 3e3 / rounds;
         };
--- a/decision/src/test/java/nettletrail/decision/GatewayDeciderTest.java
+++ b/decision/src/test/java/nettletrail/decision/GatewayDeciderTest.java
@@ -27,40 +27,40 @@
     static final long SECOND = 1_000 * MS;
     static final Plan FREE = new Plan(0, 0, 0, 0, 0, 0, 0, 0, 1);
 
-    /** Stands in for a front door: keeps what was asked and a clock. */
-    static class Door implements Gateway.Actions {
+    /** Runs the decisions of one gateway: records the actions and keeps a clock. */
+    static class Harness implements Gateway.Actions {
         final List<String> log = new ArrayList<>();
         final Map<Long, Long> sentTo = new HashMap<>();
         final Map<Long, Integer> attempts = new HashMap<>();
         final Map<Long, Long> timeouts = new HashMap<>();
         long now = 1_000 * SECOND;
-        final GatewayDecider brain;
+        final GatewayDecider decider;
 
-        Door(int gateways, Idempotency effect, Plan plan) {
+        Harness(int gateways, Idempotency effect, Plan plan) {
             this(gateways, effect, plan, 3);
         }
 
-        Door(int gateways, Idempotency effect, Plan plan, int backends) {
+        Harness(int gateways, Idempotency effect, Plan plan, int backends) {
             this(gateways, effect, plan, backends, 7);
         }
 
-        Door(int gateways, Idempotency effect, Plan plan, int backends, long seed) {
-            brain = new GatewayDecider(settings(gateways, effect, plan, seed), now, this);
+        Harness(int gateways, Idempotency effect, Plan plan, int backends, long seed) {
+            decider = new GatewayDecider(settings(gateways, effect, plan, seed), now, this);
             List<Backend> list = new ArrayList<>();
             for (int i = 1; i <= backends; i++) {
                 list.add(backend(i, DiscoveryState.READY, 0));
             }
-            brain.onBackends(now, true, list);
+            decider.onBackends(now, true, list);
         }
 
         void arrive(long id, long customer, double units, int setSize) {
-            brain.onRequest(now, new Request(id, 0, 0, customer, units, setSize, 3 * SECOND));
+            decider.onRequest(now, new Request(id, 0, 0, customer, units, setSize, 3 * SECOND));
         }
 
         void answer(long id, Outcome outcome, int percent, double settled) {
             long backend = sentTo.get(id);
             boolean ended = outcome == Outcome.OK;
-            brain.onAttemptEnd(now, new AttemptReport(id, attempts.get(id) - 1, backend, outcome, ended, 50 * MS,
+            decider.onAttemptEnd(now, new AttemptReport(id, attempts.get(id) - 1, backend, outcome, ended, 50 * MS,
                     percent,
                     settled, null));
         }
@@ -69,11 +69,11 @@
             answer(id, Outcome.OK, -1, 0);
         }
 
-        /** Lets time pass with the module's own looks at what waits. */
+        /** Lets time pass, with the periodic checks of the queue. */
         void pass(long ns) {
             for (long until = now + ns; now < until;) {
                 now += 10 * MS;
-                brain.onTimer(now, 0);
+                decider.onTimer(now, 0);
             }
         }
 
@@ -81,7 +81,7 @@
             return sentTo.containsKey(id);
         }
 
-        boolean refused(long id) {
+        boolean rejected(long id) {
             return log.contains("refuse " + id);
         }
 
@@ -124,9 +124,9 @@
     }
 
     static Settings settings(int gateways, Idempotency effect, Plan plan, long seed) {
-        RequestClass kind = new RequestClass(2 * SECOND, 1, 0, effect, DedupScope.ALL, 1 * SECOND);
+        RequestClass requestClass = new RequestClass(2 * SECOND, 1, 0, effect, DedupScope.ALL, 1 * SECOND);
         return new Settings(gateways, 0, seed, 2 * MS, 4, false, 0.2, 10 * SECOND, 2, 2 * SECOND, 0, SECOND,
-                List.of(kind), List.of(plan));
+                List.of(requestClass), List.of(plan));
     }
 
     static Backend backend(long id, DiscoveryState state, long startedAt) {
@@ -137,122 +137,124 @@
         return new Plan(rate, burst, 0, 0, 0, 0, 1, 0, 1);
     }
 
-    /** One backend with one slot that request 1 holds, so that all that follows waits. */
-    static Door busyDoor() {
-        Door door = new Door(12, Idempotency.IDEMPOTENT, FREE, 1);
-        door.arrive(1, 99, 1, 2);
-        assertTrue(door.sent(1));
-        return door;
+    /** One backend whose only slot request 1 holds, so that all later requests are queued. */
+    static Harness busyHarness() {
+        Harness harness = new Harness(12, Idempotency.IDEMPOTENT, FREE, 1);
+        harness.arrive(1, 99, 1, 2);
+        assertTrue(harness.sent(1));
+        return harness;
     }
 
-    /** Answers what is out, oldest first, and returns in which order all was sent from now on. */
-    static List<Long> drain(Door door, long first) {
-        int mark = door.log.size();
-        door.ok(first);
+    /** Answers the requests in flight, oldest first, and returns the order in which all were sent from now on. */
+    static List<Long> drain(Harness harness, long first) {
+        int mark = harness.log.size();
+        harness.ok(first);
         List<Long> order = new ArrayList<>();
-        for (int i = mark; i < door.log.size(); i++) {
-            long id = Long.parseLong(door.log.get(i).substring("send ".length()));
+        for (int i = mark; i < harness.log.size(); i++) {
+            long id = Long.parseLong(harness.log.get(i).substring("send ".length()));
             order.add(id);
-            door.ok(id);
+            harness.ok(id);
         }
         return order;
     }
 
     @Test
-    void lowestCounterGoesFirst() {
-        Door door = busyDoor();
-        door.arrive(11, 1, 4, 2);
-        door.arrive(12, 1, 4, 2);
-        door.arrive(21, 2, 1, 2);
-        door.arrive(22, 2, 1, 2);
-        assertEquals(List.of(11L, 21L, 22L, 12L), drain(door, 1));
+    void sendsTheCustomerWithTheLowestVirtualTimeFirst() {
+        Harness harness = busyHarness();
+        harness.arrive(11, 1, 4, 2);
+        harness.arrive(12, 1, 4, 2);
+        harness.arrive(21, 2, 1, 2);
+        harness.arrive(22, 2, 1, 2);
+        assertEquals(List.of(11L, 21L, 22L, 12L), drain(harness, 1));
     }
 
     @Test
     void largeRequestsAreChargedMoreThanTheirUnits() {
-        Door door = busyDoor();
-        door.arrive(11, 1, 4, 2);
-        door.arrive(12, 1, 4, 2);
+        Harness harness = busyHarness();
+        harness.arrive(11, 1, 4, 2);
+        harness.arrive(12, 1, 4, 2);
         for (long id = 21; id <= 26; id++) {
-            door.arrive(id, 2, 1, 2);
+            harness.arrive(id, 2, 1, 2);
         }
-        List<Long> order = drain(door, 1);
+        List<Long> order = drain(harness, 1);
         assertTrue(order.indexOf(12L) > 5, "by units alone it would be the sixth: " + order);
     }
 
     @Test
-    void theAnswerSettlesTheCharge() {
-        Door door = busyDoor();
-        door.arrive(11, 1, 1, 2);
-        door.arrive(12, 1, 1, 2);
-        door.arrive(21, 2, 1, 2);
-        door.arrive(22, 2, 2, 2);
-        door.arrive(23, 2, 1, 2);
-        door.ok(1);
-        assertTrue(door.sent(11));
-        int mark = door.log.size();
-        door.answer(11, Outcome.OK, -1, 6);
-        while (!door.sent(12)) {
-            door.ok(Long.parseLong(door.log.get(door.log.size() - 1).substring("send ".length())));
+    void settlesTheChargeWithTheActualUnits() {
+        Harness harness = busyHarness();
+        harness.arrive(11, 1, 1, 2);
+        harness.arrive(12, 1, 1, 2);
+        harness.arrive(21, 2, 1, 2);
+        harness.arrive(22, 2, 2, 2);
+        harness.arrive(23, 2, 1, 2);
+        harness.ok(1);
+        assertTrue(harness.sent(11));
+        int mark = harness.log.size();
+        harness.answer(11, Outcome.OK, -1, 6);
+        while (!harness.sent(12)) {
+            harness.ok(Long.parseLong(harness.log.get(harness.log.size() - 1).substring("send ".length())));
         }
-        assertTrue(door.sent(22) && door.sent(23), "customer 1 had more than it told: " + door.log);
-        assertTrue(mark < door.log.indexOf("send 12"));
+        assertTrue(harness.sent(22) && harness.sent(23), "customer 1 had more than it told: " + harness.log);
+        assertTrue(mark < harness.log.indexOf("send 12"));
     }
 
     @Test
-    void aReturnerIsLiftedToTheLeastWaiting() {
-        Door door = busyDoor();
+    void aReturningCustomerStartsAtTheLowestVirtualTimeInTheQueue() {
+        Harness harness = busyHarness();
         for (long id = 11; id <= 14; id++) {
-            door.arrive(id, 1, 5, 2);
+            harness.arrive(id, 1, 5, 2);
         }
-        door.ok(1);
-        assertTrue(door.sent(11) && !door.sent(14));
+        harness.ok(1);
+        assertTrue(harness.sent(11) && !harness.sent(14));
         for (long id = 21; id <= 24; id++) {
-            door.arrive(id, 2, 1, 2);
+            harness.arrive(id, 2, 1, 2);
         }
-        // Customer 2 never sent anything, yet does not run ahead by its whole absence.
-        List<Long> order = drain(door, 11);
+        // Customer 2 never sent anything, yet gets no credit for the time it was absent.
+        List<Long> order = drain(harness, 11);
         assertEquals(13L, order.get(0), order.toString());
     }
 
     @Test
-    void eachGatewayLetsInItsPartOfTheStore() {
-        Door door = new Door(2, Idempotency.IDEMPOTENT, quota(1, 4));
+    void eachGatewayAdmitsItsPartOfTheTokenBucket() {
+        Harness harness = new Harness(2, Idempotency.IDEMPOTENT, quota(1, 4));
         int sent = 0;
         for (long id = 1; id <= 20; id++) {
-            door.arrive(id, 5, 1, 2);
-            sent += door.sent(id) ? 1 : 0;
+            harness.arrive(id, 5, 1, 2);
+            sent += harness.sent(id) ? 1 : 0;
         }
-        assertTrue(door.sent(1) && door.sent(2), "its part is two");
+        assertTrue(harness.sent(1) && harness.sent(2), "its part is two");
         assertTrue(sent <= 4, "overdrawn by one, hardly by two: " + sent);
-        door.pass(6 * SECOND);
-        door.arrive(21, 5, 1, 2);
-        assertTrue(door.sent(21), "fills at its part of the rate before the first reading");
+        harness.pass(6 * SECOND);
+        harness.arrive(21, 5, 1, 2);
+        assertTrue(harness.sent(21), "fills at its part of the rate before the first reading");
     }
 
-    /** A store of 3 over 60 gateways has no even part: a customer seldom seen must still be let in everywhere. */
+    /**
+     * A bucket of 3 over 60 gateways has no even part: an infrequent customer must still be admitted at each gateway.
+     */
     @Test
-    void aPartBelowOneRequestStillLetsTheFirstIn() {
+    void aPartBelowOneRequestStillAdmitsTheFirst() {
         for (int seed = 0; seed < 60; seed++) {
-            Door door = new Door(60, Idempotency.IDEMPOTENT, quota(1, 3), 3, seed);
-            door.arrive(1, 5, 1, 60);
-            assertTrue(door.sent(1));
-            door.answer(1, Outcome.OK, 0, 0);
+            Harness harness = new Harness(60, Idempotency.IDEMPOTENT, quota(1, 3), 3, seed);
+            harness.arrive(1, 5, 1, 60);
+            assertTrue(harness.sent(1));
+            harness.answer(1, Outcome.OK, 0, 0);
         }
     }
 
-    /** Letting in again and again, with a reading each period; how many were let in. */
-    static int letIn(int percent, boolean repeat) {
-        Door door = new Door(4, Idempotency.IDEMPOTENT, quota(4, 8));
+    /** Sends requests with a reading in each period; returns how many were admitted. */
+    static int countAdmitted(int percent, boolean repeat) {
+        Harness harness = new Harness(4, Idempotency.IDEMPOTENT, quota(4, 8));
         int in = 0;
         long id = 1;
         for (int tick = 0; tick < 400; tick++) {
-            door.pass(50 * MS);
-            door.arrive(id, 5, 1, 4);
-            if (door.sent(id)) {
+            harness.pass(50 * MS);
+            harness.arrive(id, 5, 1, 4);
+            if (harness.sent(id)) {
                 in++;
                 boolean tell = !repeat || tick < 40;
-                door.answer(id, Outcome.OK, tell ? percent : -1, 0);
+                harness.answer(id, Outcome.OK, tell ? percent : -1, 0);
             }
             id++;
         }
@@ -260,362 +262,363 @@
     }
 
     @Test
-    void theShareGrowsWhileTheMeterShowsRoomAndShrinksBeyond() {
-        int room = letIn(50, false);
-        int beyond = letIn(150, false);
+    void admittedShareGrowsWithMeteredRoomAndShrinksOverQuota() {
+        int room = countAdmitted(50, false);
+        int beyond = countAdmitted(150, false);
         assertTrue(room > 1.5 * beyond, room + " let in with room, " + beyond + " beyond");
         assertTrue(beyond <= 4 * 20 / 4 + 4, "an even part when the rate is passed: " + beyond);
     }
 
     @Test
-    void aRepeatedReadingIsOneReading() {
-        Door once = new Door(4, Idempotency.IDEMPOTENT, quota(4, 40));
-        Door often = new Door(4, Idempotency.IDEMPOTENT, quota(4, 40));
-        for (Door door : List.of(once, often)) {
+    void appliesARepeatedReadingOnce() {
+        Harness once = new Harness(4, Idempotency.IDEMPOTENT, quota(4, 40));
+        Harness often = new Harness(4, Idempotency.IDEMPOTENT, quota(4, 40));
+        for (Harness harness : List.of(once, often)) {
             for (long id = 1; id <= 30; id++) {
-                door.arrive(id, 5, 1, 4);
+                harness.arrive(id, 5, 1, 4);
             }
             for (long id = 1; id <= 10; id++) {
-                door.answer(id, Outcome.OK, door == often || id == 1 ? 50 : -1, 0);
+                harness.answer(id, Outcome.OK, harness == often || id == 1 ? 50 : -1, 0);
             }
-            door.pass(4 * SECOND);
+            harness.pass(4 * SECOND);
             for (long id = 31; id <= 60; id++) {
-                door.arrive(id, 5, 1, 4);
+                harness.arrive(id, 5, 1, 4);
             }
         }
         assertEquals(once.log, often.log);
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsNeitherSentAgainNorRefused() {
+    void neitherRetriesNorRejectsANonIdempotentRequestThatMayHaveRun() {
         for (Outcome outcome : Outcome.values()) {
             if (outcome == Outcome.OK) {
                 continue;
             }
-            Door door = new Door(2, Idempotency.NOT_IDEMPOTENT, FREE);
-            door.arrive(1, 5, 1, 2);
-            door.answer(1, outcome, -1, 0);
+            Harness harness = new Harness(2, Idempotency.NOT_IDEMPOTENT, FREE);
+            harness.arrive(1, 5, 1, 2);
+            harness.answer(1, outcome, -1, 0);
             if (outcome.mayHaveRun) {
-                assertEquals(List.of("send 1", "fail 1"), door.log, outcome.toString());
+                assertEquals(List.of("send 1", "fail 1"), harness.log, outcome.toString());
             } else {
-                assertEquals(List.of("send 1", "send 1"), door.log, outcome.toString());
+                assertEquals(List.of("send 1", "send 1"), harness.log, outcome.toString());
             }
         }
     }
 
     @Test
-    void aKeyedRequestIsSentAgainOnlyInsideItsWindow() {
-        Door door = new Door(2, Idempotency.KEYED, FREE);
-        door.arrive(1, 5, 1, 2);
-        door.pass(500 * MS);
-        door.answer(1, Outcome.RESET, -1, 0);
-        assertEquals(List.of("send 1", "send 1"), door.log);
-        door.pass(500 * MS);
-        door.answer(1, Outcome.RESET, -1, 0);
-        assertEquals(List.of("send 1", "send 1", "refuse 1"), door.log);
+    void retriesAKeyedRequestOnlyWithinItsDedupWindow() {
+        Harness harness = new Harness(2, Idempotency.KEYED, FREE);
+        harness.arrive(1, 5, 1, 2);
+        harness.pass(500 * MS);
+        harness.answer(1, Outcome.RESET, -1, 0);
+        assertEquals(List.of("send 1", "send 1"), harness.log);
+        harness.pass(500 * MS);
+        harness.answer(1, Outcome.RESET, -1, 0);
+        assertEquals(List.of("send 1", "send 1", "refuse 1"), harness.log);
     }
 
     @Test
-    void aHeldRequestIsAnsweredBeforeItsClientLeaves() {
-        Door door = new Door(2, Idempotency.NOT_IDEMPOTENT, FREE, 0);
-        door.arrive(1, 5, 1, 2);
-        assertFalse(door.refused(1));
-        door.pass(3 * SECOND);
-        assertEquals(List.of("refuse 1"), door.log);
+    void answersAQueuedRequestBeforeItsDeadline() {
+        Harness harness = new Harness(2, Idempotency.NOT_IDEMPOTENT, FREE, 0);
+        harness.arrive(1, 5, 1, 2);
+        assertFalse(harness.rejected(1));
+        harness.pass(3 * SECOND);
+        assertEquals(List.of("refuse 1"), harness.log);
     }
 
     @Test
-    void whatTheQueueLeavesNoTimeForIsRefusedOnArrival() {
-        Door door = busyDoor();
+    void rejectsOnArrivalWhatTheQueueLeavesNoTimeFor() {
+        Harness harness = busyHarness();
         long id = 100;
-        int refusedAtOnce = 0;
+        int rejectedAtOnce = 0;
         long out = 1;
         for (int i = 0; i < 60; i++) {
             for (int j = 0; j < 8; j++) {
-                int mark = door.log.size();
-                door.arrive(++id, 1 + j, 1, 2);
-                refusedAtOnce += door.log.size() > mark && door.refused(id) ? 1 : 0;
+                int mark = harness.log.size();
+                harness.arrive(++id, 1 + j, 1, 2);
+                rejectedAtOnce += harness.log.size() > mark && harness.rejected(id) ? 1 : 0;
             }
-            door.pass(100 * MS);
-            int mark = door.log.size();
-            door.ok(out);
-            for (String line : door.log.subList(mark, door.log.size())) {
+            harness.pass(100 * MS);
+            int mark = harness.log.size();
+            harness.ok(out);
+            for (String line : harness.log.subList(mark, harness.log.size())) {
                 out = line.startsWith("send ") ? Long.parseLong(line.substring(5)) : out;
             }
         }
-        assertTrue(refusedAtOnce > 20, "refused on arrival: " + refusedAtOnce);
+        assertTrue(rejectedAtOnce > 20, "refused on arrival: " + rejectedAtOnce);
     }
 
     @Test
-    void aClassOnceSlowIsStillSent() {
-        Door door = new Door(12, Idempotency.IDEMPOTENT, FREE, 1);
+    void aClassThatWasSlowIsStillSent() {
+        Harness harness = new Harness(12, Idempotency.IDEMPOTENT, FREE, 1);
         for (long id = 1; id <= 80; id++) {
-            door.arrive(id, 5, 1, 2);
-            door.brain.onAttemptEnd(door.now, new AttemptReport(id, 0, 1, Outcome.OK, true, 2 * SECOND, -1, 0, null));
-            door.pass(6 * SECOND);
-        }
-        door.arrive(101, 5, 1, 2);
-        assertTrue(door.sent(101));
-        door.arrive(102, 5, 1, 2);
-        door.arrive(103, 5, 1, 2);
-        assertFalse(door.refused(102) || door.refused(103), "the last answers took as long as the aim");
-    }
-
-    @Test
-    void idleCustomersAreForgottenOnlyWithAFullStore() {
-        Door door = new Door(1, Idempotency.IDEMPOTENT, quota(0.01, 2));
-        door.arrive(1, 5, 1, 1);
-        door.arrive(2, 5, 1, 1);
-        door.ok(1);
-        door.ok(2);
-        door.pass(90 * SECOND);
+            harness.arrive(id, 5, 1, 2);
+            harness.decider.onAttemptEnd(harness.now,
+                    new AttemptReport(id, 0, 1, Outcome.OK, true, 2 * SECOND, -1, 0, null));
+            harness.pass(6 * SECOND);
+        }
+        harness.arrive(101, 5, 1, 2);
+        assertTrue(harness.sent(101));
+        harness.arrive(102, 5, 1, 2);
+        harness.arrive(103, 5, 1, 2);
+        assertFalse(harness.rejected(102) || harness.rejected(103), "the last answers took as long as the aim");
+    }
+
+    @Test
+    void evictsIdleCustomersOnlyWithAFullTokenBucket() {
+        Harness harness = new Harness(1, Idempotency.IDEMPOTENT, quota(0.01, 2));
+        harness.arrive(1, 5, 1, 1);
+        harness.arrive(2, 5, 1, 1);
+        harness.ok(1);
+        harness.ok(2);
+        harness.pass(90 * SECOND);
         int sent = 0;
         for (long id = 3; id <= 12; id++) {
-            door.arrive(id, 5, 1, 1);
-            sent += door.sent(id) ? 1 : 0;
+            harness.arrive(id, 5, 1, 1);
+            sent += harness.sent(id) ? 1 : 0;
         }
         assertTrue(sent <= 2, "forgetting would have filled its store: " + sent);
     }
 
     @Test
-    void oneThatCannotBeForgottenHoldsUpNobody() {
-        Door door = new Door(1, Idempotency.IDEMPOTENT, quota(0.01, 2));
-        door.arrive(1, 1, 2, 1); // its store takes 200 s to fill again
-        door.ok(1);
+    void aCustomerThatCannotBeEvictedDoesNotBlockOthers() {
+        Harness harness = new Harness(1, Idempotency.IDEMPOTENT, quota(0.01, 2));
+        harness.arrive(1, 1, 2, 1); // its bucket takes 200 s to refill
+        harness.ok(1);
         for (long id = 2; id <= 101; id++) {
-            door.arrive(id, id, 0.001, 1);
-            door.ok(id);
+            harness.arrive(id, id, 0.001, 1);
+            harness.ok(id);
         }
-        assertEquals(101, door.brain.customers());
-        door.pass(60 * SECOND);
+        assertEquals(101, harness.decider.customers());
+        harness.pass(60 * SECOND);
         for (long id = 102; id <= 202; id++) {
-            door.arrive(id, 102, 0.001, 1);
+            harness.arrive(id, 102, 0.001, 1);
         }
-        assertEquals(2, door.brain.customers(), "the one in debt and the one now asking");
+        assertEquals(2, harness.decider.customers(), "the one in debt and the one now asking");
     }
 
     @Test
-    void aClientAboutToLeaveIsAnsweredAtOnce() {
-        Door door = new Door(2, Idempotency.NOT_IDEMPOTENT, FREE, 0);
-        door.brain.onRequest(door.now, new Request(1, 0, 0, 5, 1, 2, 0));
-        assertEquals(List.of("refuse 1"), door.log);
+    void answersAtOnceIfTheDeadlineIsImminent() {
+        Harness harness = new Harness(2, Idempotency.NOT_IDEMPOTENT, FREE, 0);
+        harness.decider.onRequest(harness.now, new Request(1, 0, 0, 5, 1, 2, 0));
+        assertEquals(List.of("refuse 1"), harness.log);
     }
 
     @Test
-    void anAttemptThatEndsWithTheClientsTimeIsFailed() {
-        Door door = new Door(2, Idempotency.NOT_IDEMPOTENT, FREE);
-        door.arrive(1, 5, 1, 2);
-        door.pass(3 * SECOND);
-        door.answer(1, Outcome.TIMED_OUT, -1, 0);
-        assertEquals(List.of("send 1", "fail 1"), door.log);
-        door.brain.onRequestCancelled(door.now, 1);
-        assertEquals(2, door.log.size(), "a late word on an ended request changes nothing");
+    void failsAnAttemptThatTimesOutAtTheClientsDeadline() {
+        Harness harness = new Harness(2, Idempotency.NOT_IDEMPOTENT, FREE);
+        harness.arrive(1, 5, 1, 2);
+        harness.pass(3 * SECOND);
+        harness.answer(1, Outcome.TIMED_OUT, -1, 0);
+        assertEquals(List.of("send 1", "fail 1"), harness.log);
+        harness.decider.onRequestCancelled(harness.now, 1);
+        assertEquals(2, harness.log.size(), "a late word on an ended request changes nothing");
     }
 
     @Test
-    void aDrainingBackendGetsNothingNewUntilItIsBack() {
-        Door door = new Door(2, Idempotency.IDEMPOTENT, FREE, 1);
-        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.DRAINING, 0)));
-        door.arrive(1, 5, 1, 2);
-        assertFalse(door.sent(1));
-        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.READY, 0)));
-        assertTrue(door.sent(1), "the drain was withdrawn");
-        door.brain.onBackends(door.now, true, List.of(backend(2, DiscoveryState.READY, 0)));
-        door.arrive(2, 5, 1, 2);
-        assertEquals(2L, door.sentTo.get(2L), "absent from a whole list is gone");
+    void aDrainingBackendGetsNoNewRequestsUntilItIsReady() {
+        Harness harness = new Harness(2, Idempotency.IDEMPOTENT, FREE, 1);
+        harness.decider.onBackends(harness.now, false, List.of(backend(1, DiscoveryState.DRAINING, 0)));
+        harness.arrive(1, 5, 1, 2);
+        assertFalse(harness.sent(1));
+        harness.decider.onBackends(harness.now, false, List.of(backend(1, DiscoveryState.READY, 0)));
+        assertTrue(harness.sent(1), "the drain was withdrawn");
+        harness.decider.onBackends(harness.now, true, List.of(backend(2, DiscoveryState.READY, 0)));
+        harness.arrive(2, 5, 1, 2);
+        assertEquals(2L, harness.sentTo.get(2L), "absent from a whole list is gone");
     }
 
     @Test
     void aNewStartTimeMakesABackendCold() {
-        Door door = new Door(1, Idempotency.IDEMPOTENT, FREE, 2);
-        assertTrue(sentToFirst(door, 1) > 60);
-        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.READY, door.now)));
-        int cold = sentToFirst(door, 1000);
+        Harness harness = new Harness(1, Idempotency.IDEMPOTENT, FREE, 2);
+        assertTrue(sentToFirst(harness, 1) > 60);
+        harness.decider.onBackends(harness.now, false, List.of(backend(1, DiscoveryState.READY, harness.now)));
+        int cold = sentToFirst(harness, 1000);
         assertTrue(cold >= 4 && cold <= 60, "sent to the cold one: " + cold);
     }
 
-    /** Of 160 requests, eight out at a time over two seconds, how many go to backend 1. */
-    static int sentToFirst(Door door, long id) {
+    /** Of 160 requests, eight in flight at a time over two seconds, how many go to backend 1. */
+    static int sentToFirst(Harness harness, long id) {
         int first = 0;
         for (int round = 0; round < 20; round++) {
             for (int i = 0; i < 8; i++) {
-                door.arrive(id + i, 5, 1, 2);
-                first += door.sentTo.getOrDefault(id + i, 0L) == 1 ? 1 : 0;
+                harness.arrive(id + i, 5, 1, 2);
+                first += harness.sentTo.getOrDefault(id + i, 0L) == 1 ? 1 : 0;
             }
-            door.pass(100 * MS);
+            harness.pass(100 * MS);
             for (int i = 0; i < 8; i++) {
-                door.ok(id++);
+                harness.ok(id++);
             }
         }
         return first;
     }
 
     @Test
-    void aBackendThatCannotBeReachedIsLeftAloneAndTriedAgain() {
-        Door door = new Door(1, Idempotency.IDEMPOTENT, FREE, 3);
-        door.arrive(1, 5, 1, 2);
-        long dead = door.sentTo.get(1L);
-        door.answer(1, Outcome.CONNECT_FAILED, -1, 0);
-        assertFalse(door.sentTo.get(1L) == dead);
+    void ejectsAnUnreachableBackendAndProbesItAgain() {
+        Harness harness = new Harness(1, Idempotency.IDEMPOTENT, FREE, 3);
+        harness.arrive(1, 5, 1, 2);
+        long dead = harness.sentTo.get(1L);
+        harness.answer(1, Outcome.CONNECT_FAILED, -1, 0);
+        assertFalse(harness.sentTo.get(1L) == dead);
         for (long id = 2; id <= 6; id++) {
-            door.arrive(id, 5, 1, 2);
-            assertFalse(door.sentTo.get(id) == dead);
+            harness.arrive(id, 5, 1, 2);
+            assertFalse(harness.sentTo.get(id) == dead);
         }
-        door.pass(SECOND);
+        harness.pass(SECOND);
         int back = 0;
         for (long id = 7; id <= 20; id++) {
-            door.arrive(id, 5, 1, 2);
-            back += door.sentTo.get(id) == dead ? 1 : 0;
+            harness.arrive(id, 5, 1, 2);
+            back += harness.sentTo.get(id) == dead ? 1 : 0;
         }
         assertEquals(1, back, "one trial at a time");
     }
 
     @Test
-    void oneBrokenConnectionIsNotADeathButThreeAre() {
-        Door door = new Door(1, Idempotency.NOT_IDEMPOTENT, FREE, 2);
+    void ejectsABackendAfterThreeResetsButNotAfterOne() {
+        Harness harness = new Harness(1, Idempotency.NOT_IDEMPOTENT, FREE, 2);
         long id = 0;
         for (int broken = 0; broken < 3; broken++) {
             long first = ++id;
             long second = ++id;
-            door.arrive(first, 5, 1, 2);
-            door.arrive(second, 5, 1, 2);
-            assertEquals(3L, door.sentTo.get(first) + door.sentTo.get(second), "both are in use");
-            door.answer(first, door.sentTo.get(first) == 1 ? Outcome.RESET : Outcome.OK, -1, 0);
-            door.answer(second, door.sentTo.get(second) == 1 ? Outcome.RESET : Outcome.OK, -1, 0);
+            harness.arrive(first, 5, 1, 2);
+            harness.arrive(second, 5, 1, 2);
+            assertEquals(3L, harness.sentTo.get(first) + harness.sentTo.get(second), "both are in use");
+            harness.answer(first, harness.sentTo.get(first) == 1 ? Outcome.RESET : Outcome.OK, -1, 0);
+            harness.answer(second, harness.sentTo.get(second) == 1 ? Outcome.RESET : Outcome.OK, -1, 0);
         }
         for (int i = 0; i < 20; i++) {
-            door.arrive(++id, 5, 1, 2);
-            assertEquals(2L, door.sentTo.get(id));
-            door.ok(id);
+            harness.arrive(++id, 5, 1, 2);
+            assertEquals(2L, harness.sentTo.get(id));
+            harness.ok(id);
         }
     }
 
     @Test
-    void aPartOfACapUnderOneSlotIsOneSlot() {
-        Door door = new Door(8, Idempotency.IDEMPOTENT, new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1));
-        door.pass(10 * SECOND); // before, two at once would tell of a customer who asks for several caps
-        door.arrive(1, 5, 1, 8);
-        door.arrive(2, 5, 1, 8);
-        assertFalse(door.sent(2), "one slot is the most of a quarter");
-        door.ok(1);
-        assertTrue(door.sent(2), "it was held for the slot");
-        door.ok(2);
-        door.pass(10 * SECOND);
-        door.arrive(3, 5, 1, 8);
-        assertTrue(door.sent(3), "used again when it is free");
+    void aPartOfACapBelowOneSlotIsOneSlot() {
+        Harness harness = new Harness(8, Idempotency.IDEMPOTENT, new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1));
+        harness.pass(10 * SECOND); // earlier, two at once would indicate a customer that asks for several caps
+        harness.arrive(1, 5, 1, 8);
+        harness.arrive(2, 5, 1, 8);
+        assertFalse(harness.sent(2), "one slot is the most of a quarter");
+        harness.ok(1);
+        assertTrue(harness.sent(2), "it was held for the slot");
+        harness.ok(2);
+        harness.pass(10 * SECOND);
+        harness.arrive(3, 5, 1, 8);
+        assertTrue(harness.sent(3), "used again when it is free");
     }
 
     @Test
-    void theCeilingIsKeptInEvenPartsAndAfterARestartStartsFromNothing() {
+    void enforcesTheCeilingInEvenPartsAndStartsItEmptyAfterARestart() {
         Plan plan = new Plan(100, 100, 0, 2, 8, 2, 1, 0, 1);
-        Door door = new Door(2, Idempotency.IDEMPOTENT, plan);
+        Harness harness = new Harness(2, Idempotency.IDEMPOTENT, plan);
         for (long id = 1; id <= 10; id++) {
-            door.arrive(id, 5, 1, 2);
+            harness.arrive(id, 5, 1, 2);
         }
-        assertEquals(1, door.sentTo.size(), "only the part of the slack: what was spent before is not known");
-        door.pass(20 * SECOND);
+        assertEquals(1, harness.sentTo.size(), "only the part of the slack: what was spent before is not known");
+        harness.pass(20 * SECOND);
         for (long id = 11; id <= 30; id++) {
-            door.arrive(id, 5, 1, 2);
+            harness.arrive(id, 5, 1, 2);
         }
-        assertEquals(5, door.sentTo.size(), "the part of a full store");
+        assertEquals(5, harness.sentTo.size(), "the part of a full store");
     }
 
-    /** Nobody spent of it since the start: on days of ever new customers, refusing their first requests cost most. */
+    /** Nothing was spent of it since the start: with many new customers, rejecting their first requests cost most. */
     @Test
-    void aCustomerFirstSeenLateFindsWhatHasFilledSinceTheStart() {
-        Door door = new Door(2, Idempotency.IDEMPOTENT, new Plan(100, 100, 0, 2, 8, 2, 1, 0, 1));
-        door.pass(20 * SECOND);
+    void aCustomerFirstSeenLateGetsTheCeilingRefilledSinceTheStart() {
+        Harness harness = new Harness(2, Idempotency.IDEMPOTENT, new Plan(100, 100, 0, 2, 8, 2, 1, 0, 1));
+        harness.pass(20 * SECOND);
         for (long id = 1; id <= 10; id++) {
-            door.arrive(id, 5, 1, 2);
+            harness.arrive(id, 5, 1, 2);
         }
-        assertEquals(4, door.sentTo.size(), "the part of a full store");
+        assertEquals(4, harness.sentTo.size(), "the part of a full store");
     }
 
     @Test
-    void aHoldDoesNotLetTheCeilingFillUpBehindIt() {
+    void aQueuedRequestDoesNotLetTheCeilingRefill() {
         Plan plan = new Plan(100, 100, 0, 2, 8, 2, 1, 0, 1);
-        Door door = new Door(2, Idempotency.IDEMPOTENT, plan, 1);
-        door.arrive(1, 5, 1, 2);
-        door.ok(1);
-        door.pass(20 * SECOND);
-        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.DRAINING, 0)));
+        Harness harness = new Harness(2, Idempotency.IDEMPOTENT, plan, 1);
+        harness.arrive(1, 5, 1, 2);
+        harness.ok(1);
+        harness.pass(20 * SECOND);
+        harness.decider.onBackends(harness.now, false, List.of(backend(1, DiscoveryState.DRAINING, 0)));
         for (long id = 11; id <= 14; id++) {
-            door.arrive(id, 5, 1, 2);
+            harness.arrive(id, 5, 1, 2);
         }
-        door.pass(SECOND);
+        harness.pass(SECOND);
         for (long id = 21; id <= 24; id++) {
-            door.arrive(id, 5, 1, 2);
+            harness.arrive(id, 5, 1, 2);
         }
-        door.brain.onBackends(door.now, false, List.of(backend(1, DiscoveryState.READY, 0)));
-        assertEquals(1 + 4, door.sentTo.size(), door.log.toString());
+        harness.decider.onBackends(harness.now, false, List.of(backend(1, DiscoveryState.READY, 0)));
+        assertEquals(1 + 4, harness.sentTo.size(), harness.log.toString());
     }
 
     @Test
-    void attemptsOutStayUnderThisGatewaysPartOfTheCap() {
+    void attemptsInFlightStayWithinThisGatewaysPartOfTheCap() {
         Plan plan = new Plan(0, 0, 4, 0, 0, 0, 1, 0, 1);
-        Door door = new Door(2, Idempotency.IDEMPOTENT, plan);
+        Harness harness = new Harness(2, Idempotency.IDEMPOTENT, plan);
         for (long id = 1; id <= 4; id++) {
-            door.arrive(id, 5, 1, 2);
+            harness.arrive(id, 5, 1, 2);
         }
-        assertEquals(2, door.sentTo.size());
-        door.ok(1);
-        assertEquals(3, door.sentTo.size());
+        assertEquals(2, harness.sentTo.size());
+        harness.ok(1);
+        assertEquals(3, harness.sentTo.size());
     }
 
-    /** Measured by a store, half of what a cap could have kept out was refused. */
+    /** Measured by a token bucket, half of what a cap allows was rejected. */
     @Test
-    void whatIsOverACapIsHeldWhileItsAimCanBeMet() {
-        Door door = new Door(1, Idempotency.IDEMPOTENT, new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1));
+    void queuesRequestsOverACapWhileTheyCanMeetTheirTarget() {
+        Harness harness = new Harness(1, Idempotency.IDEMPOTENT, new Plan(0, 0, 2, 0, 0, 0, 1, 0, 1));
         for (long id = 1; id <= 5; id++) {
-            door.arrive(id, 5, 1, 1);
+            harness.arrive(id, 5, 1, 1);
         }
-        assertEquals(2, door.sentTo.size());
-        assertFalse(door.refused(3) || door.refused(4) || door.refused(5));
-        door.ok(1);
-        door.ok(2);
-        assertTrue(door.sent(3) && door.sent(4));
+        assertEquals(2, harness.sentTo.size());
+        assertFalse(harness.rejected(3) || harness.rejected(4) || harness.rejected(5));
+        harness.ok(1);
+        harness.ok(2);
+        assertTrue(harness.sent(3) && harness.sent(4));
         for (long id = 6; id <= 60; id++) {
-            door.arrive(id, 5, 1, 1);
+            harness.arrive(id, 5, 1, 1);
         }
-        assertTrue(door.refused(60), "no slot comes free for it in time");
+        assertTrue(harness.rejected(60), "no slot comes free for it in time");
     }
 
-    /** A connection that fell silent kept a customer's one slot until its client's time was up. */
+    /** A connection that went silent held a customer's only slot until its client's deadline. */
     @Test
-    void anAttemptThatStaysSilentGivesItsSlotOfACapFree() {
-        Door door = new Door(1, Idempotency.IDEMPOTENT, new Plan(0, 0, 1, 0, 0, 0, 1, 0, 1));
-        door.arrive(1, 5, 1, 1);
+    void aSilentAttemptUnderACapTimesOutAndFreesItsSlot() {
+        Harness harness = new Harness(1, Idempotency.IDEMPOTENT, new Plan(0, 0, 1, 0, 0, 0, 1, 0, 1));
+        harness.arrive(1, 5, 1, 1);
         long aim = settings(1, Idempotency.IDEMPOTENT, FREE, 7).classes().get(0).targetLatencyNanos();
-        assertEquals(aim * 3 / 2, door.timeouts.get(1L));
-        Door free = new Door(1, Idempotency.IDEMPOTENT, FREE);
+        assertEquals(aim * 3 / 2, harness.timeouts.get(1L));
+        Harness free = new Harness(1, Idempotency.IDEMPOTENT, FREE);
         free.arrive(1, 5, 1, 1);
         assertEquals(0, free.timeouts.get(1L), "elsewhere what is cut short would only run twice");
     }
 
-    /** A part rounded up, at each of several gateways, is over the cap in sum. */
+    /** A part rounded up at each of several gateways exceeds the cap in total. */
     @Test
-    void aPartOfACapIsWholeSlots() {
-        Door door = new Door(2, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 1, 0, 1));
-        door.arrive(1, 5, 1, 2);
-        door.arrive(2, 5, 1, 2);
-        assertEquals(1, door.sentTo.size());
+    void aPartOfACapIsRoundedDownToWholeSlots() {
+        Harness harness = new Harness(2, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 1, 0, 1));
+        harness.arrive(1, 5, 1, 2);
+        harness.arrive(2, 5, 1, 2);
+        assertEquals(1, harness.sentTo.size());
     }
 
-    /** Plays a seeded muddle of events and returns all that the module did. */
-    static List<String> muddle(long seed, Idempotency effect) {
-        Door door = new Door(3, effect, new Plan(20, 20, 0, 40, 40, 4, 1, 0, 1), 4);
+    /** Runs a seeded random sequence of events and returns all actions. */
+    static List<String> randomRun(long seed, Idempotency effect) {
+        Harness harness = new Harness(3, effect, new Plan(20, 20, 0, 40, 40, 4, 1, 0, 1), 4);
         SplittableRandom random = new SplittableRandom(seed);
         List<Long> open = new ArrayList<>();
         Map<Long, Integer> finals = new HashMap<>();
-        Map<Long, Long> arrivedAt = new HashMap<>();
+        Map<Long, Long> receivedAt = new HashMap<>();
         Map<Long, Boolean> mayHaveRun = new HashMap<>();
         long id = 0;
         int mark = 0;
         for (int step = 0; step < 3000; step++) {
-            door.pass(10 * MS);
+            harness.pass(10 * MS);
             if (random.nextInt(2) == 0) {
-                arrivedAt.put(++id, door.now);
-                door.arrive(id, 1 + random.nextInt(4), 1 + random.nextInt(3), 3);
+                receivedAt.put(++id, harness.now);
+                harness.arrive(id, 1 + random.nextInt(4), 1 + random.nextInt(3), 3);
             }
             if (!open.isEmpty() && random.nextInt(2) == 0) {
                 long which = open.remove(random.nextInt(open.size()));
@@ -627,14 +630,14 @@
                 if (outcome.mayHaveRun) {
                     mayHaveRun.put(which, true);
                 }
-                door.answer(which, outcome, random.nextInt(200), random.nextInt(4));
+                harness.answer(which, outcome, random.nextInt(200), random.nextInt(4));
             }
             if (random.nextInt(100) == 0) {
                 DiscoveryState state = DiscoveryState.values()[random.nextInt(3)];
-                door.brain.onBackends(door.now, false, List.of(backend(1 + random.nextInt(4), state, 0)));
+                harness.decider.onBackends(harness.now, false, List.of(backend(1 + random.nextInt(4), state, 0)));
             }
-            for (; mark < door.log.size(); mark++) {
-                String[] words = door.log.get(mark).split(" ");
+            for (; mark < harness.log.size(); mark++) {
+                String[] words = harness.log.get(mark).split(" ");
                 long which = Long.parseLong(words[1]);
                 assertFalse(finals.containsKey(which), "acts on the ended request " + which);
                 boolean ran = mayHaveRun.getOrDefault(which, false);
@@ -646,28 +649,28 @@
                 } else {
                     assertFalse(ran && effect == Idempotency.NOT_IDEMPOTENT && words[0].equals("refuse"), "refused "
                             + which);
-                    assertTrue(door.now <= arrivedAt.get(which) + 3 * SECOND || ran || open.contains(which)
-                            || door.attempts.getOrDefault(which, 0) > 0, "late answer for " + which);
+                    assertTrue(harness.now <= receivedAt.get(which) + 3 * SECOND || ran || open.contains(which)
+                            || harness.attempts.getOrDefault(which, 0) > 0, "late answer for " + which);
                     finals.merge(which, 1, Integer::sum);
                 }
             }
         }
-        return door.log;
+        return harness.log;
     }
 
     @Test
-    void sameEventsAndSeedGiveTheSameActionsWithinTheRules() {
+    void sameEventsAndSeedGiveTheSameValidActions() {
         for (Idempotency effect : Idempotency.values()) {
             for (long seed = 1; seed <= 5; seed++) {
-                List<String> first = muddle(seed, effect);
+                List<String> first = randomRun(seed, effect);
                 assertTrue(first.size() > 1000);
-                assertEquals(first, muddle(seed, effect));
+                assertEquals(first, randomRun(seed, effect));
             }
         }
     }
 
     @Test
-    void nonsenseIsNamed() {
+    void invalidArgumentsAreRejectedByFieldName() {
         assertEquals("Request.units is out of range", assertThrows(IllegalArgumentException.class,
                 () -> new Request(1, 0, 0, 1, Double.NaN, 1, 1)).getMessage());
         assertEquals("Settings.classes is missing", assertThrows(IllegalArgumentException.class,
@@ -677,34 +680,33 @@
     }
 
     /**
-     * Zilina's overload day at full size: each of a few hundred gateways that sent a cold backend its first request
-     * at once pushed it over. Together they may send it, within the rule's span, no more than the stated multiple
-     * of its share of what a warm one gets.
+     * Hundreds of gateways that each sent a cold backend its first request at once overloaded it. Within the overload
+     * span they may together send it no more than the overload factor times its share of what a warm one gets.
      */
     @Test
-    void manyGatewaysTogetherDoNotPushAColdBackendOver() {
+    void manyGatewaysTogetherDoNotOverloadAColdBackend() {
         int gateways = 400;
         int backends = 20;
         SplittableRandom random = new SplittableRandom(5);
-        List<Door> doors = new ArrayList<>();
+        List<Harness> harnesses = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            doors.add(new Door(gateways, Idempotency.IDEMPOTENT, FREE, backends, i));
+            harnesses.add(new Harness(gateways, Idempotency.IDEMPOTENT, FREE, backends, i));
         }
-        long started = doors.get(0).now;
-        for (Door door : doors) {
-            door.brain.onBackends(started, false, List.of(backend(1, DiscoveryState.READY, started)));
+        long started = harnesses.get(0).now;
+        for (Harness harness : harnesses) {
+            harness.decider.onBackends(started, false, List.of(backend(1, DiscoveryState.READY, started)));
         }
         int toCold = 0;
         int toAll = 0;
         long id = 1;
-        for (int ms = 0; ms < 2000; ms++) { // 2 s is the span; a gateway sends 2 a second in the mean
-            for (Door door : doors) {
-                door.now = started + ms * MS;
+        for (int ms = 0; ms < 2000; ms++) { // 2 s is the overload span; a gateway sends 2 per second on average
+            for (Harness harness : harnesses) {
+                harness.now = started + ms * MS;
                 if (random.nextDouble() < 0.002) {
-                    door.arrive(id, 1, 1, gateways);
-                    toCold += door.sentTo.get(id) == 1 ? 1 : 0;
+                    harness.arrive(id, 1, 1, gateways);
+                    toCold += harness.sentTo.get(id) == 1 ? 1 : 0;
                     toAll++;
-                    door.ok(id++);
+                    harness.ok(id++);
                 }
             }
         }
@@ -714,153 +716,153 @@
     }
 
     /**
-     * Overload at full size: a backend alone tells one gateway among many too little, and resting each of them held
-     * up the busy gateways. The bound on all in flight from here closes when answers are slow wherever they come from.
+     * In overload, one backend tells a gateway among many too little, and ejecting each held up the busy gateways. The
+     * limit on all attempts in flight from a gateway shrinks when responses are slow, whichever backend they come from.
      */
     @Test
-    void theBoundOnAllInFlightClosesWhenTheFleetIsSlow() {
-        Door door = new Door(20, Idempotency.IDEMPOTENT, FREE, 40);
-        int before = burst(door, 1_000);
+    void totalInFlightLimitShrinksWhenTheFleetIsSlow() {
+        Harness harness = new Harness(20, Idempotency.IDEMPOTENT, FREE, 40);
+        int before = burst(harness, 1_000);
         for (long id = 1; id <= 60; id++) {
-            door.arrive(id, 5, 1, 2);
-            if (door.sent(id)) {
-                door.now += 100 * MS;
-                door.brain.onAttemptEnd(door.now, new AttemptReport(id, 0, door.sentTo.get(id), Outcome.OK, true,
+            harness.arrive(id, 5, 1, 2);
+            if (harness.sent(id)) {
+                harness.now += 100 * MS;
+                harness.decider.onAttemptEnd(harness.now,
+                        new AttemptReport(id, 0, harness.sentTo.get(id), Outcome.OK, true,
                         1_500 * MS, -1, 0, null));
             }
         }
-        int after = burst(door, 2_000);
+        int after = burst(harness, 2_000);
         assertTrue(before >= 10, "a free fleet takes a burst: " + before);
         assertTrue(after >= 1 && after <= before / 2, "closed to " + after + " from " + before);
     }
 
-    /**
-     * On real sockets a slow start cut the bound to 1.6, and it stayed there: one request at a time, for the whole day.
-     */
+    /** On real sockets a slow start cut the limit to 1.6, and it stayed there: one request at a time from then on. */
     @Test
-    void theBoundGrowsAgainFromItsLeast() {
-        Door door = new Door(2, Idempotency.IDEMPOTENT, FREE, 9);
-        door.arrive(1, 5, 1, 2);
-        door.arrive(2, 5, 1, 2);
-        door.now += 100 * MS;
-        door.brain.onAttemptEnd(door.now, new AttemptReport(1, 0, door.sentTo.get(1L), Outcome.OK, true, 1_500 * MS, -1,
+    void totalInFlightLimitGrowsAgainFromItsMinimum() {
+        Harness harness = new Harness(2, Idempotency.IDEMPOTENT, FREE, 9);
+        harness.arrive(1, 5, 1, 2);
+        harness.arrive(2, 5, 1, 2);
+        harness.now += 100 * MS;
+        harness.decider.onAttemptEnd(harness.now, new AttemptReport(1, 0, harness.sentTo.get(1L), Outcome.OK, true,
+                1_500 * MS, -1,
                 0, null));
-        door.ok(2);
+        harness.ok(2);
         for (long id = 3; id <= 60; id++) {
-            door.arrive(id, 5, 1, 2);
-            door.ok(id);
+            harness.arrive(id, 5, 1, 2);
+            harness.ok(id);
         }
-        int after = burst(door, 2_000);
+        int after = burst(harness, 2_000);
         assertTrue(after >= 4, "open again for " + after);
     }
 
-    /** How many of 30 requests at once are sent; they are answered then. */
-    static int burst(Door door, long first) {
+    /** How many of 30 simultaneous requests are sent; they are answered afterwards. */
+    static int burst(Harness harness, long first) {
         int sent = 0;
         for (long id = first; id < first + 30; id++) {
-            door.arrive(id, 5, 1, 2);
+            harness.arrive(id, 5, 1, 2);
         }
         for (long id = first; id < first + 30; id++) {
-            sent += door.sent(id) ? 1 : 0;
+            sent += harness.sent(id) ? 1 : 0;
         }
         for (long id = first; id < first + 30; id++) {
-            if (door.sent(id)) {
-                door.ok(id);
+            if (harness.sent(id)) {
+                harness.ok(id);
             } else {
-                door.brain.onRequestCancelled(door.now, id);
+                harness.decider.onRequestCancelled(harness.now, id);
             }
         }
         return sent;
     }
 
-    /** Incident i0c5252: 404 gateways, each with nothing out, all sent to the larger of two kinds of backend. */
+    /** Incident i0c5252: 404 gateways, each with nothing in flight, all sent to the larger of two kinds of backend. */
     @Test
-    void idleBackendsAreNoCheaperForBeingLarge() {
+    void largeIdleBackendsAreNotPreferred() {
         int toLarge = 0;
         for (int seed = 0; seed < 200; seed++) {
-            Door door = new Door(400, Idempotency.IDEMPOTENT, FREE, 0, seed);
-            door.brain.onBackends(door.now, true, List.of(new Backend(1, 0, 0, 0, DiscoveryState.READY, 4, 0),
+            Harness harness = new Harness(400, Idempotency.IDEMPOTENT, FREE, 0, seed);
+            harness.decider.onBackends(harness.now, true, List.of(new Backend(1, 0, 0, 0, DiscoveryState.READY, 4, 0),
                     new Backend(2, 0, 1, 0, DiscoveryState.READY, 2.5, 0)));
-            door.arrive(1, 5, 1, 2);
-            toLarge += door.sentTo.get(1L) == 1 ? 1 : 0;
+            harness.arrive(1, 5, 1, 2);
+            toLarge += harness.sentTo.get(1L) == 1 ? 1 : 0;
         }
         assertTrue(toLarge > 60 && toLarge < 160, "first sends to the larger: " + toLarge + " of 200");
     }
 
-    /** give_up days: what its client would not wait for is work for nobody. */
+    /** With impatient clients: a response after the client's deadline is of no use to anybody. */
     @Test
-    void aClientWithLessTimeThanAnswersTakeIsRefusedAtOnce() {
-        Door door = new Door(20, Idempotency.IDEMPOTENT, FREE, 4);
-        door.arrive(1, 5, 1, 2);
-        door.ok(1);
-        door.brain.onRequest(door.now, new Request(2, 0, 0, 5, 1, 2, 40 * MS));
-        assertTrue(door.refused(2) && !door.sent(2));
-        door.brain.onRequest(door.now, new Request(3, 0, 0, 5, 1, 2, SECOND));
-        assertTrue(door.sent(3));
+    void rejectsAtOnceIfTheDeadlineIsShorterThanTheLatency() {
+        Harness harness = new Harness(20, Idempotency.IDEMPOTENT, FREE, 4);
+        harness.arrive(1, 5, 1, 2);
+        harness.ok(1);
+        harness.decider.onRequest(harness.now, new Request(2, 0, 0, 5, 1, 2, 40 * MS));
+        assertTrue(harness.rejected(2) && !harness.sent(2));
+        harness.decider.onRequest(harness.now, new Request(3, 0, 0, 5, 1, 2, SECOND));
+        assertTrue(harness.sent(3));
     }
 
     /**
-     * A ceiling is kept by what all gateways send together. A customer's gateways are no more than half the requests
-     * its ceiling lets pass at once; a build that lets each send at least one a second sends 200 a second here.
+     * A ceiling limits what all gateways send together. A customer has at most half as many gateways as its ceiling's
+     * burst has requests; if each gateway might send at least one per second, they would send 200 per second here.
      */
     @Test
-    void manyGatewaysTogetherKeepACeiling() {
+    void manyGatewaysTogetherEnforceACeiling() {
         int gateways = 200;
-        Plan plan = new Plan(1_000, 9_000, 0, 40, 400, 40, 1, 0, 1); // 40 a second, 400 at once, 40 below nothing
-        List<Door> doors = new ArrayList<>();
+        Plan plan = new Plan(1_000, 9_000, 0, 40, 400, 40, 1, 0, 1); // 40 per second, a burst of 400, 40 of overdraft
+        List<Harness> harnesses = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            doors.add(new Door(gateways, Idempotency.IDEMPOTENT, plan, 3, i));
+            harnesses.add(new Harness(gateways, Idempotency.IDEMPOTENT, plan, 3, i));
         }
         int sent = 0;
         long id = 1;
         for (int second = 0; second <= 100; second++) {
-            for (Door door : doors) {
-                door.arrive(id, 5, 1, gateways);
-                if (door.sent(id)) {
+            for (Harness harness : harnesses) {
+                harness.arrive(id, 5, 1, gateways);
+                if (harness.sent(id)) {
                     sent++;
-                    door.ok(id);
+                    harness.ok(id);
                 }
                 id++;
-                door.now += SECOND;
+                harness.now += SECOND;
             }
             assertTrue(sent <= 440 + 40 * (second + 1), sent + " by second " + second);
         }
         assertTrue(sent > 2_000, "the ceiling's rate is used: " + sent);
     }
 
-    /** What a try takes, it takes when it has come whole to a backend; a refused connect proves that it has not. */
+    /** An attempt uses units once it has reached a backend whole; a refused connect proves that it has not. */
     @Test
-    void whatCameWholeToNoBackendIsGivenBackOnce() {
-        Plan plan = new Plan(1, 3, 0, 1, 3, 3, 1, 0, 1); // three at once in both stores, one more each second
+    void refundsOnceWhatReachedNoBackend() {
+        Plan plan = new Plan(1, 3, 0, 1, 3, 3, 1, 0, 1); // a burst of three in both buckets, refilled by one per second
         for (Outcome outcome : Outcome.values()) {
             if (outcome == Outcome.OK) {
                 continue;
             }
-            Door door = new Door(1, Idempotency.NOT_IDEMPOTENT, plan, 40);
+            Harness harness = new Harness(1, Idempotency.NOT_IDEMPOTENT, plan, 40);
             for (long id = 1; id <= 3; id++) {
-                door.arrive(id, 5, 1, 1);
-                assertTrue(door.sent(id), outcome + " " + id);
-                long backend = door.sentTo.get(id);
-                door.brain.onAttemptEnd(door.now, new AttemptReport(id, 0, backend, outcome, true, MS, -1, 0, null));
+                harness.arrive(id, 5, 1, 1);
+                assertTrue(harness.sent(id), outcome + " " + id);
+                long backend = harness.sentTo.get(id);
+                harness.decider.onAttemptEnd(harness.now,
+                        new AttemptReport(id, 0, backend, outcome, true, MS, -1, 0, null));
             }
-            boolean cameNowhere = outcome == Outcome.NEVER_SENT || outcome == Outcome.CONNECT_FAILED;
+            boolean reachedNoBackend = outcome == Outcome.NEVER_SENT || outcome == Outcome.CONNECT_FAILED;
             for (long id = 4; id <= 6; id++) {
-                door.arrive(id, 5, 1, 1);
-                assertEquals(cameNowhere, door.sent(id), outcome + " " + id);
+                harness.arrive(id, 5, 1, 1);
+                assertEquals(reachedNoBackend, harness.sent(id), outcome + " " + id);
             }
-            door.arrive(7, 5, 1, 1);
-            assertFalse(door.sent(7), "given back once, not twice: " + outcome);
+            harness.arrive(7, 5, 1, 1);
+            assertFalse(harness.sent(7), "given back once, not twice: " + outcome);
         }
     }
 
     /**
-     * Where a front must say within a budget where a request goes, the module gives it up by then, by a wake of its
-     * own.
+     * If the caller must decide within a budget, the queued request is given up by then, through a timer of its own.
      */
     @Test
-    void aHoldEndsWhenItsFrontHasToSay() {
+    void givesUpAQueuedRequestAtItsMaxQueueTime() {
         List<Long> wakes = new ArrayList<>();
-        Door door = new Door(12, Idempotency.NOT_IDEMPOTENT, FREE, 1) {
+        Harness harness = new Harness(12, Idempotency.NOT_IDEMPOTENT, FREE, 1) {
             @Override
             public void startTimer(int token, long ns) {
                 if (token == 1) {
@@ -868,67 +870,68 @@
                 }
             }
         };
-        door.arrive(1, 99, 1, 2);
-        door.arrive(2, 98, 1, 2);
-        door.brain.onRequest(door.now, new Request(3, 0, 0, 97, 1, 2, 3 * SECOND, 12 * MS));
+        harness.arrive(1, 99, 1, 2);
+        harness.arrive(2, 98, 1, 2);
+        harness.decider.onRequest(harness.now, new Request(3, 0, 0, 97, 1, 2, 3 * SECOND, 12 * MS));
         assertEquals(List.of(12 * MS), wakes);
-        assertFalse(door.refused(3) || door.sent(3));
-        door.now += 12 * MS - 1;
-        door.brain.onTimer(door.now, 1);
-        assertFalse(door.refused(3));
-        door.now += 1;
-        door.brain.onTimer(door.now, 1);
-        assertTrue(door.refused(3));
-        assertFalse(door.refused(2), "others are held on");
-        door.ok(1);
-        assertTrue(door.sent(2));
-        assertFalse(door.sent(3));
-    }
-
-    /** A process that died breaks all its connections at once; one break now and then is the network's. */
-    @Test
-    void connectionsThatBreakFarApartBlockNoBackend() {
+        assertFalse(harness.rejected(3) || harness.sent(3));
+        harness.now += 12 * MS - 1;
+        harness.decider.onTimer(harness.now, 1);
+        assertFalse(harness.rejected(3));
+        harness.now += 1;
+        harness.decider.onTimer(harness.now, 1);
+        assertTrue(harness.rejected(3));
+        assertFalse(harness.rejected(2), "others are held on");
+        harness.ok(1);
+        assertTrue(harness.sent(2));
+        assertFalse(harness.sent(3));
+    }
+
+    /** A dead process breaks all its connections at once; a single reset now and then is the network's. */
+    @Test
+    void resetsFarApartDoNotEjectABackend() {
         for (long apart : new long[] {MS, 5 * SECOND}) {
-            Door door = new Door(1, Idempotency.IDEMPOTENT, FREE, 1);
+            Harness harness = new Harness(1, Idempotency.IDEMPOTENT, FREE, 1);
             for (long id = 1; id <= 3; id++) {
-                door.arrive(id, 5, 1, 1);
-                door.brain.onAttemptEnd(door.now, new AttemptReport(id, 0, 1, Outcome.RESET, true, MS, -1, 0, null));
-                door.pass(apart);
+                harness.arrive(id, 5, 1, 1);
+                harness.decider.onAttemptEnd(harness.now,
+                        new AttemptReport(id, 0, 1, Outcome.RESET, true, MS, -1, 0, null));
+                harness.pass(apart);
             }
-            door.brain.onBackends(door.now, false,
+            harness.decider.onBackends(harness.now, false,
                     List.of(backend(2, DiscoveryState.READY, 0), backend(3, DiscoveryState.READY, 0)));
             int there = 0;
             for (long id = 4; id <= 12; id++) {
-                door.arrive(id, 5, 1, 1);
-                there += door.sentTo.get(id) == 1 ? 1 : 0;
+                harness.arrive(id, 5, 1, 1);
+                there += harness.sentTo.get(id) == 1 ? 1 : 0;
             }
             assertEquals(apart > SECOND, there > 0, "apart by " + apart + ": " + there + " of 9");
         }
     }
 
     /**
-     * What is long for the first class is usual for the second: an attempt of that one that is out for as long as it always
-     * takes is no sign of a stall, whichever class the settings name first.
+     * An attempt is compared with the typical latency of its own class, whichever class the settings list first: what
+     * is long for the first class is usual for the second, and no sign of a stall there.
      */
     @Test
-    void anAttemptIsHeldAgainstItsOwnClasssUsualTime() {
+    void comparesAnAttemptWithTheTypicalLatencyOfItsClass() {
         RequestClass quick = new RequestClass(250 * MS, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
         RequestClass slow = new RequestClass(5 * SECOND, 1, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
         List<Long> to = new ArrayList<>();
-        Door actions = new Door(1, Idempotency.IDEMPOTENT, FREE) {
+        Harness actions = new Harness(1, Idempotency.IDEMPOTENT, FREE) {
             @Override
             public void send(long requestId, long backendId, long timeoutNs) {
                 to.add(backendId);
             }
         };
-        GatewayDecider brain = new GatewayDecider(new Settings(1, 0, 7, 2 * MS, 4, false, 0.2, 10 * SECOND, 2,
+        GatewayDecider decider = new GatewayDecider(new Settings(1, 0, 7, 2 * MS, 4, false, 0.2, 10 * SECOND, 2,
                 2 * SECOND, 0, SECOND,
                 List.of(quick, slow), List.of(FREE)), 0, actions);
-        brain.onBackends(0, true, List.of(backend(1, DiscoveryState.READY, 0)));
-        brain.onRequest(0, new Request(1, 1, 0, 1, 1, 1, 9 * SECOND)); // of the slow class, which takes a second
-        brain.onBackends(0, true, List.of(backend(1, DiscoveryState.READY, 0), backend(2, DiscoveryState.READY, 0)));
+        decider.onBackends(0, true, List.of(backend(1, DiscoveryState.READY, 0)));
+        decider.onRequest(0, new Request(1, 1, 0, 1, 1, 1, 9 * SECOND)); // of the slow class, which takes a second
+        decider.onBackends(0, true, List.of(backend(1, DiscoveryState.READY, 0), backend(2, DiscoveryState.READY, 0)));
         for (long id = 2; id <= 6; id++) {
-            brain.onRequest(500 * MS, new Request(id, 0, 0, 1, 1, 1, 9 * SECOND));
+            decider.onRequest(500 * MS, new Request(id, 0, 0, 1, 1, 1, 9 * SECOND));
         }
         assertEquals(6, to.size());
         assertEquals(3, to.stream().filter(each -> each == 1).count(), "as many at each: " + to);
--- a/decision/src/test/java/nettletrail/decision/LimitsTest.java
+++ b/decision/src/test/java/nettletrail/decision/LimitsTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The size the operators set for the module, and the README's example. */
+/** The size limit that operators set for the policy file, and the README's example. */
 class LimitsTest {
     private static final Path MODULE = Path.of("src/main/java/nettletrail/decision/GatewayDecider.java");
 
     @Test
-    void theModuleIsShortAndNamesItsInterface() throws IOException {
+    void policyFileIsShortAndNamesItsInterface() throws IOException {
         List<String> lines = Files.readAllLines(MODULE);
         assertTrue(lines.stream().filter(line -> !line.isBlank()).count() <= 1200);
         for (String line : lines) {
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theExampleOfTheReadmeIsTheOneCompiledHere() throws IOException {
+    void readmeExampleEqualsTheCompiledOne() throws IOException {
         String example = Files.readString(Path.of("src/test/java/nettletrail/decision/EmbeddingExample.java"));
         assertTrue(Files.readString(Path.of("../README.md")).contains(example.strip()));
         assertTrue(EmbeddingExample.run().equals(List.of("send 1 to 7")), EmbeddingExample.run().toString());
--- a/decision/src/test/java/nettletrail/decision/ManyGatewaysTest.java
+++ b/decision/src/test/java/nettletrail/decision/ManyGatewaysTest.java
@@ -19,10 +19,10 @@
 import nettletrail.decision.Gateway.Request;
 import nettletrail.decision.Gateway.RequestClass;
 import nettletrail.decision.Gateway.Settings;
-import nettletrail.decision.GatewayDeciderTest.Door;
+import nettletrail.decision.GatewayDeciderTest.Harness;
 import org.junit.jupiter.api.Test;
 
-/** What is harmless at one gateway and hurts in the sum of many, each of which sees few requests. */
+/** Behaviour that is harmless at one gateway but adds up over many, each of which sees few requests. */
 class ManyGatewaysTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
@@ -30,14 +30,14 @@
     private static final int BACKENDS = 60;
     private static final Plan FREE = new Plan(0, 0, 0, 0, 0, 0, 0, 0, 1);
 
-    /** What a backend does with an attempt, and after how many ns. */
-    private record Says(Outcome outcome, long afterNs) { }
+    /** A backend's response to an attempt, and after how many ns. */
+    private record Reply(Outcome outcome, long afterNs) { }
 
     private interface Backends {
-        Says to(long backend, long now, SplittableRandom chance);
+        Reply to(long backend, long now, SplittableRandom chance);
     }
 
-    /** Gateways and backends in virtual time; half of the requests must not run twice. */
+    /** Gateways and backends in virtual time; half of the requests are not idempotent. */
     private static final class Fleet {
         private record Event(long at, long order, Runnable run) { }
 
@@ -53,14 +53,14 @@
         int[] sentUnsafe = new int[BACKENDS + 1];
         int attempts;
         int served;
-        int arrived;
-        int refused;
+        int received;
+        int rejected;
         int failed;
 
         Fleet(Backends backends) {
             this.backends = backends;
-            RequestClass look = new RequestClass(SECOND, 2, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
-            RequestClass buy = new RequestClass(SECOND, 5, 0, Idempotency.NOT_IDEMPOTENT, DedupScope.ALL, 0);
+            RequestClass read = new RequestClass(SECOND, 2, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
+            RequestClass write = new RequestClass(SECOND, 5, 0, Idempotency.NOT_IDEMPOTENT, DedupScope.ALL, 0);
             List<Backend> list = new ArrayList<>();
             for (long id = 1; id <= BACKENDS; id++) {
                 list.add(GatewayDeciderTest.backend(id, DiscoveryState.READY, 0));
@@ -75,7 +75,7 @@
 
                     @Override
                     public void reject(long requestId, long retryAfterNs) {
-                        refused += counts() ? 1 : 0;
+                        rejected += counts() ? 1 : 0;
                     }
 
                     @Override
@@ -94,11 +94,11 @@
                     @Override
                     public void log(String line) { }
                 };
-                GatewayDecider brain = new GatewayDecider(
+                GatewayDecider decider = new GatewayDecider(
                         new Settings(GATEWAYS, 0, 100 + i, MS, 4, false, 0.17, 17 * SECOND, 3,
-                        3 * SECOND / 2, 0, SECOND, List.of(look, buy), List.of(FREE)), now, actions);
-                gateways.add(brain);
-                brain.onBackends(now, true, list);
+                        3 * SECOND / 2, 0, SECOND, List.of(read, write), List.of(FREE)), now, actions);
+                gateways.add(decider);
+                decider.onBackends(now, true, list);
             }
         }
 
@@ -116,23 +116,23 @@
                 sent[(int) backendId]++;
                 sentUnsafe[(int) backendId] += requestId % 2;
             }
-            Says says = backends.to(backendId, now, chance);
-            in(says.afterNs(), () -> {
-                boolean ok = says.outcome() == Outcome.OK;
+            Reply reply = backends.to(backendId, now, chance);
+            in(reply.afterNs(), () -> {
+                boolean ok = reply.outcome() == Outcome.OK;
                 served += ok && counts() ? 1 : 0;
-                gateways.get(at).onAttemptEnd(now, new AttemptReport(requestId, 0, backendId, says.outcome(), ok,
-                        says.afterNs(), -1, 0, null));
+                gateways.get(at).onAttemptEnd(now, new AttemptReport(requestId, 0, backendId, reply.outcome(), ok,
+                        reply.afterNs(), -1, 0, null));
             });
         }
 
-        /** So many requests a second through gateways by chance, counted after the first few seconds. */
-        Fleet play(int perSecond, int seconds, int notCounted) {
-            countsFrom = now + notCounted * SECOND;
+        /** Sends so many requests per second through random gateways; counts after the first few seconds. */
+        Fleet run(int perSecond, int seconds, int warmUpSeconds) {
+            countsFrom = now + warmUpSeconds * SECOND;
             long until = now + seconds * SECOND;
             for (long id = 1; id <= (long) perSecond * seconds; id++) {
                 long requestId = id;
                 in(id * SECOND / perSecond, () -> {
-                    arrived += counts() ? 1 : 0;
+                    received += counts() ? 1 : 0;
                     gateways.get(chance.nextInt(GATEWAYS)).onRequest(now, new Request(requestId,
                             (int) (requestId % 2), 0, requestId % 500, 1, GATEWAYS, 4 * SECOND));
                 });
@@ -154,15 +154,18 @@
         }
     }
 
-    private static Says well(SplittableRandom chance) {
-        return new Says(Outcome.OK, 50 * MS + chance.nextLong(200 * MS));
+    private static Reply healthy(SplittableRandom chance) {
+        return new Reply(Outcome.OK, 50 * MS + chance.nextLong(200 * MS));
     }
 
-    /** Nine of 60 answer with an error after 3 ms and so are the fastest and idlest. More than half of all went there. */
+    /**
+     * Nine of 60 return an error after 3 ms, so they look the fastest and least loaded: over half of all requests went
+     * there.
+     */
     @Test
-    void backendsThatFailAtOnceAreLeftAlone() {
-        Fleet fleet = new Fleet((backend, now, chance) -> backend <= 9 ? new Says(Outcome.ERROR, 3 * MS)
-                : well(chance)).play(400, 14, 6);
+    void ejectsBackendsThatFailFast() {
+        Fleet fleet = new Fleet((backend, now, chance) -> backend <= 9 ? new Reply(Outcome.ERROR, 3 * MS)
+                : healthy(chance)).run(400, 14, 6);
         assertTrue(fleet.sent(id -> id <= 9) < 0.1 * fleet.attempts, fleet.sent(id -> id <= 9) + " of " + fleet.attempts);
         int unsafe = 0;
         for (int id = 1; id <= 9; id++) {
@@ -171,117 +174,119 @@
         assertTrue(unsafe < 0.2 * fleet.sent(id -> id <= 9), unsafe + " that must not run twice spent on finding out what was known");
     }
 
-    /** Half of them drain and turn all away, and the list doesn't tell yet. */
+    /** Half of the backends drain and reject everything, and the list does not say so yet. */
     @Test
-    void backendsThatTurnAllAwayAreLeftAlone() {
-        Fleet fleet = new Fleet((backend, now, chance) -> backend <= 30 ? new Says(Outcome.FULL, 2 * MS)
-                : well(chance)).play(300, 14, 6);
-        assertTrue(fleet.attempts < 1.25 * fleet.arrived, fleet.attempts + " attempts for " + fleet.arrived);
-        assertTrue(fleet.served > 0.9 * fleet.arrived, fleet.served + " served, " + fleet.refused + " refused, " + fleet.failed + " failed of " + fleet.arrived);
+    void ejectsBackendsThatRejectEverything() {
+        Fleet fleet = new Fleet((backend, now, chance) -> backend <= 30 ? new Reply(Outcome.FULL, 2 * MS)
+                : healthy(chance)).run(300, 14, 6);
+        assertTrue(fleet.attempts < 1.25 * fleet.received, fleet.attempts + " attempts for " + fleet.received);
+        assertTrue(fleet.served > 0.9 * fleet.received, fleet.served + " served, " + fleet.rejected + " refused, "
+                + fleet.failed + " failed of " + fleet.received);
     }
 
-    /** Where one answer in 25 is bad, from any backend alike, none is taken for unwell for long. */
+    /** Where one response in 25 is an error, from any backend alike, none stays ejected for long. */
     @Test
-    void badAnswersFromAllAlikeSayLittleOfOne() {
-        Fleet fleet = new Fleet((backend, now, chance) -> chance.nextInt(25) == 0 ? new Says(Outcome.ERROR, 3 * MS)
-                : well(chance)).play(400, 20, 8);
-        assertEquals(0, fleet.refused);
+    void doesNotEjectForErrorsCommonToAllBackends() {
+        Fleet fleet = new Fleet((backend, now, chance) -> chance.nextInt(25) == 0 ? new Reply(Outcome.ERROR, 3 * MS)
+                : healthy(chance)).run(400, 20, 8);
+        assertEquals(0, fleet.rejected);
         for (int id = 1; id <= BACKENDS; id++) {
             assertTrue(fleet.sent[id] > 0.3 * fleet.attempts / BACKENDS, "backend " + id + ": " + fleet.sent[id]);
         }
     }
 
-    /** A customer who asks a third of its quota, two units at a time, through 12 gateways by chance. */
+    /** A customer that uses a third of its quota, two units at a time, through 12 random gateways. */
     @Test
-    void aCalmCustomerIsLetInAtEachOfMany() {
-        int in = letIn(0.2, 33, 1);
+    void admitsACustomerWithinItsQuotaAtEachOfManyGateways() {
+        int in = countAdmitted(0.2, 33, 1);
         assertTrue(in >= 57, in + " of 60 let in");
     }
 
     /**
-     * A set of four, each of which sees a quarter of what a customer asks by chance: of what the whole store holds, one
-     * in twenty is refused. With a part that could be overdrawn by two thirds of a request it was one in ten.
+     * Four gateways that each see a random quarter of a customer's requests: of what the whole bucket would admit, at
+     * most 6 % is rejected. With an overdraft of two thirds of a request for each part it was one in ten.
      */
     @Test
-    void aStoreOverFourGatewaysAllowsForChance() {
+    void aTokenBucketOverFourGatewaysAllowsForChance() {
         SplittableRandom chance = new SplittableRandom(23);
-        List<Door> doors = new ArrayList<>();
+        List<Harness> harnesses = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            doors.add(new Door(100, Idempotency.IDEMPOTENT, GatewayDeciderTest.quota(9.5, 24), 3, i));
+            harnesses.add(new Harness(100, Idempotency.IDEMPOTENT, GatewayDeciderTest.quota(9.5, 24), 3, i));
         }
         double store = 24;
         int within = 0;
-        int refused = 0;
+        int rejected = 0;
         for (long id = 1; id <= 2_000; id++) {
-            double gap = -Math.log(1 - chance.nextDouble()) / 2.8; // 8.4 of 9.5 units a second
+            double gap = -Math.log(1 - chance.nextDouble()) / 2.8; // 8.4 of 9.5 units per second
             store = Math.min(24, store + 9.5 * gap);
-            for (Door door : doors) {
-                door.now += (long) (gap * SECOND);
+            for (Harness harness : harnesses) {
+                harness.now += (long) (gap * SECOND);
             }
-            Door door = doors.get(chance.nextInt(4));
-            door.arrive(id, 5, 3, 4);
+            Harness harness = harnesses.get(chance.nextInt(4));
+            harness.arrive(id, 5, 3, 4);
             if (store >= 3) {
                 within++;
-                refused += door.sent(id) ? 0 : 1;
+                rejected += harness.sent(id) ? 0 : 1;
             }
-            if (door.sent(id)) {
+            if (harness.sent(id)) {
                 store -= store >= 3 ? 3 : 0;
-                door.answer(id, Outcome.OK, -1, 0);
+                harness.answer(id, Outcome.OK, -1, 0);
             }
         }
-        assertTrue(refused <= 0.06 * within, refused + " refused of " + within);
+        assertTrue(rejected <= 0.06 * within, rejected + " refused of " + within);
     }
 
-    /** One that asks six times its quota is held near it: a door lets in what the meter leaves it. */
+    /** A customer that asks six times its quota is held near it: a gateway admits what the meter leaves it. */
     @Test
-    void aHeavyCustomerIsHeldNearItsQuota() {
-        int in = letIn(3.6, 250, 1);
+    void limitsAHeavyCustomerNearItsQuota() {
+        int in = countAdmitted(3.6, 250, 1);
         assertTrue(in < 0.5 * 3.6 * 300, in + " of " + 3.6 * 300 + " let in while the meter told 250 %");
     }
 
-    /** Requests let in within 300 s, with this reading on each answer; all of them are of a class. */
-    private static int letIn(double perSecond, int percent, double units) {
+    /** Requests admitted within 300 s, with this reading on each response; all are of one class. */
+    private static int countAdmitted(double perSecond, int percent, double units) {
         int in = 0;
         SplittableRandom chance = new SplittableRandom(5);
-        List<Door> doors = new ArrayList<>();
+        List<Harness> harnesses = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            doors.add(new Door(12, Idempotency.IDEMPOTENT, GatewayDeciderTest.quota(1.2, 12), 3, i));
+            harnesses.add(new Harness(12, Idempotency.IDEMPOTENT, GatewayDeciderTest.quota(1.2, 12), 3, i));
         }
         for (long id = 1; id <= 300 * perSecond; id++) {
-            for (Door door : doors) {
-                door.now += (long) (SECOND / perSecond);
+            for (Harness harness : harnesses) {
+                harness.now += (long) (SECOND / perSecond);
             }
-            Door door = doors.get(chance.nextInt(doors.size()));
-            door.arrive(id, 5, 2 * units, 12);
-            if (door.sent(id)) {
+            Harness harness = harnesses.get(chance.nextInt(harnesses.size()));
+            harness.arrive(id, 5, 2 * units, 12);
+            if (harness.sent(id)) {
                 in++;
-                door.answer(id, Outcome.OK, percent, 0);
+                harness.answer(id, Outcome.OK, percent, 0);
             }
         }
         return in;
     }
 
-    /** Of what is beyond a quota, what is worth least is refused first, and the share stays what the meter says. */
+    /** Of the excess over a quota the least valuable is rejected first, and the admitted share stays as metered. */
     @Test
-    void ofAnExcessTheLeastWorthIsRefusedFirst() {
+    void rejectsTheLeastValuableOfAnExcessFirst() {
         int[] sent = new int[2];
         int[] asked = new int[2];
-        RequestClass look = new RequestClass(SECOND, 2, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
-        RequestClass buy = new RequestClass(SECOND, 5, 0, Idempotency.NOT_IDEMPOTENT, DedupScope.ALL, 0);
-        Door door = new Door(12, Idempotency.IDEMPOTENT, FREE, 3);
-        GatewayDecider brain = new GatewayDecider(new Settings(12, 0, 3, MS, 4, false, 0.2, SECOND, 3, SECOND, 0,
+        RequestClass read = new RequestClass(SECOND, 2, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0);
+        RequestClass write = new RequestClass(SECOND, 5, 0, Idempotency.NOT_IDEMPOTENT, DedupScope.ALL, 0);
+        Harness harness = new Harness(12, Idempotency.IDEMPOTENT, FREE, 3);
+        GatewayDecider decider = new GatewayDecider(new Settings(12, 0, 3, MS, 4, false, 0.2, SECOND, 3, SECOND, 0,
                 SECOND,
-                List.of(look, buy), List.of(GatewayDeciderTest.quota(12, 12))), door.now, door);
-        brain.onBackends(door.now, true, List.of(GatewayDeciderTest.backend(1, DiscoveryState.READY, 0),
+                List.of(read, write), List.of(GatewayDeciderTest.quota(12, 12))), harness.now, harness);
+        decider.onBackends(harness.now, true, List.of(GatewayDeciderTest.backend(1, DiscoveryState.READY, 0),
                 GatewayDeciderTest.backend(2, DiscoveryState.READY, 0)));
         for (long id = 1; id <= 2_000; id++) {
-            door.now += 200 * MS;
-            int kind = (int) (id % 2);
-            brain.onRequest(door.now, new Request(id, kind, 0, 5, 1, 12, 4 * SECOND));
-            asked[kind]++;
-            if (door.sent(id)) {
-                sent[kind]++;
-                brain.onAttemptEnd(door.now, new AttemptReport(id, 0, door.sentTo.get(id), Outcome.OK, true, 50 * MS,
+            harness.now += 200 * MS;
+            int requestClass = (int) (id % 2);
+            decider.onRequest(harness.now, new Request(id, requestClass, 0, 5, 1, 12, 4 * SECOND));
+            asked[requestClass]++;
+            if (harness.sent(id)) {
+                sent[requestClass]++;
+                decider.onAttemptEnd(harness.now, new AttemptReport(id, 0, harness.sentTo.get(id), Outcome.OK, true,
+                        50 * MS,
                         160, 0, null));
             }
         }
@@ -289,44 +294,45 @@
         assertTrue(sent[0] + sent[1] < 0.8 * 2_000, "the meter tells 160 %");
     }
 
-    /** A slot more than the even part of a cap, while the meter tells of room; without its word, or beyond, none. */
+    /** One slot more than the even part of a cap while the meter shows room; none without a reading or over the cap. */
     @Test
-    void oneMoreSlotOfACapWhileTheMeterTellsOfRoom() {
+    void allowsOneMoreSlotOfACapWhileTheMeterShowsRoom() {
         for (int percent : new int[] {-1, 50, 240}) {
-            Door door = new Door(12, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 1, 0, 1));
-            door.arrive(1, 5, 1, 12);
-            door.answer(1, Outcome.OK, percent, 0);
-            door.pass(3 * SECOND);
-            for (long id = 2; id <= 40 && door.sentTo.size() < 3; id++) {
-                door.arrive(id, 5, 1, 12);
+            Harness harness = new Harness(12, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 1, 0, 1));
+            harness.arrive(1, 5, 1, 12);
+            harness.answer(1, Outcome.OK, percent, 0);
+            harness.pass(3 * SECOND);
+            for (long id = 2; id <= 40 && harness.sentTo.size() < 3; id++) {
+                harness.arrive(id, 5, 1, 12);
             }
-            int out = door.sentTo.size() - 1;
+            int out = harness.sentTo.size() - 1;
             assertEquals(percent == 50 ? 2 : 1, out, "with a reading of " + percent);
-            assertFalse(door.sentTo.size() > 3);
+            assertFalse(harness.sentTo.size() > 3);
         }
     }
 
     /**
-     * 100 gateways in virtual time, a cap of three, no word of a meter yet: of what one customer asks, three and a half
-     * times its cap, each gateway sees a request a second, and each alone has a slot free for it. Beyond the cap counts the
-     * sum over all. Without the gateways' own count 176 of 234 sent were beyond it; with half of the cap filled 64 of 155.
+     * 100 gateways in virtual time, a cap of three, no reading yet: a customer asks three and a half times its cap,
+     * each gateway sees a request per second, and each alone has a slot free for it. Over the cap counts the sum of all
+     * gateways. Without the gateways' own estimate 176 of 234 sent were over the cap; with half of the cap as the
+     * target 64 of 155.
      */
     @Test
-    void manyGatewaysWithASlotEachHoldACapTogether() {
-        double[] heavy = underCap(53);
+    void manyGatewaysWithASlotEachKeepWithinACap() {
+        double[] heavy = sentOverCap(53);
         assertTrue(heavy[1] < 0.4 * heavy[0], heavy[1] + " beyond the cap of " + heavy[0] + " sent");
         assertTrue(heavy[0] > 100, heavy[0] + " sent in all");
-        double[] calm = underCap(3);
+        double[] calm = sentOverCap(3);
         assertTrue(calm[0] > 0.7 * calm[2], calm[0] + " of " + calm[2] + " of a customer who asks a fifth of the cap");
     }
 
-    /** Sent within 20 s, beyond the cap among them, and asked; so many requests a second, each out for 200 ms. */
-    private static double[] underCap(int perSecond) {
-        record Out(long until, Door door, long id) { }
+    /** Numbers of requests sent within 20 s, sent over the cap, and received, at a rate per second and 200 ms each. */
+    private static double[] sentOverCap(int perSecond) {
+        record Out(long until, Harness harness, long id) { }
         SplittableRandom chance = new SplittableRandom(17);
-        List<Door> doors = new ArrayList<>();
+        List<Harness> harnesses = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            doors.add(new Door(100, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 0.8, 0, 1), 3, i));
+            harnesses.add(new Harness(100, Idempotency.IDEMPOTENT, new Plan(0, 0, 3, 0, 0, 0, 0.8, 0, 1), 3, i));
         }
         PriorityQueue<Out> out = new PriorityQueue<>((a, b) -> Long.compare(a.until(), b.until()));
         double[] sums = new double[3];
@@ -334,21 +340,21 @@
         for (long id = 1; at < 20 * SECOND; id++) {
             long gap = (long) (-Math.log(1 - chance.nextDouble()) * SECOND / perSecond);
             at += gap;
-            for (Door door : doors) {
-                door.now += gap;
+            for (Harness harness : harnesses) {
+                harness.now += gap;
             }
             long now = at;
             while (!out.isEmpty() && out.peek().until() <= now) {
                 Out ended = out.poll();
-                ended.door().answer(ended.id(), Outcome.OK, -1, 0);
+                ended.harness().answer(ended.id(), Outcome.OK, -1, 0);
             }
-            Door door = doors.get(chance.nextInt(50));
-            door.arrive(id, 5, 1, 50);
+            Harness harness = harnesses.get(chance.nextInt(50));
+            harness.arrive(id, 5, 1, 50);
             sums[2]++;
-            if (door.sent(id)) {
+            if (harness.sent(id)) {
                 sums[0]++;
                 sums[1] += out.size() >= 3 ? 1 : 0;
-                out.add(new Out(now + SECOND / 5, door, id));
+                out.add(new Out(now + SECOND / 5, harness, id));
             }
         }
         return sums;
