--- a/decision/src/main/java/nettletrail/decision/ApertureGateway.java
+++ b/decision/src/main/java/nettletrail/decision/ApertureGateway.java
@@ -62,8 +62,8 @@
     }
 
     @Override
-    public void onAttemptEnd(long now, AttemptReport answer) {
-        delegate.onAttemptEnd(now, answer);
+    public void onAttemptEnd(long now, AttemptReport report) {
+        delegate.onAttemptEnd(now, report);
     }
 
     @Override
--- a/decision/src/main/java/nettletrail/decision/Gateway.java
+++ b/decision/src/main/java/nettletrail/decision/Gateway.java
@@ -32,7 +32,7 @@
     void onRequest(long now, Request request);
 
     /** An attempt has ended. The request may have ended before. */
-    void onAttemptEnd(long now, AttemptReport answer);
+    void onAttemptEnd(long now, AttemptReport report);
 
     /** The client has disconnected, or its deadline has passed: the request has ended and needs no answer. */
     void onRequestCancelled(long now, long requestId);
@@ -46,16 +46,16 @@
          * Sends the request to this backend as its next attempt (numbered from 0), with a timeout in ns; 0 for none but
          * the client's.
          */
-        void send(long requestId, long backendId, long timeoutNs);
+        void send(long requestId, long backendId, long timeoutNanos);
 
         /** Final answer: rejected, and a retry by the client is safe. Retry-after in ns; 0 for none. */
-        void reject(long requestId, long retryAfterNs);
+        void reject(long requestId, long retryAfterNanos);
 
         /** Final answer: failed; the request may have had an effect. */
         void fail(long requestId);
 
         /** Starts a timer that calls {@link Gateway#onTimer} with this token after so many ns. */
-        void startTimer(int token, long ns);
+        void startTimer(int token, long delayNanos);
 
         /** Subscribes to the list of backends and its changes. */
         void subscribeBackends();
--- a/decision/src/main/java/nettletrail/decision/GatewayDecider.java
+++ b/decision/src/main/java/nettletrail/decision/GatewayDecider.java
@@ -848,18 +848,18 @@
     // ---- Responses --------------------------------------------------------------------------------------
 
     @Override
-    public void onAttemptEnd(long now, AttemptReport answer) {
-        Job job = jobs.get(answer.requestId());
-        TrackedBackend backend = backends.get(answer.backendId());
-        if (answer.quotaUsedPercent() >= 0 && job != null) {
+    public void onAttemptEnd(long now, AttemptReport report) {
+        Job job = jobs.get(report.requestId());
+        TrackedBackend backend = backends.get(report.backendId());
+        if (report.quotaUsedPercent() >= 0 && job != null) {
             refill(job.customer, now);
-            applyReading(job.customer, answer.quotaUsedPercent(), now);
+            applyReading(job.customer, report.quotaUsedPercent(), now);
         }
-        if (backend != null && answer.load() != null) {
-            backend.reportedQueue = Double.isNaN(answer.load().queuedRequests()) ? 0
-                    : answer.load().queuedRequests();
-            backend.reportedCpu = Double.isNaN(answer.load().cpuUtilization()) ? 0
-                    : answer.load().cpuUtilization();
+        if (backend != null && report.load() != null) {
+            backend.reportedQueue = Double.isNaN(report.load().queuedRequests()) ? 0
+                    : report.load().queuedRequests();
+            backend.reportedCpu = Double.isNaN(report.load().cpuUtilization()) ? 0
+                    : report.load().cpuUtilization();
         }
         if (job == null || job.backend == null) {
             return;
@@ -871,19 +871,19 @@
         job.backend = null;
         updateMeanInFlight(now);
         inFlight--;
-        observe(backend, job, answer, now);
-        job.mayHaveArrived |= answer.outcome().mayHaveRun || answer.outcome() == Outcome.FULL;
-        if (answer.outcome().mayHaveRun && !job.mayHaveRun) {
+        observe(backend, job, report, now);
+        job.mayHaveArrived |= report.outcome().mayHaveRun || report.outcome() == Outcome.FULL;
+        if (report.outcome().mayHaveRun && !job.mayHaveRun) {
             job.mayHaveRun = true;
             job.firstMayHaveRunAt = job.sentAt;
             job.mayHaveRunOn = backend;
         }
-        if (answer.actualUnits() > 0) {
-            settle(job, answer.actualUnits());
+        if (report.actualUnits() > 0) {
+            settle(job, report.actualUnits());
         }
-        if (answer.requestEnded() || job.ended) {
+        if (report.requestEnded() || job.ended) {
             job.ended = true;
-            jobs.remove(answer.requestId());
+            jobs.remove(report.requestId());
             refundIfUnsent(job, now);
         } else if (mayRetry(job, now)) {
             enqueue(job, true);
@@ -917,8 +917,8 @@
     }
 
     /** Updates the backend's health, pace and limit, and the estimates of the fleet, from an outcome. */
-    private void observe(TrackedBackend backend, Job job, AttemptReport answer, long now) {
-        Outcome outcome = answer.outcome();
+    private void observe(TrackedBackend backend, Job job, AttemptReport report, long now) {
+        Outcome outcome = report.outcome();
         if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
             // A single connection may break; a dead process refuses connections or breaks all of them.
             backend.connectFailed |= outcome == Outcome.CONNECT_FAILED;
@@ -955,7 +955,7 @@
             recordSuccess(backend);
         }
         int kind = job.request.requestClass();
-        double tookNanos = answer.durationNanos();
+        double tookNanos = report.durationNanos();
         if (outcome == Outcome.TIMED_OUT) {
             // The time until a timeout tells when the attempt was given up, and so something of its backend
             // only. A few of them would cut the fleet's in-flight limit and inflate the typical latency, and
--- a/decision/src/test/java/nettletrail/decision/ApertureGatewayTest.java
+++ b/decision/src/test/java/nettletrail/decision/ApertureGatewayTest.java
@@ -35,37 +35,37 @@
 
         @Override
         public void onBackends(long now, boolean whole, List<Backend> entries) {
-            calls.add("listed " + now + " " + whole + " " + entries);
+            calls.add("onBackends " + now + " " + whole + " " + entries);
         }
 
         @Override
         public void onGatewaysPerBackend(long now, double gateways) {
-            calls.add("sharedBy " + now + " " + gateways);
+            calls.add("onGatewaysPerBackend " + now + " " + gateways);
         }
 
         @Override
         public void onDiscoveryFailure(long now) {
-            calls.add("listFailed " + now);
+            calls.add("onDiscoveryFailure " + now);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            calls.add("arrived " + now + " " + request);
+            calls.add("onRequest " + now + " " + request);
         }
 
         @Override
         public void onAttemptEnd(long now, AttemptReport answer) {
-            calls.add("answered " + now + " " + answer);
+            calls.add("onAttemptEnd " + now + " " + answer);
         }
 
         @Override
         public void onRequestCancelled(long now, long requestId) {
-            calls.add("departed " + now + " " + requestId);
+            calls.add("onRequestCancelled " + now + " " + requestId);
         }
 
         @Override
         public void onTimer(long now, int token) {
-            calls.add("woken " + now + " " + token);
+            calls.add("onTimer " + now + " " + token);
         }
     }
 
@@ -129,8 +129,9 @@
         gateway.onBackends(6, true, ready(60));
         gateway.onBackends(7, true, ready(60));
         gateway.onBackends(8, true, ready(4));
-        assertEquals(List.of("listed 5", "sharedBy 6 2.0", "listed 6", "listed 7", "sharedBy 8 10.0", "listed 8"),
-                recorded.calls.stream().map(each -> each.startsWith("listed") ? each.substring(0, 8) : each).toList());
+        assertEquals(List.of("onBackends 5", "onGatewaysPerBackend 6 2.0", "onBackends 6", "onBackends 7",
+                "onGatewaysPerBackend 8 10.0", "onBackends 8"), recorded.calls.stream()
+                .map(each -> each.startsWith("onBackends") ? each.substring(0, 12) : each).toList());
     }
 
     @Test
@@ -174,12 +175,12 @@
         final List<Long> rejected = new ArrayList<>();
 
         @Override
-        public void send(long requestId, long backendId, long timeoutNs) {
+        public void send(long requestId, long backendId, long timeoutNanos) {
             sent.add(backendId);
         }
 
         @Override
-        public void reject(long requestId, long retryAfterNs) {
+        public void reject(long requestId, long retryAfterNanos) {
             rejected.add(requestId);
         }
 
--- a/decision/src/test/java/nettletrail/decision/CapRateTest.java
+++ b/decision/src/test/java/nettletrail/decision/CapRateTest.java
@@ -57,13 +57,13 @@
         }
 
         @Override
-        public void send(long requestId, long backendId, long timeoutNs) {
+        public void send(long requestId, long backendId, long timeoutNanos) {
             sent.add(requestId);
         }
 
         @Override
-        public void reject(long requestId, long retryAfterNs) {
-            throw new AssertionError("refused " + requestId);
+        public void reject(long requestId, long retryAfterNanos) {
+            throw new AssertionError("rejected " + requestId);
         }
 
         @Override
--- a/decision/src/test/java/nettletrail/decision/ColdFleetTest.java
+++ b/decision/src/test/java/nettletrail/decision/ColdFleetTest.java
@@ -177,12 +177,12 @@
         private Gateway.Actions actions(int gateway) {
             return new Gateway.Actions() {
                 @Override
-                public void send(long requestId, long backendId, long timeoutNs) {
+                public void send(long requestId, long backendId, long timeoutNanos) {
                     sent(gateway, requestId, (int) backendId);
                 }
 
                 @Override
-                public void reject(long requestId, long retryAfterNs) {
+                public void reject(long requestId, long retryAfterNanos) {
                     sums.rejected += now >= start + BACK_AT ? 1 : 0;
                 }
 
@@ -375,8 +375,9 @@
         StringBuilder table = new StringBuilder();
         for (Case scenario : Case.values()) {
             Sums sum = all[scenario.ordinal()];
-            table.append(String.format(Locale.ROOT, "%n%3d doors, %3d backends, %-13s: most %.2f of the budget, %d fell,"
-                    + " cold ones got %.2f of their capacity, served in time %.3f, refused %.3f", gatewayCount,
+            table.append(String.format(Locale.ROOT,
+                    "%n%3d gateways, %3d backends, %-13s: peak %.2f of the budget, %d overloads,"
+                    + " cold ones got %.2f of their capacity, served in time %.3f, rejected %.3f", gatewayCount,
                     backends, scenario,
                     sum.worst, sum.violations, sum.toCold / sum.coldCapacity, sum.served / (double) sum.received,
                     sum.rejected / (double) sum.received));
--- a/decision/src/test/java/nettletrail/decision/EmbeddingExample.java
+++ b/decision/src/test/java/nettletrail/decision/EmbeddingExample.java
@@ -20,12 +20,12 @@
         List<String> done = new ArrayList<>();
         Gateway.Actions actions = new Gateway.Actions() {
             @Override
-            public void send(long requestId, long backendId, long timeoutNs) {
+            public void send(long requestId, long backendId, long timeoutNanos) {
                 done.add("send " + requestId + " to " + backendId);
             }
 
             @Override
-            public void reject(long requestId, long retryAfterNs) {
+            public void reject(long requestId, long retryAfterNanos) {
                 done.add("refuse " + requestId);
             }
 
@@ -35,7 +35,7 @@
             }
 
             @Override
-            public void startTimer(int token, long ns) { } // set a timer that calls onTimer(now, token)
+            public void startTimer(int token, long delayNanos) { } // set a timer that calls onTimer(now, token)
 
             @Override
             public void subscribeBackends() { }
--- a/decision/src/test/java/nettletrail/decision/GatewayDeciderTest.java
+++ b/decision/src/test/java/nettletrail/decision/GatewayDeciderTest.java
@@ -90,15 +90,15 @@
         }
 
         @Override
-        public void send(long requestId, long backendId, long timeoutNs) {
+        public void send(long requestId, long backendId, long timeoutNanos) {
             log.add("send " + requestId);
-            timeouts.put(requestId, timeoutNs);
+            timeouts.put(requestId, timeoutNanos);
             sentTo.put(requestId, backendId);
             attempts.merge(requestId, 1, Integer::sum);
         }
 
         @Override
-        public void reject(long requestId, long retryAfterNs) {
+        public void reject(long requestId, long retryAfterNanos) {
             log.add("refuse " + requestId);
         }
 
@@ -195,7 +195,7 @@
         while (!harness.sent(12)) {
             harness.ok(Long.parseLong(harness.log.get(harness.log.size() - 1).substring("send ".length())));
         }
-        assertTrue(harness.sent(22) && harness.sent(23), "customer 1 had more than it told: " + harness.log);
+        assertTrue(harness.sent(22) && harness.sent(23), "customer 1 used more than it had reported: " + harness.log);
         assertTrue(mark < harness.log.indexOf("send 12"));
     }
 
@@ -223,11 +223,11 @@
             harness.arrive(id, 5, 1, 2);
             sent += harness.sent(id) ? 1 : 0;
         }
-        assertTrue(harness.sent(1) && harness.sent(2), "its part is two");
-        assertTrue(sent <= 4, "overdrawn by one, hardly by two: " + sent);
+        assertTrue(harness.sent(1) && harness.sent(2), "its part of the bucket is two");
+        assertTrue(sent <= 4, "overdrawn by one, rarely by two: " + sent);
         harness.pass(6 * SECOND);
         harness.arrive(21, 5, 1, 2);
-        assertTrue(harness.sent(21), "fills at its part of the rate before the first reading");
+        assertTrue(harness.sent(21), "refills at its part of the rate before the first reading");
     }
 
     /**
@@ -265,8 +265,8 @@
     void admittedShareGrowsWithMeteredRoomAndShrinksOverQuota() {
         int room = countAdmitted(50, false);
         int beyond = countAdmitted(150, false);
-        assertTrue(room > 1.5 * beyond, room + " let in with room, " + beyond + " beyond");
-        assertTrue(beyond <= 4 * 20 / 4 + 4, "an even part when the rate is passed: " + beyond);
+        assertTrue(room > 1.5 * beyond, room + " admitted with room, " + beyond + " over quota");
+        assertTrue(beyond <= 4 * 20 / 4 + 4, "an even part over the quota: " + beyond);
     }
 
     @Test
@@ -345,7 +345,7 @@
                 out = line.startsWith("send ") ? Long.parseLong(line.substring(5)) : out;
             }
         }
-        assertTrue(rejectedAtOnce > 20, "refused on arrival: " + rejectedAtOnce);
+        assertTrue(rejectedAtOnce > 20, "rejected on arrival: " + rejectedAtOnce);
     }
 
     @Test
@@ -361,7 +361,8 @@
         assertTrue(harness.sent(101));
         harness.arrive(102, 5, 1, 2);
         harness.arrive(103, 5, 1, 2);
-        assertFalse(harness.rejected(102) || harness.rejected(103), "the last answers took as long as the aim");
+        assertFalse(harness.rejected(102) || harness.rejected(103),
+                "the last responses took as long as the target latency");
     }
 
     @Test
@@ -377,7 +378,7 @@
             harness.arrive(id, 5, 1, 1);
             sent += harness.sent(id) ? 1 : 0;
         }
-        assertTrue(sent <= 2, "forgetting would have filled its store: " + sent);
+        assertTrue(sent <= 2, "eviction would have refilled its bucket: " + sent);
     }
 
     @Test
@@ -394,7 +395,7 @@
         for (long id = 102; id <= 202; id++) {
             harness.arrive(id, 102, 0.001, 1);
         }
-        assertEquals(2, harness.decider.customers(), "the one in debt and the one now asking");
+        assertEquals(2, harness.decider.customers(), "the one in debt and the one that sends now");
     }
 
     @Test
@@ -412,7 +413,7 @@
         harness.answer(1, Outcome.TIMED_OUT, -1, 0);
         assertEquals(List.of("send 1", "fail 1"), harness.log);
         harness.decider.onRequestCancelled(harness.now, 1);
-        assertEquals(2, harness.log.size(), "a late word on an ended request changes nothing");
+        assertEquals(2, harness.log.size(), "a late event for an ended request has no effect");
     }
 
     @Test
@@ -422,10 +423,10 @@
         harness.arrive(1, 5, 1, 2);
         assertFalse(harness.sent(1));
         harness.decider.onBackends(harness.now, false, List.of(backend(1, DiscoveryState.READY, 0)));
-        assertTrue(harness.sent(1), "the drain was withdrawn");
+        assertTrue(harness.sent(1), "the drain was cancelled");
         harness.decider.onBackends(harness.now, true, List.of(backend(2, DiscoveryState.READY, 0)));
         harness.arrive(2, 5, 1, 2);
-        assertEquals(2L, harness.sentTo.get(2L), "absent from a whole list is gone");
+        assertEquals(2L, harness.sentTo.get(2L), "a backend absent from a whole list is gone");
     }
 
     @Test
@@ -434,7 +435,7 @@
         assertTrue(sentToFirst(harness, 1) > 60);
         harness.decider.onBackends(harness.now, false, List.of(backend(1, DiscoveryState.READY, harness.now)));
         int cold = sentToFirst(harness, 1000);
-        assertTrue(cold >= 4 && cold <= 60, "sent to the cold one: " + cold);
+        assertTrue(cold >= 4 && cold <= 60, "sent to the cold backend: " + cold);
     }
 
     /** Of 160 requests, eight in flight at a time over two seconds, how many go to backend 1. */
@@ -470,7 +471,7 @@
             harness.arrive(id, 5, 1, 2);
             back += harness.sentTo.get(id) == dead ? 1 : 0;
         }
-        assertEquals(1, back, "one trial at a time");
+        assertEquals(1, back, "one probe at a time");
     }
 
     @Test
@@ -482,7 +483,7 @@
             long second = ++id;
             harness.arrive(first, 5, 1, 2);
             harness.arrive(second, 5, 1, 2);
-            assertEquals(3L, harness.sentTo.get(first) + harness.sentTo.get(second), "both are in use");
+            assertEquals(3L, harness.sentTo.get(first) + harness.sentTo.get(second), "both backends are in use");
             harness.answer(first, harness.sentTo.get(first) == 1 ? Outcome.RESET : Outcome.OK, -1, 0);
             harness.answer(second, harness.sentTo.get(second) == 1 ? Outcome.RESET : Outcome.OK, -1, 0);
         }
@@ -499,13 +500,13 @@
         harness.pass(10 * SECOND); // earlier, two at once would indicate a customer that asks for several caps
         harness.arrive(1, 5, 1, 8);
         harness.arrive(2, 5, 1, 8);
-        assertFalse(harness.sent(2), "one slot is the most of a quarter");
+        assertFalse(harness.sent(2), "a quarter of a slot is rounded up to one");
         harness.ok(1);
-        assertTrue(harness.sent(2), "it was held for the slot");
+        assertTrue(harness.sent(2), "it was queued for the slot");
         harness.ok(2);
         harness.pass(10 * SECOND);
         harness.arrive(3, 5, 1, 8);
-        assertTrue(harness.sent(3), "used again when it is free");
+        assertTrue(harness.sent(3), "the slot is used again when it is free");
     }
 
     @Test
@@ -515,12 +516,13 @@
         for (long id = 1; id <= 10; id++) {
             harness.arrive(id, 5, 1, 2);
         }
-        assertEquals(1, harness.sentTo.size(), "only the part of the slack: what was spent before is not known");
+        assertEquals(1, harness.sentTo.size(),
+                "only the part of the overdraft: what was spent before the restart is unknown");
         harness.pass(20 * SECOND);
         for (long id = 11; id <= 30; id++) {
             harness.arrive(id, 5, 1, 2);
         }
-        assertEquals(5, harness.sentTo.size(), "the part of a full store");
+        assertEquals(5, harness.sentTo.size(), "the part of a full token bucket");
     }
 
     /** Nothing was spent of it since the start: with many new customers, rejecting their first requests cost most. */
@@ -531,7 +533,7 @@
         for (long id = 1; id <= 10; id++) {
             harness.arrive(id, 5, 1, 2);
         }
-        assertEquals(4, harness.sentTo.size(), "the part of a full store");
+        assertEquals(4, harness.sentTo.size(), "the part of a full token bucket");
     }
 
     @Test
@@ -580,7 +582,7 @@
         for (long id = 6; id <= 60; id++) {
             harness.arrive(id, 5, 1, 1);
         }
-        assertTrue(harness.rejected(60), "no slot comes free for it in time");
+        assertTrue(harness.rejected(60), "no slot becomes free in time");
     }
 
     /** A connection that went silent held a customer's only slot until its client's deadline. */
@@ -592,7 +594,7 @@
         assertEquals(aim * 3 / 2, harness.timeouts.get(1L));
         Harness free = new Harness(1, Idempotency.IDEMPOTENT, FREE);
         free.arrive(1, 5, 1, 1);
-        assertEquals(0, free.timeouts.get(1L), "elsewhere what is cut short would only run twice");
+        assertEquals(0, free.timeouts.get(1L), "without a cap, an attempt cut short would only run twice");
     }
 
     /** A part rounded up at each of several gateways exceeds the cap in total. */
@@ -643,14 +645,14 @@
                 boolean ran = mayHaveRun.getOrDefault(which, false);
                 if (words[0].equals("send")) {
                     assertFalse(open.contains(which), "two attempts out for " + which);
-                    assertFalse(ran && effect == Idempotency.NOT_IDEMPOTENT, "sent again though it may have run: "
+                    assertFalse(ran && effect == Idempotency.NOT_IDEMPOTENT, "retried though it may have run: "
                             + which);
                     open.add(which);
                 } else {
-                    assertFalse(ran && effect == Idempotency.NOT_IDEMPOTENT && words[0].equals("refuse"), "refused "
+                    assertFalse(ran && effect == Idempotency.NOT_IDEMPOTENT && words[0].equals("refuse"), "rejected "
                             + which);
                     assertTrue(harness.now <= receivedAt.get(which) + 3 * SECOND || ran || open.contains(which)
-                            || harness.attempts.getOrDefault(which, 0) > 0, "late answer for " + which);
+                            || harness.attempts.getOrDefault(which, 0) > 0, "late final answer for " + which);
                     finals.merge(which, 1, Integer::sum);
                 }
             }
@@ -733,8 +735,8 @@
             }
         }
         int after = burst(harness, 2_000);
-        assertTrue(before >= 10, "a free fleet takes a burst: " + before);
-        assertTrue(after >= 1 && after <= before / 2, "closed to " + after + " from " + before);
+        assertTrue(before >= 10, "an idle fleet accepts a burst: " + before);
+        assertTrue(after >= 1 && after <= before / 2, "limit reduced to " + after + " from " + before);
     }
 
     /** On real sockets a slow start cut the limit to 1.6, and it stayed there: one request at a time from then on. */
@@ -753,7 +755,7 @@
             harness.ok(id);
         }
         int after = burst(harness, 2_000);
-        assertTrue(after >= 4, "open again for " + after);
+        assertTrue(after >= 4, "limit after recovery: " + after);
     }
 
     /** How many of 30 simultaneous requests are sent; they are answered afterwards. */
@@ -852,7 +854,7 @@
                 assertEquals(reachedNoBackend, harness.sent(id), outcome + " " + id);
             }
             harness.arrive(7, 5, 1, 1);
-            assertFalse(harness.sent(7), "given back once, not twice: " + outcome);
+            assertFalse(harness.sent(7), "refunded once, not twice: " + outcome);
         }
     }
 
@@ -881,7 +883,7 @@
         harness.now += 1;
         harness.decider.onTimer(harness.now, 1);
         assertTrue(harness.rejected(3));
-        assertFalse(harness.rejected(2), "others are held on");
+        assertFalse(harness.rejected(2), "others stay queued");
         harness.ok(1);
         assertTrue(harness.sent(2));
         assertFalse(harness.sent(3));
@@ -905,7 +907,7 @@
                 harness.arrive(id, 5, 1, 1);
                 there += harness.sentTo.get(id) == 1 ? 1 : 0;
             }
-            assertEquals(apart > SECOND, there > 0, "apart by " + apart + ": " + there + " of 9");
+            assertEquals(apart > SECOND, there > 0, "resets apart by " + apart + ": " + there + " of 9");
         }
     }
 
@@ -920,7 +922,7 @@
         List<Long> to = new ArrayList<>();
         Harness actions = new Harness(1, Idempotency.IDEMPOTENT, FREE) {
             @Override
-            public void send(long requestId, long backendId, long timeoutNs) {
+            public void send(long requestId, long backendId, long timeoutNanos) {
                 to.add(backendId);
             }
         };
@@ -934,6 +936,6 @@
             decider.onRequest(500 * MS, new Request(id, 0, 0, 1, 1, 1, 9 * SECOND));
         }
         assertEquals(6, to.size());
-        assertEquals(3, to.stream().filter(each -> each == 1).count(), "as many at each: " + to);
+        assertEquals(3, to.stream().filter(each -> each == 1).count(), "evenly distributed: " + to);
     }
 }
--- a/decision/src/test/java/nettletrail/decision/ManyGatewaysTest.java
+++ b/decision/src/test/java/nettletrail/decision/ManyGatewaysTest.java
@@ -31,7 +31,7 @@
     private static final Plan FREE = new Plan(0, 0, 0, 0, 0, 0, 0, 0, 1);
 
     /** A backend's response to an attempt, and after how many ns. */
-    private record Reply(Outcome outcome, long afterNs) { }
+    private record Reply(Outcome outcome, long afterNanos) { }
 
     private interface Backends {
         Reply to(long backend, long now, SplittableRandom chance);
@@ -69,12 +69,12 @@
                 int at = i;
                 Gateway.Actions actions = new Gateway.Actions() {
                     @Override
-                    public void send(long requestId, long backendId, long timeoutNs) {
+                    public void send(long requestId, long backendId, long timeoutNanos) {
                         sentOne(at, requestId, backendId);
                     }
 
                     @Override
-                    public void reject(long requestId, long retryAfterNs) {
+                    public void reject(long requestId, long retryAfterNanos) {
                         rejected += counts() ? 1 : 0;
                     }
 
@@ -117,11 +117,11 @@
                 sentUnsafe[(int) backendId] += requestId % 2;
             }
             Reply reply = backends.to(backendId, now, chance);
-            in(reply.afterNs(), () -> {
+            in(reply.afterNanos(), () -> {
                 boolean ok = reply.outcome() == Outcome.OK;
                 served += ok && counts() ? 1 : 0;
                 gateways.get(at).onAttemptEnd(now, new AttemptReport(requestId, 0, backendId, reply.outcome(), ok,
-                        reply.afterNs(), -1, 0, null));
+                        reply.afterNanos(), -1, 0, null));
             });
         }
 
@@ -171,7 +171,8 @@
         for (int id = 1; id <= 9; id++) {
             unsafe += fleet.sentUnsafe[id];
         }
-        assertTrue(unsafe < 0.2 * fleet.sent(id -> id <= 9), unsafe + " that must not run twice spent on finding out what was known");
+        assertTrue(unsafe < 0.2 * fleet.sent(id -> id <= 9), unsafe
+                + " non-idempotent requests spent on probing backends known as unhealthy");
     }
 
     /** Half of the backends drain and reject everything, and the list does not say so yet. */
@@ -180,7 +181,7 @@
         Fleet fleet = new Fleet((backend, now, chance) -> backend <= 30 ? new Reply(Outcome.FULL, 2 * MS)
                 : healthy(chance)).run(300, 14, 6);
         assertTrue(fleet.attempts < 1.25 * fleet.received, fleet.attempts + " attempts for " + fleet.received);
-        assertTrue(fleet.served > 0.9 * fleet.received, fleet.served + " served, " + fleet.rejected + " refused, "
+        assertTrue(fleet.served > 0.9 * fleet.received, fleet.served + " served, " + fleet.rejected + " rejected, "
                 + fleet.failed + " failed of " + fleet.received);
     }
 
@@ -199,12 +200,12 @@
     @Test
     void admitsACustomerWithinItsQuotaAtEachOfManyGateways() {
         int in = countAdmitted(0.2, 33, 1);
-        assertTrue(in >= 57, in + " of 60 let in");
+        assertTrue(in >= 57, in + " of 60 admitted");
     }
 
     /**
-     * Four gateways that each see a random quarter of a customer's requests: of what the whole bucket would admit, at
-     * most 6 % is rejected. With an overdraft of two thirds of a request for each part it was one in ten.
+     * Four gateways that each see a random quarter of a customer's requests: of what the whole bucket would admit, one
+     * in twenty is rejected. With an overdraft of two thirds of a request for each part it was one in ten.
      */
     @Test
     void aTokenBucketOverFourGatewaysAllowsForChance() {
@@ -233,14 +234,14 @@
                 harness.answer(id, Outcome.OK, -1, 0);
             }
         }
-        assertTrue(rejected <= 0.06 * within, rejected + " refused of " + within);
+        assertTrue(rejected <= 0.06 * within, rejected + " rejected of " + within);
     }
 
     /** A customer that asks six times its quota is held near it: a gateway admits what the meter leaves it. */
     @Test
     void limitsAHeavyCustomerNearItsQuota() {
         int in = countAdmitted(3.6, 250, 1);
-        assertTrue(in < 0.5 * 3.6 * 300, in + " of " + 3.6 * 300 + " let in while the meter told 250 %");
+        assertTrue(in < 0.5 * 3.6 * 300, in + " of " + 3.6 * 300 + " admitted while the meter read 250 %");
     }
 
     /** Requests admitted within 300 s, with this reading on each response; all are of one class. */
@@ -291,7 +292,7 @@
             }
         }
         assertTrue(sent[1] > 3 * sent[0], sent[1] + " dear and " + sent[0] + " cheap ones of " + asked[0] + " each");
-        assertTrue(sent[0] + sent[1] < 0.8 * 2_000, "the meter tells 160 %");
+        assertTrue(sent[0] + sent[1] < 0.8 * 2_000, "the meter reads 160 %");
     }
 
     /** One slot more than the even part of a cap while the meter shows room; none without a reading or over the cap. */
@@ -320,10 +321,10 @@
     @Test
     void manyGatewaysWithASlotEachKeepWithinACap() {
         double[] heavy = sentOverCap(53);
-        assertTrue(heavy[1] < 0.4 * heavy[0], heavy[1] + " beyond the cap of " + heavy[0] + " sent");
+        assertTrue(heavy[1] < 0.4 * heavy[0], heavy[1] + " over the cap of " + heavy[0] + " sent");
         assertTrue(heavy[0] > 100, heavy[0] + " sent in all");
         double[] calm = sentOverCap(3);
-        assertTrue(calm[0] > 0.7 * calm[2], calm[0] + " of " + calm[2] + " of a customer who asks a fifth of the cap");
+        assertTrue(calm[0] > 0.7 * calm[2], calm[0] + " of " + calm[2] + " of a customer that uses a fifth of the cap");
     }
 
     /** Numbers of requests sent within 20 s, sent over the cap, and received, at a rate per second and 200 ms each. */
