--- a/decision/src/main/java/nettletrail/decision/GatewayDecider.java
+++ b/decision/src/main/java/nettletrail/decision/GatewayDecider.java
@@ -249,6 +249,7 @@
     private final double[] classShare; // of all requests
     private double meanValue;
 
+    /** @param now the clock at the gateway's start, ns; ceilings of customers seen later fill from then on */
     public GatewayDecider(Settings settings, long now, Actions actions) {
         this.settings = Gateway.requirePresent(settings, "settings");
         this.actions = Gateway.requirePresent(actions, "actions");
--- a/decision/src/main/java/nettletrail/decision/GatewaySettingsReader.java
+++ b/decision/src/main/java/nettletrail/decision/GatewaySettingsReader.java
@@ -20,6 +20,7 @@
 
     private final Map<String, String> values = new HashMap<>();
 
+    /** @throws InvalidInputException if a line that is not blank has no key */
     public GatewaySettingsReader(String text) {
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
@@ -31,6 +32,13 @@
         }
     }
 
+    /**
+     * The settings of this gateway.
+     *
+     * @param seed seed of its random numbers
+     * @throws InvalidInputException if a value is malformed
+     * @throws IllegalArgumentException if a value is out of range, naming the field
+     */
     public Gateway.Settings settings(long seed) {
         List<Gateway.RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("Services.count"); i++) {
