--- a/front-door/src/main/java/nettletrail/discovery/DiscoveryClient.java
+++ b/front-door/src/main/java/nettletrail/discovery/DiscoveryClient.java
@@ -36,39 +36,41 @@
 import nettletrail.decision.Gateway;
 
 /**
- * Follows discovery: one call at a time, each asking for what is newer than the last answer. Every call has a
- * time-out, for an agent that has lost discovery is silent, and after a fault the next call comes quickly; a watch that
- * seems silent gets a second call beside it. All times are {@link DiscoveryTiming}'s.
+ * Keeps the list of backends up to date from the discovery agent, with one request at a time that asks for changes
+ * since the last response. Each request has a timeout, because an agent that has lost discovery does not respond, and
+ * after a failure the next request follows quickly. A watch that is presumed silent gets a second request beside it.
+ * All times are defined in {@link DiscoveryTiming}. Used on one event loop only.
  */
 public final class DiscoveryClient {
-    private static final int MOST_BYTES = 4 << 20;
-    private static final int LEAST_WAIT_MS = 1;
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
+    private static final int MIN_WAIT_MS = 1;
 
     private final EventLoop loop;
     private InetSocketAddress agent;
     private final Endpoint.Listener listener;
     private final Bootstrap bootstrap;
     private Channel channel;
-    /** The connection of a watch that seems silent, until its time-out; or null. */
-    private Channel overdue;
-    private Future<?> timeout;
+    /** The connection of a watch that is presumed silent, until its timeout; or null. */
+    private Channel overdueChannel;
+    private Future<?> responseTimeout;
     private Future<?> overdueTimeout;
-    /** When the last call was made, {@link System#nanoTime}. */
-    private long calledAt;
-    /** A call is open on the connection. */
-    private boolean calling;
-    private Future<?> retry;
+    /** When the last request was sent, {@link System#nanoTime}. */
+    private long requestSentAt;
+    /** A request on the connection awaits its response. */
+    private boolean requestOpen;
+    private Future<?> scheduledRetry;
     private long index;
     private final SplittableRandom random;
-    private int faults;
-    /** Since the last answer the connection broke, or a call was not answered. */
-    private boolean broken;
-    /** An answer is being taken in: its decoder is on the stack. */
-    private boolean reading;
+    private int consecutiveFailures;
+    /** Since the last response the connection was lost or a request timed out. */
+    private boolean failedSinceResponse;
+    /** A response is being processed, so that its decoder is on the call stack. */
+    private boolean processingResponse;
 
     /**
-     * @param index the version of the list that is held already, or below 0 for none
-     * @param seed of what spreads the calls after a fault: each front door's own
+     * @param index the version of the list that is already known, or negative for none
+     * @param seed of the backoff jitter; different for each front door
+     * @param listener receives the lists and failures, on the event loop
      */
     public DiscoveryClient(EventLoop loop, InetSocketAddress agent, long index, long seed, Endpoint.Listener listener) {
         this.loop = loop;
@@ -78,34 +80,34 @@
         this.listener = listener;
         bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTiming.CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DiscoveryTiming.CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel made) {
-                        made.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BYTES),
-                                new AnswerHandler());
+                        made.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                new DiscoveryResponseHandler());
                     }
                 });
     }
 
     /**
-     * Goes over to another agent: the old one's connection is dropped, and the whole list asked for, as versions
-     * of one agent say nothing to the other. What was listed so far stays in force until then.
+     * Switches to another agent: closes the connection to the old one and requests the whole list, because the versions
+     * of one agent mean nothing to another. The current list stays in force until then.
      */
     public void switchAgent(InetSocketAddress to) {
-        Log.line("discovery: from " + agent + " to " + to);
+        Log.line("discovery: switching from agent " + agent + " to " + to);
         agent = to;
         index = -1;
-        faults = 0;
-        drop();
-        dropOverdue();
+        consecutiveFailures = 0;
+        cancelAndClose();
+        closeOverdue();
         poll();
     }
 
-    /** Calls for the whole list, and then for ever for what is newer. */
+    /** Sends the next request, connecting first if needed; afterwards each response leads to the next request. */
     public void poll() {
         if (channel != null) {
-            call();
+            sendRequest();
             return;
         }
         ChannelFuture connecting = bootstrap.connect(agent);
@@ -115,171 +117,176 @@
                 return;
             }
             if (done.isSuccess()) {
-                call();
+                sendRequest();
             } else {
-                broken("no connection: " + done.cause().getMessage());
+                requestFailed("connection failed: " + done.cause().getMessage());
             }
         });
     }
 
-    private void call() {
-        // The first call after a break asks for what there is and waits for nothing: one that is silent too is told from one
-        // that has no news, and given up so much sooner.
-        int wait = index < 0 ? 0 : broken ? LEAST_WAIT_MS : DiscoveryTiming.WAIT_MS;
+    private void sendRequest() {
+        // The first request after a failure does not wait for changes, so that one without a response is distinguished
+        // from one without news and abandoned much sooner.
+        int wait = index < 0 ? 0 : failedSinceResponse ? MIN_WAIT_MS : DiscoveryTiming.WATCH_WAIT_MS;
         String path = index < 0 ? "/api/targets" : "/api/targets?index=" + index + "&wait=" + wait;
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         request.headers().set(HttpHeaderNames.HOST, "discovery");
         channel.writeAndFlush(request);
-        calledAt = System.nanoTime();
-        calling = true;
-        if (wait > LEAST_WAIT_MS) {
-            timeout = loop.schedule(this::seemsSilent, wait + DiscoveryTiming.GRACE_MS, TimeUnit.MILLISECONDS);
+        requestSentAt = System.nanoTime();
+        requestOpen = true;
+        if (wait > MIN_WAIT_MS) {
+            responseTimeout = loop.schedule(this::watchTimedOut, wait + DiscoveryTiming.WATCH_GRACE_MS,
+                    TimeUnit.MILLISECONDS);
         } else {
-            // A machine that is cut off says nothing, and TCP does not tell: without this it would be waited for for ever.
-            int most = DiscoveryTiming.ANSWER_MS + wait;
-            timeout = loop.schedule(() -> unanswered(most), most, TimeUnit.MILLISECONDS);
+            // TCP does not report a peer that is cut off: without this timeout the client would wait for ever.
+            int timeoutMs = DiscoveryTiming.RESPONSE_TIMEOUT_MS + wait;
+            responseTimeout = loop.schedule(() -> responseTimedOut(timeoutMs), timeoutMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void unanswered(int mostMs) {
-        if (!cameMeanwhile()) {
-            broken("no answer in " + mostMs + " ms");
+    private void responseTimedOut(int timeoutMs) {
+        if (!completedMeanwhile()) {
+            requestFailed("no response within " + timeoutMs + " ms");
         }
     }
 
-    /** Whether the call that this is the time-out of is over by what lay unread: the loop may be late. */
-    private boolean cameMeanwhile() {
-        Future<?> mine = timeout;
+    /** Whether unread input completes the request whose timeout has elapsed: the event loop may be late. */
+    private boolean completedMeanwhile() {
+        Future<?> current = responseTimeout;
         readPending();
-        return timeout != mine || !calling;
+        return responseTimeout != current || !requestOpen;
     }
 
     /**
-     * A watch's wait is over and nothing has come: it is silent, or its answer stands in line. It is waited for on, and
-     * another connection asks for what there is.
+     * The wait of a watch has elapsed without a response: it is silent, or its response is queued. Its response is
+     * still awaited, while another connection requests the current changes.
      */
-    private void seemsSilent() {
-        if (cameMeanwhile()) {
+    private void watchTimedOut() {
+        if (completedMeanwhile()) {
             return;
         }
-        dropOverdue();
-        overdue = channel;
+        closeOverdue();
+        overdueChannel = channel;
         channel = null;
-        calling = false;
-        overdueTimeout = loop.schedule(this::dropOverdue, DiscoveryTiming.ANSWER_MS - DiscoveryTiming.GRACE_MS,
-                TimeUnit.MILLISECONDS);
-        broken = true;
-        faults = 0; // whatever came before it is long ago
+        requestOpen = false;
+        overdueTimeout = loop.schedule(this::closeOverdue,
+                DiscoveryTiming.RESPONSE_TIMEOUT_MS - DiscoveryTiming.WATCH_GRACE_MS, TimeUnit.MILLISECONDS);
+        failedSinceResponse = true;
+        consecutiveFailures = 0; // earlier failures are long past
         poll();
     }
 
-    /** The answer of a watch that seemed silent: news are news, and the second call goes on by itself. */
-    private void answeredOverdue(FullHttpResponse response) {
+    /** Applies the late response of a watch that was presumed silent; the second request continues independently. */
+    private void handleOverdueResponse(FullHttpResponse response) {
         if (response.status().code() == 200 && !response.decoderResult().isFailure()) {
             try {
-                Map<String, Object> body = read(response);
-                long version = version(body);
-                if (version >= index && (index >= 0 || whole(body))) {
+                Map<String, Object> body = parseBody(response);
+                long version = versionOf(body);
+                if (version >= index && (index >= 0 || isSnapshot(body))) {
                     index = version;
-                    listener.endpointsUpdated(whole(body), parseEndpoints(body));
+                    listener.endpointsUpdated(isSnapshot(body), parseEndpoints(body));
                 }
             } catch (IOException e) {
-                Log.line("discovery: a late answer can't be read: " + e.getClass().getSimpleName());
+                Log.line("discovery: cannot parse a late response: " + e.getClass().getSimpleName());
             }
         }
-        dropOverdue();
+        closeOverdue();
     }
 
-    private static Map<String, Object> read(FullHttpResponse response) throws IOException {
+    private static Map<String, Object> parseBody(FullHttpResponse response) throws IOException {
         return JSON.std.mapFrom((InputStream) new ByteBufInputStream(response.content()));
     }
 
-    private static long version(Map<String, Object> body) {
+    private static long versionOf(Map<String, Object> body) {
         return body.get("index") instanceof Number n ? n.longValue() : -1;
     }
 
-    private static boolean whole(Map<String, Object> body) {
+    private static boolean isSnapshot(Map<String, Object> body) {
         return Boolean.TRUE.equals(body.get("snapshot"));
     }
 
-    private void answered(FullHttpResponse response) {
-        timeout.cancel(false);
-        calling = false;
-        broken = false;
+    private void handleResponse(FullHttpResponse response) {
+        responseTimeout.cancel(false);
+        requestOpen = false;
+        failedSinceResponse = false;
         if (response.status().code() != 200 || response.decoderResult().isFailure()) {
-            // Unless it is only busy, it may no longer know our version: ask for the whole list, which costs it more.
-            if (!busy(response.status().code())) {
+            // Unless discovery is overloaded it may not know this version any more: request the whole list, which costs
+            // it more.
+            if (!isOverloaded(response.status().code())) {
                 index = -1;
-                broken("answer " + response.status());
+                requestFailed("response status " + response.status());
                 return;
             }
             if (!HttpUtil.isKeepAlive(response)) {
-                drop();
+                cancelAndClose();
             }
-            long stoodMs = (System.nanoTime() - calledAt) / 1_000_000;
-            again("answer " + response.status(), DiscoveryTiming.busyPauseMs(faults, stoodMs, random));
+            long queuedMs = (System.nanoTime() - requestSentAt) / 1_000_000;
+            scheduleRetry("response status " + response.status(),
+                    DiscoveryTiming.overloadBackoffMs(consecutiveFailures, queuedMs, random));
             return;
         }
-        dropOverdue(); // it has no more to say than this
+        closeOverdue(); // its response could not be newer than this one
         Map<String, Object> body;
         try {
-            body = read(response);
+            body = parseBody(response);
         } catch (IOException e) {
             index = -1;
-            broken("answer can't be read: " + e.getClass().getSimpleName());
+            requestFailed("cannot parse response: " + e.getClass().getSimpleName());
             return;
         }
-        if (faults > 0) {
-            faults = 0;
-            Log.line("discovery: back");
+        if (consecutiveFailures > 0) {
+            consecutiveFailures = 0;
+            Log.line("discovery: recovered");
         }
-        long held = index;
-        index = version(body);
+        long previousIndex = index;
+        index = versionOf(body);
         if (!HttpUtil.isKeepAlive(response)) {
-            drop();
+            cancelAndClose();
         }
-        if (!whole(body) && index < held) {
-            // Changes up to a version before ours would undo later ones: what holds now only the whole list tells.
+        if (!isSnapshot(body) && index < previousIndex) {
+            // Changes up to an older version would undo newer ones: only the whole list shows the current state.
             index = -1;
         } else {
-            listener.endpointsUpdated(whole(body), parseEndpoints(body));
+            listener.endpointsUpdated(isSnapshot(body), parseEndpoints(body));
         }
         poll();
     }
 
-    private void broken(String why) {
-        broken = true;
-        drop();
-        again(why, DiscoveryTiming.silentPauseMs(faults, random));
+    private void requestFailed(String reason) {
+        failedSinceResponse = true;
+        cancelAndClose();
+        scheduleRetry(reason, DiscoveryTiming.timeoutBackoffMs(consecutiveFailures, random));
     }
 
-    /** The connection is of no use any more. In a pause that is no reason for another: the two together could be too long. */
-    private void lost(String why) {
-        if (!calling && retry != null && !retry.isDone()) {
-            close();
+    /**
+     * Handles a lost connection. During a backoff it adds no second one, as the two together could exceed the budget.
+     */
+    private void connectionLost(String reason) {
+        if (!requestOpen && scheduledRetry != null && !scheduledRetry.isDone()) {
+            closeChannel();
         } else {
-            broken(why);
+            requestFailed(reason);
         }
     }
 
-    /** Calls again after a pause, on the connection if there still is one. */
-    private void again(String why, int pauseMs) {
-        if (faults == 0) {
-            Log.line("discovery: " + why + "; calling again");
+    /** Schedules the next request after a backoff, on the same connection if it is still open. */
+    private void scheduleRetry(String reason, int pauseMs) {
+        if (consecutiveFailures == 0) {
+            Log.line("discovery: " + reason + "; retrying");
         }
-        faults++;
+        consecutiveFailures++;
         listener.discoveryFailed();
-        retry = loop.schedule(this::poll, pauseMs, TimeUnit.MILLISECONDS);
+        scheduledRetry = loop.schedule(this::poll, pauseMs, TimeUnit.MILLISECONDS);
     }
 
-    private static boolean busy(int status) {
+    private static boolean isOverloaded(int status) {
         return status == 503 || status == 429;
     }
 
-    /** Takes in an answer that has come and was not read yet. */
+    /** Processes responses that have arrived but have not been read by the event loop yet. */
     public void readPending() {
-        if (!reading) {
-            for (Channel each : new Channel[] {channel, overdue}) {
+        if (!processingResponse) {
+            for (Channel each : new Channel[] {channel, overdueChannel}) {
                 if (each != null) {
                     PendingInput.readAll(each);
                 }
@@ -287,100 +294,99 @@
         }
     }
 
-    private void drop() {
-        if (timeout != null) {
-            timeout.cancel(false);
+    private void cancelAndClose() {
+        if (responseTimeout != null) {
+            responseTimeout.cancel(false);
         }
-        if (retry != null) {
-            retry.cancel(false);
+        if (scheduledRetry != null) {
+            scheduledRetry.cancel(false);
         }
-        close();
+        closeChannel();
     }
 
-    private void close() {
+    private void closeChannel() {
         Channel old = channel;
         channel = null;
-        calling = false;
+        requestOpen = false;
         if (old != null) {
             old.close();
         }
     }
 
-    private void dropOverdue() {
-        Channel old = overdue;
-        overdue = null;
+    private void closeOverdue() {
+        Channel old = overdueChannel;
+        overdueChannel = null;
         if (old != null) {
             overdueTimeout.cancel(false);
             old.close();
         }
     }
 
-    /** The entries of an answer or of the list that the configuration holds; those that make no sense are left out. */
+    /** Parses the endpoints of a response or of the list in the configuration; entries without a name are ignored. */
     public static List<Endpoint> parseEndpoints(Map<?, ?> list) {
         List<Endpoint> entries = new ArrayList<>();
         if (list.get("endpoints") instanceof List<?> rows) {
             for (Object row : rows) {
                 if (row instanceof Map<?, ?> entry && entry.get("name") instanceof String name) {
-                    entries.add(endpoint(name, entry));
+                    entries.add(parseEndpoint(name, entry));
                 } else {
-                    Log.line("discovery: an entry without a name is left out");
+                    Log.line("discovery: ignoring an endpoint without a name");
                 }
             }
         }
         return entries;
     }
 
-    private static Endpoint endpoint(String name, Map<?, ?> entry) {
+    private static Endpoint parseEndpoint(String name, Map<?, ?> entry) {
         Gateway.DiscoveryState state = switch (String.valueOf(entry.get("status"))) {
             case "SERVING" -> Gateway.DiscoveryState.READY;
             case "DELETED" -> Gateway.DiscoveryState.GONE;
-            default -> Gateway.DiscoveryState.DRAINING; // a word not known here is no leave to send
+            default -> Gateway.DiscoveryState.DRAINING; // an unknown status does not permit sending requests
         };
         InetSocketAddress address = entry.get("address") instanceof String text ? Endpoint.parseAddress(text) : null;
         if (address == null && state == Gateway.DiscoveryState.READY) {
-            Log.line("discovery: " + name + " has no address that can be used");
+            Log.line("discovery: endpoint " + name + " has no usable address");
             state = Gateway.DiscoveryState.DRAINING;
         }
         return new Endpoint(Endpoint.idOf(name), name, address, String.valueOf(entry.get("zone")),
-                String.valueOf(entry.get("type")),
-                entry.get("group") instanceof Number n ? n.intValue() : 0, state,
+                String.valueOf(entry.get("type")), entry.get("group") instanceof Number n ? n.intValue() : 0, state,
                 entry.get("weight") instanceof Number n ? n.doubleValue() : 1,
                 entry.get("since_ms") instanceof Number n ? n.longValue() : 0);
     }
 
-    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class DiscoveryResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             if (response.status().code() < 200) {
                 return;
             }
-            reading = true;
+            processingResponse = true;
             try {
-                if (context.channel() == channel && calling) {
-                    answered(response);
-                } else if (context.channel() == overdue) {
-                    answeredOverdue(response);
+                if (context.channel() == channel && requestOpen) {
+                    handleResponse(response);
+                } else if (context.channel() == overdueChannel) {
+                    handleOverdueResponse(response);
                 }
             } finally {
-                reading = false;
+                processingResponse = false;
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            ended(context, "connection ended");
+            connectionEnded(context, "connection closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            ended(context, "fault: " + cause.getMessage());
+            connectionEnded(context, "error: " + cause.getMessage());
         }
 
-        private void ended(ChannelHandlerContext context, String why) {
+        private void connectionEnded(ChannelHandlerContext context, String reason) {
             if (context.channel() == channel) {
-                lost(why);
-            } else if (context.channel() == overdue) {
-                dropOverdue();
+                connectionLost(reason);
+            } else if (context.channel() == overdueChannel) {
+                closeOverdue();
             }
         }
     }
--- a/front-door/src/main/java/nettletrail/discovery/package-info.java
+++ b/front-door/src/main/java/nettletrail/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The list of backends, followed at the platform's discovery agent. */
+/** Client of the discovery agent, which provides the list of backends. */
 package nettletrail.discovery;
--- a/front-door/src/main/java/nettletrail/http/ClientHandler.java
+++ b/front-door/src/main/java/nettletrail/http/ClientHandler.java
@@ -29,74 +29,85 @@
 import nettletrail.upstream.HeadBytes;
 
 /**
- * One client connection: requests are checked and handed on one at a time, and each gets one final answer, in the
- * order in which they came.
+ * One client connection: its requests are validated and dispatched one at a time, and each gets one final response, in
+ * the order in which they arrived. Used on the event loop of the channel.
  */
 public final class ClientHandler extends ChannelInboundHandlerAdapter implements RequestClient {
-    /** Requests that wait behind the open one, and their bytes. What a client sends beyond is refused, in its turn. */
-    private static final int MOST_WAITING = 64;
-    private static final int MOST_WAITING_BYTES = 128 << 10;
-    /** Answers that wait behind those, of which nothing else is kept; what is sent beyond is not read as requests. */
-    private static final int MOST_OWED = 4_096;
-    private static final long MS = 1_000_000L;
-    private static final int EXPECTED_HEAD = 128;
-    private static final String READY = "/-/ready";
-    private static final byte[] OK = line(HttpResponseStatus.OK);
-    private static final byte[] REFUSED = line(HttpResponseStatus.TOO_MANY_REQUESTS);
-    private static final byte[] LENGTH = HeadBytes.constant("\r\ncontent-length: ");
-    private static final byte[] TYPE = HeadBytes.constant("\r\ncontent-type: ");
+    /**
+     * Limits of the requests queued behind the current one and of their bodies; requests beyond are rejected in turn.
+     */
+    private static final int MAX_QUEUED_REQUESTS = 64;
+    private static final int MAX_QUEUED_BYTES = 128 << 10;
+    /** Limit of the responses pending behind the queue, of which only the status is kept; input beyond is discarded. */
+    private static final int MAX_PENDING_STATUSES = 4_096;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    private static final int EXPECTED_HEAD_BYTES = 128;
+    private static final String READY_PATH = "/-/ready";
+    private static final byte[] OK_STATUS_LINE = encodeStatusLine(HttpResponseStatus.OK);
+    private static final byte[] TOO_MANY_REQUESTS_STATUS_LINE = encodeStatusLine(HttpResponseStatus.TOO_MANY_REQUESTS);
+    private static final byte[] CONTENT_LENGTH = HeadBytes.constant("\r\ncontent-length: ");
+    private static final byte[] CONTENT_TYPE = HeadBytes.constant("\r\ncontent-type: ");
     private static final byte[] RETRY_AFTER = HeadBytes.constant("\r\nretry-after: ");
-    private static final byte[] CHALLENGE = HeadBytes.constant("\r\nwww-authenticate: ");
-    private static final byte[] CLOSE_AND_END = HeadBytes.constant("\r\nconnection: close\r\n\r\n");
-    private static final byte[] END = HeadBytes.constant("\r\n\r\n");
+    private static final byte[] WWW_AUTHENTICATE = HeadBytes.constant("\r\nwww-authenticate: ");
+    private static final byte[] CLOSE_AND_HEAD_END = HeadBytes.constant("\r\nconnection: close\r\n\r\n");
+    private static final byte[] HEAD_END = HeadBytes.constant("\r\n\r\n");
+    /** The {@link #evictionRank} of a connection that must not be closed to make room. */
     public static final int NOT_EVICTABLE = 3;
 
-    /** What the whole front door knows and a connection needs. */
+    /** The front door as its connections use it: its state, and a listener for their lifecycle. */
     public interface Owner {
+        /** Whether the readiness endpoint reports ready. */
         boolean ready();
 
+        /** Whether connections are to be closed after their pending responses. */
         boolean draining();
 
+        /** Called on the event loop when the connection has been opened. */
         void connectionOpened(ClientHandler connection);
 
+        /** Called on the event loop when the connection is closed; may be called twice for one connection. */
         void connectionClosed(ClientHandler connection);
     }
 
-    private record Waiting(FullHttpRequest request, long since) { }
+    private record QueuedRequest(FullHttpRequest request, long receivedAt) { }
 
     private final Owner owner;
     private final RequestValidator intake;
     private final Dispatcher dispatcher;
     private final AttemptTransport carrier;
     private final RequestDecoder decoder = new RequestDecoder();
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-    /** Answers to what came behind all that waits. */
-    private final ArrayDeque<HttpResponseStatus> owed = new ArrayDeque<>();
+    private final ArrayDeque<QueuedRequest> queued = new ArrayDeque<>();
+    /** Responses to requests beyond the queue limits. */
+    private final ArrayDeque<HttpResponseStatus> pendingStatuses = new ArrayDeque<>();
     private Channel channel;
-    /** From where on there are only bytes. */
-    private ChannelHandlerContext wire;
-    private Dispatcher.ActiveRequest live;
-    /** For the answer that is being written, or null. */
+    /** The context from which bytes are written without passing an HTTP handler. */
+    private ChannelHandlerContext byteContext;
+    private Dispatcher.ActiveRequest activeRequest;
+    /** The challenge header of the response being written, or null. */
     private String challenge;
-    private boolean open;
-    /** The client asked for the end of the connection, sent what can't be read, or too much. */
-    private boolean leaving;
-    /** The last answer is on its way: nothing more is handled. */
-    private boolean ended;
-    private boolean asked;
-    /** A request is being taken up: what is read meanwhile waits. */
-    private boolean takingUp;
-    private boolean handling;
-    /** The connection's first request was read, which may have lain in the kernel's queue for long. */
-    private boolean first = true;
-    private int waitingBytes;
+    /** A request has been taken from the queue and has no response yet. */
+    private boolean requestOpen;
+    /** The client requested the close of the connection, or sent too much or what could not be parsed. */
+    private boolean closeAfterResponses;
+    /** The last response has been written: no more requests are handled. */
+    private boolean lastResponseWritten;
+    /** At least one complete request was received on the connection. */
+    private boolean requestReceived;
+    /** A request is being started: input read meanwhile is queued. */
+    private boolean startingNext;
+    private boolean processingQueue;
+    /** The next request is the first one, which may have waited long in the accept queue of the kernel. */
+    private boolean firstRequest = true;
+    private int queuedBytes;
     private long openedAt;
-    private boolean heard;
-    private long partSince;
+    /** A complete request was read since the last {@link #channelReadComplete}. */
+    private boolean requestRead;
+    /** Since when a partial request is present, {@link System#nanoTime}; 0 if none is. */
+    private long partialSince;
     private long idleSince;
-    /** As the last sweep found it. */
-    private long unwrittenBefore;
-    private long unwrittenSince;
+    /** Unwritten bytes at the last timeout check. */
+    private long lastUnwrittenBytes;
+    private long unwrittenUnchangedSince;
 
     private ClientHandler(Owner owner, RequestValidator intake, Dispatcher dispatcher, AttemptTransport carrier) {
         this.owner = owner;
@@ -105,13 +116,14 @@
         this.carrier = carrier;
     }
 
-    /** All that a client's connection is made of. */
-    public static void add(ChannelPipeline to, Owner owner, RequestValidator intake, Dispatcher dispatcher,
+    /** Adds the handlers of a client connection to its pipeline. */
+    public static void add(ChannelPipeline pipeline, Owner owner, RequestValidator intake, Dispatcher dispatcher,
             AttemptTransport carrier) {
         ClientHandler handler = new ClientHandler(owner, intake, dispatcher, carrier);
-        // The encoder is the aggregator's, for its 100 Continue; answers are written from before it.
-        to.addLast(handler.decoder, new HttpResponseEncoder(), new RequestAggregator(BackendPool.MAX_BODY_BYTES, handler::tooLarge), handler);
-        handler.wire = to.context(RequestDecoder.class);
+        // Only the aggregator uses the encoder, for 100 Continue; responses bypass it.
+        pipeline.addLast(handler.decoder, new HttpResponseEncoder(),
+                new RequestAggregator(BackendPool.MAX_BODY_BYTES, handler::bodyTooLarge), handler);
+        handler.byteContext = pipeline.context(RequestDecoder.class);
     }
 
     @Override
@@ -124,97 +136,102 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        gone();
+        connectionLost();
     }
 
-    private void gone() {
+    private void connectionLost() {
         owner.connectionClosed(this);
-        dropWaiting();
-        if (live != null) {
-            Dispatcher.ActiveRequest left = live;
-            live = null;
-            left.clientDisconnected();
+        releaseQueued();
+        if (activeRequest != null) {
+            Dispatcher.ActiveRequest departed = activeRequest;
+            activeRequest = null;
+            departed.clientDisconnected();
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (ended || leaving || !(message instanceof FullHttpRequest request)) {
+        if (lastResponseWritten || closeAfterResponses || !(message instanceof FullHttpRequest request)) {
             ReferenceCountUtil.release(message);
             return;
         }
-        heard = true;
-        asked = true;
-        partSince = 0;
+        requestRead = true;
+        requestReceived = true;
+        partialSince = 0;
         int bytes = request.content().readableBytes();
-        if (owed.isEmpty() && waiting.size() < MOST_WAITING && waitingBytes + bytes <= MOST_WAITING_BYTES) {
-            waitingBytes += bytes;
-            waiting.addLast(new Waiting(request, System.nanoTime()));
+        if (pendingStatuses.isEmpty() && queued.size() < MAX_QUEUED_REQUESTS && queuedBytes + bytes
+                <= MAX_QUEUED_BYTES) {
+            queuedBytes += bytes;
+            queued.addLast(new QueuedRequest(request, System.nanoTime()));
             return;
         }
         try {
-            oweAnswerTo(request);
+            queueStatusFor(request);
         } finally {
             request.release();
         }
     }
 
-    /** All that has been read as a request is answered; of this one that is all that is done. */
-    private void oweAnswerTo(FullHttpRequest request) {
-        if (owed.size() == MOST_OWED) {
-            stopReading();
+    /**
+     * Every parsed request gets a response; a request beyond the queue limits gets only a status and is not dispatched.
+     */
+    private void queueStatusFor(FullHttpRequest request) {
+        if (pendingStatuses.size() == MAX_PENDING_STATUSES) {
+            discardFurtherInput();
             return;
         }
-        RequestHeadValidator.HeadError fault = RequestHeadValidator.findError(request);
-        if (isOdd(request) || fault != null && !fault.endKnown()) {
-            owed.addLast(fault == null ? HttpResponseStatus.BAD_REQUEST : fault.status());
-            stopReading();
+        RequestHeadValidator.HeadError error = RequestHeadValidator.findError(request);
+        if (hasInvalidBody(request) || error != null && !error.endKnown()) {
+            pendingStatuses.addLast(error == null ? HttpResponseStatus.BAD_REQUEST : error.status());
+            discardFurtherInput();
             return;
         }
-        owed.addLast(fault != null ? fault.status() : statusBehindOthers(request));
+        pendingStatuses.addLast(error != null ? error.status() : statusWithoutForwarding(request));
         if (!HttpUtil.isKeepAlive(request)) {
-            stopReading();
+            discardFurtherInput();
         }
     }
 
-    private HttpResponseStatus statusBehindOthers(FullHttpRequest request) {
+    private HttpResponseStatus statusWithoutForwarding(FullHttpRequest request) {
         String uri = RequestHeadValidator.normalizeTarget(request.method(), request.uri());
         String path = path(uri);
-        if (path.equals(READY)) {
-            return readiness();
-        } else if (!isForBackends(path)) {
+        if (path.equals(READY_PATH)) {
+            return readinessStatus();
+        } else if (!isBackendPath(path)) {
             return HttpResponseStatus.NOT_FOUND;
         }
-        InboundRequest arrival = intake.validate(request.method(), uri, new HeaderLookup(request.headers()),
-                request.content(), System.nanoTime());
+        InboundRequest arrival = intake.validate(request.method(), uri, new HeaderLookup(request.headers()), request.content(),
+                System.nanoTime());
         return arrival == null || !dispatcher.isUnusedId(arrival.requestId()) ? HttpResponseStatus.BAD_REQUEST
                 : HttpResponseStatus.TOO_MANY_REQUESTS;
     }
 
-    /** What it has sent so far is answered. The rest is thrown away, but read, or its leaving would go unnoticed. */
-    private void stopReading() {
-        leaving = true;
+    /**
+     * Discards further input after the requests so far. It is still read, as a disconnect would go unnoticed otherwise.
+     */
+    private void discardFurtherInput() {
+        closeAfterResponses = true;
         LingeringClose.discardInput(channel.pipeline());
     }
 
     /**
-     * Never while bytes are being decoded: whether the client has left lies behind its request, where only a further read finds
-     * it, and that is made before an attempt's first byte. Where it may have left long ago, it is made at once: nothing is asked for
-     * nobody.
+     * Starts the next request; never called while bytes are being decoded. Whether the client has disconnected is only
+     * visible behind its request by a further read, which is made before the first byte of an attempt is sent. Where
+     * the client may have disconnected long ago, that read is made here, so that no attempt is made for a lost client.
      */
-    private void takeUp() {
-        if (takingUp || open || ended || waiting.isEmpty() && owed.isEmpty()) {
+    private void startNext() {
+        if (startingNext || requestOpen || lastResponseWritten || queued.isEmpty() && pendingStatuses.isEmpty()) {
             return;
         }
-        takingUp = true;
+        startingNext = true;
         try {
-            boolean old = first || dispatcher.isLoopLate();
-            first = false;
-            if (!old || readPending()) {
-                handleNext();
+            boolean mayBeStale = firstRequest || dispatcher.isLoopLate();
+            firstRequest = false;
+            if (!mayBeStale || readPending()) {
+                processQueue();
             }
         } finally {
-            takingUp = false;
+            startingNext = false;
         }
     }
 
@@ -223,40 +240,40 @@
         if (channel.isActive()) {
             PendingInput.readAll(channel);
             if (!channel.isActive()) {
-                gone(); // the channel itself tells it only in a turn of its own
+                connectionLost(); // the channel reports it only in a later event loop iteration
             }
         }
         return channel.isActive();
     }
 
-    private void dropWaiting() {
-        for (Waiting next = waiting.pollFirst(); next != null; next = waiting.pollFirst()) {
+    private void releaseQueued() {
+        for (QueuedRequest next = queued.pollFirst(); next != null; next = queued.pollFirst()) {
             next.request().release();
         }
-        waitingBytes = 0;
-        owed.clear();
-    }
-
-    /** A body too large is told by its head, or by its chunks; none of it is kept. */
-    void tooLarge() {
-        heard = true;
-        if (!ended && evictionRank() != NOT_EVICTABLE) {
-            refuseToRead(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-        } else if (!ended) {
-            owed.addLast(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-            stopReading();
+        queuedBytes = 0;
+        pendingStatuses.clear();
+    }
+
+    /** Rejects a request whose body is too large by its head or by its chunks; none of it is kept. */
+    void bodyTooLarge() {
+        requestRead = true;
+        if (!lastResponseWritten && evictionRank() != NOT_EVICTABLE) {
+            rejectAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+        } else if (!lastResponseWritten) {
+            pendingStatuses.addLast(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            discardFurtherInput();
         }
     }
 
-    /** Notes since when a part of a request lies here: a client that stops in its middle must not hold on for ever. */
+    /** Records since when a partial request is present: a client that stops within a request must time out. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        boolean came = decoder.pollBytesReceived();
-        if (came && !heard && !open && waiting.isEmpty() && partSince == 0) {
-            partSince = System.nanoTime();
+        boolean bytesReceived = decoder.pollBytesReceived();
+        if (bytesReceived && !requestRead && !requestOpen && queued.isEmpty() && partialSince == 0) {
+            partialSince = System.nanoTime();
         }
-        heard = false;
-        takeUp();
+        requestRead = false;
+        startNext();
     }
 
     @Override
@@ -264,49 +281,54 @@
         channel.close();
     }
 
-    /** Between two requests, as far as has been read. */
+    /** Whether no request or part of one is present, as far as input has been read. */
     public boolean isIdle() {
-        return evictionRank() != NOT_EVICTABLE && partSince == 0;
+        return evictionRank() != NOT_EVICTABLE && partialSince == 0;
     }
 
-    /** A part of a request lies here, and none is open. */
-    private boolean half() {
-        return evictionRank() != NOT_EVICTABLE && partSince != 0;
+    /** Whether a part of a request was received and no other request is in progress. */
+    private boolean hasPartialRequest() {
+        return evictionRank() != NOT_EVICTABLE && partialSince != 0;
     }
 
-    /** How soon it goes when room is needed: the lowest first. */
+    /**
+     * The order in which connections are closed to make room, lowest first; {@link #NOT_EVICTABLE} if it must stay
+     * open.
+     */
     public int evictionRank() {
-        if (open || ended || !waiting.isEmpty() || !owed.isEmpty() || unwritten() > 0) {
+        if (requestOpen || lastResponseWritten || !queued.isEmpty() || !pendingStatuses.isEmpty()
+                || unwrittenBytes() > 0) {
             return NOT_EVICTABLE;
         }
-        return partSince != 0 ? 1 : asked ? 2 : 0;
+        return partialSince != 0 ? 1 : requestReceived ? 2 : 0;
     }
 
+    /** When the connection was opened or its last response was written, {@link System#nanoTime}. */
     public long idleSinceNanos() {
         return idleSince;
     }
 
-    /** Bytes of answers that the kernel has not taken yet: closed now, these would be cut off. */
-    private long unwritten() {
+    /** Bytes of responses that the kernel has not accepted yet, which a close would cut off. */
+    private long unwrittenBytes() {
         ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
         return out == null ? 0 : out.totalPendingWriteBytes();
     }
 
-    /** Whether it has taken nothing of its answers for so long, ns. */
-    private boolean deaf(long now, long mostNs) {
-        long left = open ? 0 : unwritten();
-        if (left == 0 || left != unwrittenBefore) {
-            unwrittenBefore = left;
-            unwrittenSince = now;
+    /** Whether the client has not accepted any pending response bytes for longer than the timeout. */
+    private boolean isStalled(long nowNanos, long timeoutNanos) {
+        long unwritten = requestOpen ? 0 : unwrittenBytes();
+        if (unwritten == 0 || unwritten != lastUnwrittenBytes) {
+            lastUnwrittenBytes = unwritten;
+            unwrittenUnchangedSince = nowNanos;
         }
-        return left > 0 && now - unwrittenSince > mostNs;
+        return unwritten > 0 && nowNanos - unwrittenUnchangedSince > timeoutNanos;
     }
 
     /**
-     * Closes it if nobody is owed anything on it: what lies unread is read first, for it may be a request, and closed on
-     * it would be lost. A client whose request crosses the close itself sends it again.
+     * Closes the connection if no response is pending. PendingInput input is read first, as it may be a request that the
+     * close would lose. A client whose request crosses the close has to retry it.
      *
-     * @return whether it is closed
+     * @return whether the connection was closed
      */
     public boolean closeIfEvictable() {
         if (evictionRank() == NOT_EVICTABLE || readPending() && evictionRank() == NOT_EVICTABLE) {
@@ -316,14 +338,16 @@
         return true;
     }
 
-    /** Ends what has stood too long: half a request (a trickle does not restart its clock), silence, a deaf client. */
+    /**
+     * Closes a connection with a partial request (more bytes do not restart the timeout), without activity, or stalled.
+     */
     public void closeIfTimedOut(long nowNanos, long timeoutNanos) {
-        boolean deaf = deaf(nowNanos, timeoutNanos);
-        if (ended ? nowNanos - idleSince > timeoutNanos && (deaf || unwritten() == 0) : deaf) {
-            channel.close(); // it does not take its answers
-        } else if (half() && nowNanos - (asked ? partSince : openedAt) > timeoutNanos) {
-            if (readPending() && half()) {
-                refuseToRead(HttpResponseStatus.REQUEST_TIMEOUT);
+        boolean stalled = isStalled(nowNanos, timeoutNanos);
+        if (lastResponseWritten ? nowNanos - idleSince > timeoutNanos && (stalled || unwrittenBytes() == 0) : stalled) {
+            channel.close(); // the client does not read its responses
+        } else if (hasPartialRequest() && nowNanos - (requestReceived ? partialSince : openedAt) > timeoutNanos) {
+            if (readPending() && hasPartialRequest()) {
+                rejectAndClose(HttpResponseStatus.REQUEST_TIMEOUT);
             }
         } else if (isIdle() && nowNanos - idleSince > timeoutNanos) {
             if (readPending() && isIdle()) {
@@ -332,63 +356,64 @@
         }
     }
 
-    /** A client that does not read its answers is not handled further until it does. */
+    /** No more requests of a client that does not read its responses are handled until it does. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        handleNext();
+        processQueue();
     }
 
-    private void handle(FullHttpRequest request, long since) {
-        open = true;
-        leaving |= !HttpUtil.isKeepAlive(request);
-        boolean handedOn = false;
+    private void handle(FullHttpRequest request, long receivedAt) {
+        requestOpen = true;
+        closeAfterResponses |= !HttpUtil.isKeepAlive(request);
+        boolean dispatched = false;
         try {
-            boolean odd = isOdd(request);
-            RequestHeadValidator.HeadError fault = RequestHeadValidator.findError(request);
-            if (odd || fault != null && !fault.endKnown()) {
-                refuseToRead(odd ? HttpResponseStatus.BAD_REQUEST : fault.status(), odd ? "" : fault.message());
+            boolean invalidBody = hasInvalidBody(request);
+            RequestHeadValidator.HeadError error = RequestHeadValidator.findError(request);
+            if (invalidBody || error != null && !error.endKnown()) {
+                rejectAndClose(invalidBody ? HttpResponseStatus.BAD_REQUEST : error.status(),
+                        invalidBody ? "" : error.message());
                 return;
             }
-            if (fault != null) {
-                answer(fault.status(), fault.message());
+            if (error != null) {
+                respond(error.status(), error.message());
                 return;
             }
             String uri = RequestHeadValidator.normalizeTarget(request.method(), request.uri());
             String path = path(uri);
-            if (path.equals(READY)) {
-                answer(readiness());
-            } else if (!isForBackends(path)) {
-                answer(HttpResponseStatus.NOT_FOUND);
+            if (path.equals(READY_PATH)) {
+                respond(readinessStatus());
+            } else if (!isBackendPath(path)) {
+                respond(HttpResponseStatus.NOT_FOUND);
             } else {
                 InboundRequest arrival = intake.validate(request.method(), uri,
-                        new HeaderLookup(request.headers()), request.content(), since);
+                        new HeaderLookup(request.headers()), request.content(), receivedAt);
                 if (arrival == null || !dispatcher.isUnusedId(arrival.requestId())) {
-                    // Never 429 or 503, which say that the same request may be sent again.
-                    answer(HttpResponseStatus.BAD_REQUEST);
+                    // Not 429 or 503, which permit retrying the same request.
+                    respond(HttpResponseStatus.BAD_REQUEST);
                 } else {
-                    handedOn = true;
-                    Dispatcher.ActiveRequest taken = dispatcher.accept(arrival, this, carrier);
-                    live = taken.isEnded() ? live : taken;
+                    dispatched = true;
+                    Dispatcher.ActiveRequest started = dispatcher.accept(arrival, this, carrier);
+                    activeRequest = started.isEnded() ? activeRequest : started;
                 }
             }
         } finally {
-            if (!handedOn) {
+            if (!dispatched) {
                 request.release();
             }
         }
     }
 
-    /** What is left of Transfer-Encoding here is no chunks, so the body's end was guessed; nor has a GET a body. */
-    private static boolean isOdd(FullHttpRequest request) {
+    /** A remaining Transfer-Encoding is not chunked, so the end of the body is a guess; a GET must not have a body. */
+    private static boolean hasInvalidBody(FullHttpRequest request) {
         return request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 || request.method().equals(HttpMethod.GET) && request.content().isReadable();
     }
 
-    private HttpResponseStatus readiness() {
+    private HttpResponseStatus readinessStatus() {
         return owner.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
     }
 
-    private static boolean isForBackends(String path) {
+    private static boolean isBackendPath(String path) {
         return path.equals("/api") || path.startsWith("/api/");
     }
 
@@ -397,120 +422,124 @@
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    // ---- The one final answer ---------------------------------------------------------------------------
+    // ---- The final response ----------------------------------------------------------------------------
 
     @Override
     public void served(ByteBuf body, String contentType) {
-        answer(HttpResponseStatus.OK, body, contentType, null);
+        respond(HttpResponseStatus.OK, body, contentType, null);
     }
 
     @Override
-    public void rejected(long retryAfterNs) {
-        answer(HttpResponseStatus.TOO_MANY_REQUESTS, Unpooled.EMPTY_BUFFER, null, retryAfter(retryAfterNs));
+    public void rejected(long retryAfterNanos) {
+        respond(HttpResponseStatus.TOO_MANY_REQUESTS, Unpooled.EMPTY_BUFFER, null, retryAfter(retryAfterNanos));
     }
 
     @Override
     public void failed(int status) {
-        answer(HttpResponseStatus.valueOf(status));
+        respond(HttpResponseStatus.valueOf(status));
     }
 
     @Override
     public void denied(Authorizer.Denial denial) {
         challenge = denial.challenge().isEmpty() ? null : denial.challenge();
-        answer(HttpResponseStatus.valueOf(denial.status()), denial.message(), retryAfter(denial.retryAfterNanos()));
+        respond(HttpResponseStatus.valueOf(denial.status()), denial.message(), retryAfter(denial.retryAfterNanos()));
     }
 
-    private static String retryAfter(long ns) {
-        return ns > 0 ? Double.toString(Math.max(1, ns / MS) / 1000.0) : null;
+    private static String retryAfter(long delayNanos) {
+        return delayNanos > 0 ? Double.toString(Math.max(1, delayNanos / NANOS_PER_MS) / 1000.0) : null;
     }
 
-    /** What can't be read has no end that could be found: the connection goes with the answer. */
-    private void refuseToRead(HttpResponseStatus status) {
-        refuseToRead(status, "");
+    /** Rejects a request whose end is unknown: the connection is closed after the response. */
+    private void rejectAndClose(HttpResponseStatus status) {
+        rejectAndClose(status, "");
     }
 
-    private void refuseToRead(HttpResponseStatus status, String why) {
-        dropWaiting();
-        leaving = true;
-        answer(status, why);
+    private void rejectAndClose(HttpResponseStatus status, String message) {
+        releaseQueued();
+        closeAfterResponses = true;
+        respond(status, message);
     }
 
-    /** The usual two are made once: under load most answers are one of them. */
-    private static byte[] startOf(HttpResponseStatus status) {
-        return status == HttpResponseStatus.OK ? OK : status == HttpResponseStatus.TOO_MANY_REQUESTS ? REFUSED : line(status);
+    /** The two most frequent status lines are encoded once: under load most responses have one of them. */
+    private static byte[] statusLine(HttpResponseStatus status) {
+        return status == HttpResponseStatus.OK ? OK_STATUS_LINE
+                : status == HttpResponseStatus.TOO_MANY_REQUESTS ? TOO_MANY_REQUESTS_STATUS_LINE
+                : encodeStatusLine(status);
     }
 
-    private static byte[] line(HttpResponseStatus status) {
+    private static byte[] encodeStatusLine(HttpResponseStatus status) {
         return HeadBytes.constant("HTTP/1.1 " + status);
     }
 
-    private void answer(HttpResponseStatus status) {
-        answer(status, Unpooled.EMPTY_BUFFER, null, null);
+    private void respond(HttpResponseStatus status) {
+        respond(status, Unpooled.EMPTY_BUFFER, null, null);
     }
 
-    /** @param why for people; "" for no body */
-    private void answer(HttpResponseStatus status, String why) {
-        if (why.isEmpty()) {
-            answer(status);
+    /** @param message readable text for the body; "" for no body */
+    private void respond(HttpResponseStatus status, String message) {
+        if (message.isEmpty()) {
+            respond(status);
         } else {
-            answer(status, why, null);
+            respond(status, message, null);
         }
     }
 
-    private void answer(HttpResponseStatus status, String why, String retryAfter) {
-        ByteBuf body = Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8);
-        answer(status, body, "text/plain; charset=utf-8", retryAfter);
+    private void respond(HttpResponseStatus status, String message, String retryAfter) {
+        ByteBuf body = Unpooled.copiedBuffer(message + "\n", StandardCharsets.UTF_8);
+        respond(status, body, "text/plain; charset=utf-8", retryAfter);
         body.release();
     }
 
-    /** @param body still the caller's */
-    private void answer(HttpResponseStatus status, ByteBuf body, String contentType, String retryAfter) {
-        HeadBytes head = new HeadBytes(EXPECTED_HEAD).add(startOf(status)).add(LENGTH).add(body.readableBytes());
+    /** @param body not released here */
+    private void respond(HttpResponseStatus status, ByteBuf body, String contentType, String retryAfter) {
+        HeadBytes head = new HeadBytes(EXPECTED_HEAD_BYTES).add(statusLine(status)).add(CONTENT_LENGTH)
+                .add(body.readableBytes());
         if (contentType != null) {
-            head.add(TYPE).add(contentType);
+            head.add(CONTENT_TYPE).add(contentType);
         }
         if (retryAfter != null) {
             head.add(RETRY_AFTER).add(retryAfter);
         }
         if (challenge != null) {
-            head.add(CHALLENGE).add(challenge);
+            head.add(WWW_AUTHENTICATE).add(challenge);
             challenge = null;
         }
-        boolean last = waiting.isEmpty() && owed.isEmpty() && (leaving || owner.draining());
-        head.add(last ? CLOSE_AND_END : END);
-        open = false;
-        live = null;
-        partSince = 0;
+        boolean last = queued.isEmpty() && pendingStatuses.isEmpty() && (closeAfterResponses || owner.draining());
+        head.add(last ? CLOSE_AND_HEAD_END : HEAD_END);
+        requestOpen = false;
+        activeRequest = null;
+        partialSince = 0;
         idleSince = System.nanoTime();
         if (last) {
-            ended = true;
+            lastResponseWritten = true;
             LingeringClose.discardInput(channel.pipeline());
-            head.writeTo(wire, body, channel.newPromise())
+            head.writeTo(byteContext, body, channel.newPromise())
                     .addListener(written -> LingeringClose.closeAfterLinger((SocketChannel) channel));
             return;
         }
-        head.writeTo(wire, body, channel.voidPromise());
-        handleNext();
+        head.writeTo(byteContext, body, channel.voidPromise());
+        processQueue();
     }
 
-    /** In a loop: what is answered at once would otherwise bring up the next ever deeper on the stack. */
-    private void handleNext() {
-        if (handling) {
+    /** A loop, because a request with an immediate response would otherwise start the next one in a recursion. */
+    private void processQueue() {
+        if (processingQueue) {
             return;
         }
-        handling = true;
+        processingQueue = true;
         try {
-            while (!open && !ended && channel.isWritable() && !(waiting.isEmpty() && owed.isEmpty())) {
-                Waiting next = waiting.pollFirst();
+            while (!requestOpen && !lastResponseWritten && channel.isWritable()
+                    && !(queued.isEmpty() && pendingStatuses.isEmpty())) {
+                QueuedRequest next = queued.pollFirst();
                 if (next == null) {
-                    answer(owed.pollFirst());
+                    respond(pendingStatuses.pollFirst());
                 } else {
-                    waitingBytes -= next.request().content().readableBytes();
-                    handle(next.request(), next.since());
+                    queuedBytes -= next.request().content().readableBytes();
+                    handle(next.request(), next.receivedAt());
                 }
             }
         } finally {
-            handling = false;
+            processingQueue = false;
         }
     }
 }
--- a/front-door/src/main/java/nettletrail/http/LingeringClose.java
+++ b/front-door/src/main/java/nettletrail/http/LingeringClose.java
@@ -8,23 +8,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a client's connection so that the last answer on it is read: a close with input unread would reset the
- * connection, and the answer with it. So the sending side ends first, what still comes is thrown away undecoded
- * for a moment, and then all is closed. However much comes while answers are still owed, it is read, as fast as the loop's turns
- * allow: none of it is kept, nobody is cut off with an answer owed, and that the client leaves is seen behind it.
+ * Lingering close of a client connection: closing a socket with unread input resets the connection, and the client may
+ * lose the last response. The output side is shut down first, further input is discarded undecoded for
+ * {@link #LINGER_MS}, and then the socket is closed. Input is also read and discarded without a limit while responses
+ * are still pending, so that no client is cut off before its response and the end of the connection behind the
+ * discarded input is noticed.
  */
 public final class LingeringClose extends ChannelInboundHandlerAdapter {
     private static final int LINGER_MS = 300;
+
     private LingeringClose() { }
 
-    /** Nothing more is read as a request from here on; the connection ends when its last answer is written. */
+    /**
+     * Discards all further input of the connection; has no effect when called again. The connection stays open until
+     * its last response is written.
+     */
     public static void discardInput(ChannelPipeline pipeline) {
         if (pipeline.get(LingeringClose.class) == null) {
             pipeline.addFirst(new LingeringClose());
         }
     }
 
-    /** The last answer is with the kernel. */
+    /** Shuts down the output and closes the channel after {@link #LINGER_MS}; for when the last response is written. */
     public static void closeAfterLinger(SocketChannel channel) {
         channel.shutdownOutput();
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
--- a/front-door/src/main/java/nettletrail/http/RequestAggregator.java
+++ b/front-door/src/main/java/nettletrail/http/RequestAggregator.java
@@ -13,35 +13,35 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Netty's aggregator would read a body of any size to its end before it closes; here its connection ends at once. A
- * request without a body, as most are, goes past it: there is nothing to gather.
+ * Aggregates requests with their bodies. Netty's aggregator reads an oversized body to its end before it closes the
+ * connection; this one reports it at once. A request without a body, which most are, bypasses the aggregation.
  */
 public final class RequestAggregator extends HttpObjectAggregator {
-    private final Runnable tooLarge;
-    /** A head with no body to come, until its end is there. */
-    private HttpRequest bare;
+    private final Runnable onBodyTooLarge;
+    /** The head of a request without a body, until the end of the request has been read; or null. */
+    private HttpRequest bodilessHead;
 
     /**
-     * @param mostBody bytes of a body, at most
-     * @param tooLarge told of a body that is larger, on the event loop; nothing of it is kept
+     * @param maxBodyBytes the largest permitted body
+     * @param onBodyTooLarge called on the event loop for a larger body, of which nothing is kept
      */
-    public RequestAggregator(int mostBody, Runnable tooLarge) {
-        super(mostBody, true);
-        this.tooLarge = tooLarge;
+    public RequestAggregator(int maxBodyBytes, Runnable onBodyTooLarge) {
+        super(maxBodyBytes, true);
+        this.onBodyTooLarge = onBodyTooLarge;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-        HttpRequest head = bare;
+        HttpRequest head = bodilessHead;
         if (head == null) {
-            if (message instanceof HttpRequest start && !(message instanceof FullHttpRequest) && isBare(start)) {
-                bare = start;
+            if (message instanceof HttpRequest start && !(message instanceof FullHttpRequest) && hasNoBody(start)) {
+                bodilessHead = start;
             } else {
                 super.channelRead(context, message);
             }
             return;
         }
-        bare = null;
+        bodilessHead = null;
         if (message == LastHttpContent.EMPTY_LAST_CONTENT) {
             context.fireChannelRead(new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(),
                     Unpooled.EMPTY_BUFFER, head.headers(), EmptyHttpHeaders.INSTANCE));
@@ -51,7 +51,7 @@
         }
     }
 
-    private static boolean isBare(HttpRequest start) {
+    private static boolean hasNoBody(HttpRequest start) {
         HttpHeaders headers = start.headers();
         String bodyLength = headers.get(HttpHeaderNames.CONTENT_LENGTH);
         return (bodyLength == null || bodyLength.equals("0")) && start.decoderResult().isSuccess()
@@ -60,6 +60,6 @@
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-        tooLarge.run();
+        onBodyTooLarge.run();
     }
 }
--- a/front-door/src/main/java/nettletrail/http/RequestDecoder.java
+++ b/front-door/src/main/java/nettletrail/http/RequestDecoder.java
@@ -12,26 +12,27 @@
 import java.util.List;
 import nettletrail.upstream.StrictFraming;
 
-/** Netty's decoder for requests, with what it would let pass made a failure. */
+/** Netty's request decoder with the stricter checks of {@link StrictFraming}; a violation is a decoder failure. */
 public final class RequestDecoder extends HttpRequestDecoder {
     private static final byte LF = '\n';
 
-    /** Between a head and its body's end: lines there are none of the head's. */
+    /** Decoding is between the head and the end of the body, where lines are not header lines. */
     private boolean inBody;
-    /** A line of this head began with white space. */
-    private boolean folded;
-    private boolean took;
+    /** A line of the current head began with white space. */
+    private boolean foldedLineSeen;
+    private boolean bytesReceived;
 
+    /** A decoder with the size limits of Netty's default configuration. */
     public RequestDecoder() {
         super(config());
     }
 
     /**
-     * @param mostLine bytes of the request line, at most
-     * @param mostHeaders bytes of all headers, at most
+     * @param maxLineBytes the longest permitted request line
+     * @param maxHeaderBytes the largest permitted size of all headers together
      */
-    public RequestDecoder(int mostLine, int mostHeaders) {
-        super(config().setMaxInitialLineLength(mostLine).setMaxHeaderSize(mostHeaders));
+    public RequestDecoder(int maxLineBytes, int maxHeaderBytes) {
+        super(config().setMaxInitialLineLength(maxLineBytes).setMaxHeaderSize(maxHeaderBytes));
     }
 
     private static HttpDecoderConfig config() {
@@ -40,21 +41,22 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-        took = true;
+        bytesReceived = true;
         super.channelRead(context, message);
     }
 
-    /** Whether any bytes have come since this was last asked. */
+    /** Whether any bytes have been received since the last call of this method. */
     public boolean pollBytesReceived() {
-        boolean since = took;
-        took = false;
-        return since;
+        boolean received = bytesReceived;
+        bytesReceived = false;
+        return received;
     }
 
     /**
-     * Netty joins a folded line to the one before and skips white space before the first: neither is seen in its result. It
-     * takes lines of a head only when they are whole, and returns between a head and its body, so what one call took is
-     * whole lines of a head or none (RFC 9112 sections 2.2 and 5.2).
+     * Detects folded lines in the raw bytes: Netty joins a folded line to the previous one and skips white space before
+     * the first line, so its result shows neither (RFC 9112 sections 2.2 and 5.2). Netty consumes only complete lines
+     * of a head and returns between a head and its body, so that the bytes consumed by one call are complete head lines
+     * or none.
      */
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf buffer, List<Object> out) throws Exception {
@@ -62,31 +64,31 @@
         int before = out.size();
         super.decode(context, buffer, out);
         if (!inBody) {
-            folded |= hasFold(buffer, from, buffer.readerIndex());
+            foldedLineSeen |= hasFoldedLine(buffer, from, buffer.readerIndex());
         }
         if (out.size() == before) {
             return;
         }
         if (out.get(before) instanceof HttpRequest head) {
-            if (folded) {
+            if (foldedLineSeen) {
                 head.setDecoderResult(DecoderResult.failure(StrictFraming.foldedLine()));
             }
-            folded = false;
+            foldedLineSeen = false;
         }
         inBody = !(out.get(out.size() - 1) instanceof LastHttpContent);
     }
 
-    private static boolean hasFold(ByteBuf in, int from, int to) {
-        for (int at = from; at < to;) {
-            byte first = in.getByte(at);
+    private static boolean hasFoldedLine(ByteBuf buffer, int from, int to) {
+        for (int lineStart = from; lineStart < to;) {
+            byte first = buffer.getByte(lineStart);
             if (first == ' ' || first == '\t') {
                 return true;
             }
-            int end = in.indexOf(at, to, LF);
+            int end = buffer.indexOf(lineStart, to, LF);
             if (end < 0) {
                 return false;
             }
-            at = end + 1;
+            lineStart = end + 1;
         }
         return false;
     }
--- a/front-door/src/main/java/nettletrail/http/package-info.java
+++ b/front-door/src/main/java/nettletrail/http/package-info.java
@@ -1,2 +1,2 @@
-/** The socket front: clients in, over HTTP/1.1. */
+/** The HTTP/1.1 server side: client connections and their requests. */
 package nettletrail.http;
--- a/front-door/src/main/java/nettletrail/upstream/BackendPool.java
+++ b/front-door/src/main/java/nettletrail/upstream/BackendPool.java
@@ -38,59 +38,61 @@
 import nettletrail.decision.Gateway.Outcome;
 
 /**
- * The connections to each backend, one request at a time on each, and how an attempt on one of them ends. An
- * attempt is written once: nothing here sends it again.
+ * Pool of the connections to each backend. A connection carries one request at a time, and the pool reports how each
+ * attempt ends. It never retries an attempt. Used on one event loop only.
  */
 public final class BackendPool implements AttemptTransport {
-    /** The largest body that the protocol knows. */
+    /** The largest request body that the protocol permits. */
     public static final int MAX_BODY_BYTES = 64 << 10;
     /**
-     * The largest answer that is passed on. Backends were seen to send good ones of 400 KB, and to take these for
-     * spoilt loses a request that has run. It is held whole, so it could do harm where very many such answers wait for
-     * clients that do not read: what comes then fails for want of buffers.
+     * The largest response that is relayed. Backends were seen to send valid responses of 400 KB, and rejecting one
+     * loses the result of a request that has run. Responses are buffered whole, so very many large ones that wait for
+     * slow clients could exhaust the buffer memory and make further responses fail.
      */
-    private static final int MOST_ANSWER = 512 << 10;
-    private static final int EXPECTED_HEAD = 256;
+    private static final int MAX_RESPONSE_BYTES = 512 << 10;
+    private static final int EXPECTED_HEAD_BYTES = 256;
     private static final byte[] GET = HeadBytes.constant("GET ");
     private static final byte[] SPACE = HeadBytes.constant(" ");
     private static final byte[] HOST =
             HeadBytes.constant(" HTTP/1.1\r\nhost: service.internal\r\n" + RequestValidator.TXN + ": ");
     private static final byte[] REMAINING = HeadBytes.constant("\r\n" + RequestValidator.REMAINING + ": ");
-    private static final byte[] LENGTH = HeadBytes.constant("\r\ncontent-length: ");
-    private static final byte[] END = HeadBytes.constant("\r\n\r\n");
+    private static final byte[] CONTENT_LENGTH = HeadBytes.constant("\r\ncontent-length: ");
+    private static final byte[] HEAD_END = HeadBytes.constant("\r\n\r\n");
     private static final AsciiString TURNED_AWAY = AsciiString.cached("X-Turned-Away");
-    private static final long SWEEP_MS = 1_000;
+    private static final long SWEEP_INTERVAL_MS = 1_000;
     /**
-     * An answered connection rests so long before its next request, so that what a backend sends behind its answer
-     * shows: bytes that come after the next request was written would be taken for that one's answer. They were
-     * seen to come 0.04 to 4.1 ms later: with a rest of 4 ms the last of them would have been another request's answer.
-     * More than twice that is rested; it costs a connection a tenth of what a request takes.
+     * Cooldown of a connection after a response, before its next request. It reveals surplus bytes that a backend sends
+     * after a response: after the next request was written they would be taken for its response. They were seen to
+     * arrive 0.04 to 4.1 ms later, so that a cooldown of 4 ms would have let the latest of them through. The value is
+     * more than twice that and takes a connection a tenth of the duration of a request.
      */
-    static final long REST_NS = 10_000_000L;
+    static final long COOLDOWN_NANOS = 10_000_000L;
     /**
-     * An answer that began and stays silent for so long has no end: backends write each in one go. One that goes on at
-     * {@link #LEAST_PART} bytes in each such time is a large one over a slow link, and is waited for.
+     * A response that has begun and makes no progress for this long is incomplete, as backends write each response at
+     * once. One with at least {@link #MIN_PROGRESS_BYTES} in each such interval is a large one on a slow link and may
+     * continue.
      */
-    private static final long MOST_PART_MS = 250;
-    private static final int LEAST_PART = 1 << 10;
+    private static final long PROGRESS_TIMEOUT_MS = 250;
+    private static final int MIN_PROGRESS_BYTES = 1 << 10;
     /**
-     * Requests a second that found only resting connections, from which on a backend gets one more. Fewer wait out the
-     * rest: a new connection costs the backend work. With more, what rests is as good as lost for them, and a spare one
-     * is paid for once.
+     * From this many requests a second that found only connections in their cooldown, a backend gets an additional
+     * connection. With fewer, a request waits for the end of a cooldown, because a new connection costs the backend
+     * work. With more, the connections in their cooldown are not available often enough, and an additional one is paid
+     * for once.
      */
-    private static final int REST_WAITS = 8;
-    /** From one look for descriptors that are about to be free to the next. */
-    private static final long RELEASE_MS = 1;
-    /** Connections that may rest at one backend before no spare ones are added. */
-    private static final int MOST_RESTING = 24;
-
-    /** An attempt, and the connection that it is on. */
-    private static final class Ride implements StartedAttempt {
+    private static final int MIN_COOLDOWN_WAITS_PER_SECOND = 8;
+    /** Interval of the checks for descriptors that are about to be released. */
+    private static final long DESCRIPTOR_POLL_MS = 1;
+    /** With this many connections to a backend in their cooldown, no additional ones are made. */
+    private static final int MAX_COOLING_DOWN = 24;
+
+    /** An attempt and the connection that carries it; null connection while it waits for one. */
+    private static final class UpstreamAttempt implements StartedAttempt {
         private final BackendAttempt attempt;
         private Backend backend;
         private Connection connection;
 
-        Ride(BackendAttempt attempt) {
+        UpstreamAttempt(BackendAttempt attempt) {
             this.attempt = attempt;
         }
 
@@ -99,36 +101,40 @@
             return connection == null;
         }
 
-        /** Closed first: told before, the module could send the request again while this attempt is still out. */
+        /**
+         * Closes the connection first: otherwise the request could be retried while this attempt is still in flight.
+         */
         @Override
         public Outcome cancel() {
-            Connection left = connection;
-            if (left == null) {
+            Connection used = connection;
+            if (used == null) {
                 backend.waiting.remove(this);
                 return Outcome.NEVER_SENT;
             }
-            left.ride = null;
-            left.channel.close();
-            return left.written ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED;
+            used.backendAttempt = null;
+            used.channel.close();
+            return used.requestWritten ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED;
         }
     }
 
     private static final class Backend {
         SocketAddress address;
-        boolean open;
+        /** Whether it may receive new attempts. */
+        boolean accepting;
         long sinceMs;
         int connecting;
-        int resting;
+        int coolingDown;
         int connections;
-        int restWaits;
-        long restWaitsSince;
-        /** Most recently used last: taken from the end, so that those not needed grow old and go. */
+        int cooldownWaits;
+        long cooldownWaitsSince;
+        /** Most recently used last. Taken from the end, so that connections not needed exceed their idle timeout. */
         final ArrayDeque<Connection> idle = new ArrayDeque<>();
-        final ArrayDeque<Ride> waiting = new ArrayDeque<>();
+        final ArrayDeque<UpstreamAttempt> waiting = new ArrayDeque<>();
     }
 
-    /** How a request's head is written to a backend. */
+    /** Encodes the head of the request that is sent to a backend. */
     public interface HeadEncoder {
+        /** Returns the whole head, whose content length must be that of the body of the attempt. */
         HeadBytes encode(BackendAttempt attempt);
     }
 
@@ -136,125 +142,128 @@
     private final HeadEncoder headEncoder;
     private final BackendReport.Reader reports;
     private final Bootstrap bootstrap;
-    private final long idleNs;
-    private final int most;
+    private final long idleTimeoutNanos;
+    private final int maxConnections;
     private final LongObjectHashMap<Backend> backends = new LongObjectHashMap<>();
-    private final IdleTimeoutEstimator ages = new IdleTimeoutEstimator(System.nanoTime());
-    /** Connections that rest, the first to have rested first; some of them may have closed since. */
-    private final ArrayDeque<Connection> resters = new ArrayDeque<>();
+    private final IdleTimeoutEstimator idleTimeoutEstimator = new IdleTimeoutEstimator(System.nanoTime());
+    /** Connections in their cooldown, in the order in which it ends; some of them may have closed since. */
+    private final ArrayDeque<Connection> cooldowns = new ArrayDeque<>();
     private int connections;
-    /** Closed ones whose descriptors the loop has not given back yet: it does when it next looks at its sockets. */
-    private int releasing;
+    /** Closed connections whose descriptors the event loop has not released yet; it does so at its next select. */
+    private int unreleasedDescriptors;
 
     /**
-     * @param connectTimeoutNs a connection not up by then has failed
-     * @param idleNs a backend closes a connection that has stood idle for so long
-     * @param most connections to all backends together
+     * @param connectTimeoutNanos time limit for establishing a connection
+     * @param idleTimeoutNanos idle time after which backends close a connection; the pool closes it earlier
+     * @param maxConnections limit of the connections to all backends together
      */
-    public BackendPool(EventLoop loop, BackendReport.Reader reports, long connectTimeoutNs, long idleNs, int most) {
-        this(loop, reports, BackendPool::head, connectTimeoutNs, idleNs, most);
+    public BackendPool(EventLoop loop, BackendReport.Reader reports, long connectTimeoutNanos, long idleTimeoutNanos,
+            int maxConnections) {
+        this(loop, reports, BackendPool::encodeHead, connectTimeoutNanos, idleTimeoutNanos, maxConnections);
     }
 
-    /** The same to servers that want other heads. */
-    public BackendPool(EventLoop loop, BackendReport.Reader reports, HeadEncoder headEncoder, long connectTimeoutNs, long idleNs,
-            int most) {
+    /** A pool for servers that need other request heads. */
+    public BackendPool(EventLoop loop, BackendReport.Reader reports, HeadEncoder headEncoder, long connectTimeoutNanos,
+            long idleTimeoutNanos, int maxConnections) {
         this(loop, reports, headEncoder, new Bootstrap().group(loop).channelFactory(PeekingChannel.factory())
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutNs / 1_000_000)), idleNs, most);
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutNanos / 1_000_000)),
+                idleTimeoutNanos, maxConnections);
+        loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** One whose connections are no sockets, and which nobody sweeps: it lives for a moment. */
-    public BackendPool(EventLoop loop, BackendReport.Reader reports, Bootstrap bootstrap, long idleNs, int most) {
-        this(loop, reports, BackendPool::head, bootstrap, idleNs, most);
+    /** A short-lived pool whose connections need not be sockets and are not closed on idle timeout. */
+    public BackendPool(EventLoop loop, BackendReport.Reader reports, Bootstrap bootstrap, long idleTimeoutNanos,
+            int maxConnections) {
+        this(loop, reports, BackendPool::encodeHead, bootstrap, idleTimeoutNanos, maxConnections);
     }
 
-    private BackendPool(EventLoop loop, BackendReport.Reader reports, HeadEncoder headEncoder, Bootstrap bootstrap, long idleNs,
-            int most) {
+    private BackendPool(EventLoop loop, BackendReport.Reader reports, HeadEncoder headEncoder, Bootstrap bootstrap,
+            long idleTimeoutNanos, int maxConnections) {
         this.loop = loop;
         this.headEncoder = headEncoder;
         this.reports = reports;
         this.bootstrap = bootstrap;
-        // Well before the backend does it: a request that crosses its close is lost, and may have run.
-        this.idleNs = idleNs / 3 * 2;
-        this.most = most;
+        // Well before the backend closes it: a request that crosses the close is lost, and may have run.
+        this.idleTimeoutNanos = idleTimeoutNanos / 3 * 2;
+        this.maxConnections = maxConnections;
     }
 
-    /** Attempts that wait for a backend now closed to them have ended. */
+    /** Attempts that wait for a backend that no longer accepts requests end before this returns. */
     @Override
-    public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
-        if (whole) {
-            backends.values().forEach(backend -> backend.open = false);
+    public void endpointsUpdated(boolean snapshot, List<Endpoint> entries) {
+        if (snapshot) {
+            backends.values().forEach(backend -> backend.accepting = false);
         }
         for (Endpoint entry : entries) {
             Backend backend = backends.computeIfAbsent(entry.id(), id -> new Backend());
-            backend.open = entry.state() == DiscoveryState.READY;
-            // Connections to a process that is gone, or to where it is no longer, are of no use.
-            boolean moved = entry.address() != null && !entry.address().equals(backend.address);
-            if (moved || entry.startedAtMs() != backend.sinceMs) {
+            backend.accepting = entry.state() == DiscoveryState.READY;
+            // Connections to an earlier process or an earlier address of the backend can't be used.
+            boolean addressChanged = entry.address() != null && !entry.address().equals(backend.address);
+            if (addressChanged || entry.startedAtMs() != backend.sinceMs) {
                 closeIdle(backend);
             }
-            backend.address = moved ? entry.address() : backend.address;
+            backend.address = addressChanged ? entry.address() : backend.address;
             backend.sinceMs = entry.startedAtMs();
         }
         for (Backend backend : List.copyOf(backends.values())) {
-            if (!backend.open) {
+            if (!backend.accepting) {
                 closeIdle(backend);
-                refuseWaiting(backend);
+                failWaiting(backend);
             }
         }
-        forgetGone();
+        removeUnusedBackends();
     }
 
-    private void forgetGone() {
-        List<Long> gone = new ArrayList<>();
+    private void removeUnusedBackends() {
+        List<Long> unused = new ArrayList<>();
         for (LongObjectHashMap.PrimitiveEntry<Backend> entry : backends.entries()) {
-            if (!entry.value().open && entry.value().connections == 0) {
-                gone.add(entry.key());
+            if (!entry.value().accepting && entry.value().connections == 0) {
+                unused.add(entry.key());
             }
         }
-        gone.forEach(backends::remove);
+        unused.forEach(backends::remove);
     }
 
     @Override
     public StartedAttempt start(BackendAttempt attempt) {
-        Ride ride = new Ride(attempt);
-        boolean wanted = attempt.isWanted(); // before the list is looked at: it may have changed by this
+        UpstreamAttempt backendAttempt = new UpstreamAttempt(attempt);
+        boolean wanted = attempt.isWanted(); // before the backend is looked up: this may change the list
         Backend backend = backends.get(attempt.backendId());
-        if (!wanted || backend == null || !backend.open) {
+        if (!wanted || backend == null || !backend.accepting) {
             attempt.ended(Outcome.NEVER_SENT);
-            return ride;
+            return backendAttempt;
         }
-        ride.backend = backend;
+        backendAttempt.backend = backend;
         long now = System.nanoTime();
-        endRests(now);
+        endElapsedCooldowns(now);
         Connection connection = backend.idle.pollLast();
-        while (connection != null && !connection.quiet()) {
-            connection.channel.close(); // its end, or bytes that nobody asked for, lie unread
+        while (connection != null && !connection.hasNothingUnread()) {
+            connection.channel.close(); // its end or unsolicited bytes are unread
             connection = backend.idle.pollLast();
         }
-        if (connection != null && now - connection.idleSince <= ages.maxIdleNanos(now)) {
-            connection.carry(ride);
-            return ride;
+        if (connection != null && now - connection.idleSince <= idleTimeoutEstimator.maxIdleNanos(now)) {
+            connection.send(backendAttempt);
+            return backendAttempt;
         }
         if (connection != null) {
-            // The youngest is too old, and so are all others.
+            // The most recently used one has been idle for too long, and so have all others.
             connection.channel.close();
             closeIdle(backend);
         }
-        backend.waiting.addLast(ride);
+        backend.waiting.addLast(backendAttempt);
         connectIfNeeded(backend);
-        if (ride.connection == null && backend.resting > 0) {
-            wakeAtRestOf(backend, now);
+        if (backendAttempt.connection == null && backend.coolingDown > 0) {
+            scheduleCooldownEnd(backend, now);
         }
-        return ride;
+        return backendAttempt;
     }
 
-    /** Some request waits for one that rests there. */
-    private void wakeAtRestOf(Backend backend, long now) {
-        for (Connection each : resters) {
-            if (each.resting && each.backend == backend) {
-                loop.schedule(() -> endRests(System.nanoTime()), Math.max(0, each.restUntil - now),
+    /** Schedules the end of the first cooldown at this backend, for an attempt that waits. */
+    private void scheduleCooldownEnd(Backend backend, long now) {
+        for (Connection each : cooldowns) {
+            if (each.coolingDown && each.backend == backend) {
+                loop.schedule(() -> endElapsedCooldowns(System.nanoTime()), Math.max(0, each.cooldownEnd - now),
                         TimeUnit.NANOSECONDS);
                 return;
             }
@@ -262,32 +271,32 @@
     }
 
     /**
-     * Connections that have rested are free, if nothing has come behind their answers. Called when one is looked for,
-     * at a wake of its own if a request waits for one, and now and then; a timer for each would wake the loop once more
-     * for each request. Looked at on the socket: what came may not have been read yet, on a loop that is late or has the
-     * next request's event first.
+     * Makes connections available whose cooldown has elapsed and which have received no surplus bytes. Called when a
+     * connection is needed, by a timer if an attempt waits for one, and periodically; a timer for each connection would
+     * wake the event loop once more for each request. Surplus bytes are looked for on the socket, because a loop that
+     * is late or processes the event of the next request first may not have read them yet.
      */
-    private void endRests(long now) {
-        for (Connection first = resters.peekFirst(); first != null && first.restUntil - now <= 0;
-                first = resters.peekFirst()) {
-            resters.pollFirst();
-            if (!first.resting) {
-                continue; // it has closed since
+    private void endElapsedCooldowns(long now) {
+        for (Connection first = cooldowns.peekFirst(); first != null && first.cooldownEnd - now <= 0;
+                first = cooldowns.peekFirst()) {
+            cooldowns.pollFirst();
+            if (!first.coolingDown) {
+                continue; // closed since
             }
-            if (!first.quiet()) {
+            if (!first.hasNothingUnread()) {
                 first.channel.close();
             } else {
-                first.endRest();
-                ready(first);
+                first.endCooldown();
+                connectionReady(first);
             }
         }
     }
 
-    /** The request's head as it is written to a backend. */
-    private static HeadBytes head(BackendAttempt attempt) {
+    /** Encodes the request head for a backend. */
+    private static HeadBytes encodeHead(BackendAttempt attempt) {
         InboundRequest arrival = attempt.request();
         boolean get = arrival.method() == HttpMethod.GET;
-        HeadBytes head = new HeadBytes(EXPECTED_HEAD);
+        HeadBytes head = new HeadBytes(EXPECTED_HEAD_BYTES);
         if (get) {
             head.add(GET);
         } else {
@@ -295,51 +304,56 @@
         }
         head.add(arrival.uri()).add(HOST).add(arrival.requestId()).add(REMAINING).add(attempt.remainingMs());
         if (!get) {
-            head.add(LENGTH).add(arrival.body().readableBytes());
+            head.add(CONTENT_LENGTH).add(arrival.body().readableBytes());
         }
-        return head.add(END);
+        return head.add(HEAD_END);
     }
 
-    /** One that rests is free sooner than a new one, and costs the backend nothing; if there are enough of them. */
+    /**
+     * Connects unless enough connections are in their cooldown: these are available sooner and cost the backend
+     * nothing.
+     */
     private void connectIfNeeded(Backend backend) {
-        if (backend.connecting + backend.resting < backend.waiting.size()) {
+        if (backend.connecting + backend.coolingDown < backend.waiting.size()) {
             connect(backend);
-        } else if (backend.resting > 0 && backend.connecting == 0 && !backend.waiting.isEmpty()
-                && restsTooOften(backend) && connections < most / 2) {
-            connect(backend); // whichever is free first takes what waits; the other is there for the next
+        } else if (backend.coolingDown > 0 && backend.connecting == 0 && !backend.waiting.isEmpty()
+                && waitsForCooldownTooOften(backend) && connections < maxConnections / 2) {
+            connect(backend); // the first available one takes the waiting attempt, the other the next one
         }
     }
 
-    private static boolean restsTooOften(Backend backend) {
+    private static boolean waitsForCooldownTooOften(Backend backend) {
         long now = System.nanoTime();
-        if (now - backend.restWaitsSince > TimeUnit.SECONDS.toNanos(1)) {
-            backend.restWaitsSince = now;
-            backend.restWaits = 0;
+        if (now - backend.cooldownWaitsSince > TimeUnit.SECONDS.toNanos(1)) {
+            backend.cooldownWaitsSince = now;
+            backend.cooldownWaits = 0;
         }
-        return ++backend.restWaits >= REST_WAITS && backend.resting < MOST_RESTING;
+        return ++backend.cooldownWaits >= MIN_COOLDOWN_WAITS_PER_SECOND && backend.coolingDown < MAX_COOLING_DOWN;
     }
 
     private void connect(Backend backend) {
-        if (connections >= most && !closeOldest()) {
+        if (connections >= maxConnections && !closeOldestIdle()) {
             backend.waiting.pollLast().attempt.ended(Outcome.NEVER_SENT);
             return;
         }
         backend.connecting++;
         backend.connections++;
         connections++;
-        open(backend);
+        connectWhenPossible(backend);
     }
 
-    /** It is counted. Waits for descriptors that are about to be free, or those of others would be taken. */
-    private void open(Backend backend) {
-        if (!backend.open || backend.waiting.isEmpty()) {
-            backend.connecting--; // drained or served meanwhile
+    /**
+     * Connects; the connection is counted already. Waits for descriptors being released, so as not to exceed the limit.
+     */
+    private void connectWhenPossible(Backend backend) {
+        if (!backend.accepting || backend.waiting.isEmpty()) {
+            backend.connecting--; // the backend is draining, or no attempt waits any more
             backend.connections--;
             connections--;
             return;
         }
-        if (connections + releasing > most) {
-            loop.schedule(() -> open(backend), RELEASE_MS, TimeUnit.MILLISECONDS);
+        if (connections + unreleasedDescriptors > maxConnections) {
+            loop.schedule(() -> connectWhenPossible(backend), DESCRIPTOR_POLL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         Connection connection = new Connection(backend);
@@ -347,56 +361,57 @@
             @Override
             protected void initChannel(Channel made) {
                 made.pipeline().addLast(connection.decoder, connection);
-                connection.wire = made.pipeline().context(connection.decoder);
+                connection.byteContext = made.pipeline().context(connection.decoder);
             }
         }).connect(backend.address);
         connection.channel = connecting.channel();
-        connection.channel.closeFuture().addListener(closed -> connection.closed());
+        connection.channel.closeFuture().addListener(closed -> connection.channelClosed());
         connecting.addListener(done -> {
             backend.connecting--;
             if (done.isSuccess()) {
-                ready(connection);
+                connectionReady(connection);
                 return;
             }
             connection.channel.close();
-            // One that came free may have taken an attempt already; the rest still has a connection coming up.
-            while (backend.waiting.size() > backend.connecting + backend.resting) {
+            // An available connection may have taken an attempt already; the remaining ones have a connection being
+            // made.
+            while (backend.waiting.size() > backend.connecting + backend.coolingDown) {
                 backend.waiting.pollFirst().attempt.ended(Outcome.CONNECT_FAILED);
             }
         });
     }
 
-    /** A connection is free for the next attempt. */
-    private void ready(Connection connection) {
+    /** Uses an available connection for the next waiting attempt, or adds it to the idle ones. */
+    private void connectionReady(Connection connection) {
         Backend backend = connection.backend;
-        for (Ride first = backend.waiting.peekFirst(); first != null && !first.attempt.isWanted();
+        for (UpstreamAttempt first = backend.waiting.peekFirst(); first != null && !first.attempt.isWanted();
                 first = backend.waiting.peekFirst()) {
-            if (backend.waiting.remove(first)) { // else it has been abandoned by what was heard
+            if (backend.waiting.remove(first)) { // otherwise it was abandoned by the input just read
                 first.attempt.ended(Outcome.NEVER_SENT);
             }
         }
-        // A drain may have been heard while the connection came up: the list is looked at again before the
-        // first byte, for a send after the grace breaks the rule on drains.
-        if (!backend.open || !backend.address.equals(connection.address)) {
+        // The backend may have begun to drain while the connection was made. Its state is checked again before the
+        // first byte, because a request sent after the grace period would violate the drain rule.
+        if (!backend.accepting || !backend.address.equals(connection.address)) {
             connection.channel.close();
-            if (!backend.open) {
-                refuseWaiting(backend);
+            if (!backend.accepting) {
+                failWaiting(backend);
             } else {
                 connectIfNeeded(backend);
             }
             return;
         }
-        Ride next = backend.waiting.pollFirst();
+        UpstreamAttempt next = backend.waiting.pollFirst();
         if (next != null) {
-            connection.carry(next);
+            connection.send(next);
         } else {
             connection.idleSince = connection.idleSince == 0 ? System.nanoTime() : connection.idleSince;
             backend.idle.addLast(connection);
         }
     }
 
-    private void refuseWaiting(Backend backend) {
-        for (Ride next = backend.waiting.pollFirst(); next != null; next = backend.waiting.pollFirst()) {
+    private void failWaiting(Backend backend) {
+        for (UpstreamAttempt next = backend.waiting.pollFirst(); next != null; next = backend.waiting.pollFirst()) {
             next.attempt.ended(Outcome.NEVER_SENT);
         }
     }
@@ -407,8 +422,8 @@
         }
     }
 
-    /** Makes room for a new connection; false if all are in use. */
-    private boolean closeOldest() {
+    /** Closes the connection that has been idle longest, to make room; false if all are in use. */
+    private boolean closeOldestIdle() {
         Connection oldest = null;
         for (Backend backend : backends.values()) {
             Connection first = backend.idle.peekFirst();
@@ -424,12 +439,13 @@
         return true;
     }
 
+    /** Closes connections whose idle timeout has elapsed, and ends cooldowns. */
     private void sweep() {
         long now = System.nanoTime();
-        endRests(now);
+        endElapsedCooldowns(now);
         for (Backend backend : backends.values()) {
             Connection first = backend.idle.peekFirst();
-            while (first != null && now - first.idleSince > idleNs) {
+            while (first != null && now - first.idleSince > idleTimeoutNanos) {
                 backend.idle.pollFirst();
                 first.channel.close();
                 first = backend.idle.peekFirst();
@@ -442,42 +458,43 @@
         final SocketAddress address;
         final ResponseDecoder decoder = new ResponseDecoder();
         Channel channel;
-        /** From where on there are only bytes. */
-        ChannelHandlerContext wire;
-        Ride ride;
-        boolean written;
-        HttpResponse head;
-        ByteBuf body = Unpooled.EMPTY_BUFFER;
-        /** Since when it stands idle, its rest included; 0 until it has done so. */
+        /** The context from which bytes are written without passing an HTTP handler. */
+        ChannelHandlerContext byteContext;
+        UpstreamAttempt backendAttempt;
+        boolean requestWritten;
+        HttpResponse responseHead;
+        ByteBuf responseBody = Unpooled.EMPTY_BUFFER;
+        /** Since when it has been idle, its cooldown included; 0 if it has not been idle yet. */
         long idleSince;
-        private Future<?> partClock;
-        private boolean resting;
-        private long restUntil;
-        /** For how long it had stood idle when its request came; -1 if that is its first, or once it is told. */
-        private long age = -1;
+        private Future<?> progressTimer;
+        private boolean coolingDown;
+        private long cooldownEnd;
+        /** Idle time before the current request; -1 for the first one and once reported. */
+        private long idleAge = -1;
 
         Connection(Backend backend) {
             this.backend = backend;
             address = backend.address;
         }
 
-        void carry(Ride next) {
-            ride = next;
+        void send(UpstreamAttempt next) {
+            backendAttempt = next;
             next.connection = this;
-            written = false;
+            requestWritten = false;
             next.attempt.sendStarted();
-            age = idleSince == 0 ? -1 : System.nanoTime() - idleSince;
-            headEncoder.encode(next.attempt).writeTo(wire, next.attempt.request().body(), channel.newPromise()).addListener(this);
+            idleAge = idleSince == 0 ? -1 : System.nanoTime() - idleSince;
+            headEncoder.encode(next.attempt).writeTo(byteContext, next.attempt.request().body(), channel.newPromise())
+                    .addListener(this);
         }
 
         /**
-         * The whole request is in the kernel's hands, or it never will be. A break from now on leaves open
-         * whether it ran; a break before proves that it did not.
+         * The whole request has been passed to the kernel, or the write failed. After a connection loss from now on it
+         * is unknown whether the request ran; an earlier loss proves that it did not.
          */
         @Override
         public void operationComplete(ChannelFuture write) {
             if (write.isSuccess()) {
-                written = true;
+                requestWritten = true;
             } else {
                 channel.close();
             }
@@ -486,180 +503,194 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             try {
-                if (ride == null) {
-                    // Nobody asked: were it kept, the next request would get another's answer.
+                if (backendAttempt == null) {
+                    // Unsolicited: a kept connection would deliver it as the response to the next request.
                     channel.close();
                     return;
                 }
                 if (message instanceof HttpResponse start) {
-                    head = start;
+                    responseHead = start;
                 }
                 if (((HttpObject) message).decoderResult().isFailure()
-                        || message == head && head.status().code() >= 200 && !hasEnd(head)) {
-                    spoilt();
+                        || message == responseHead && responseHead.status().code() >= 200
+                                && !hasDefiniteEnd(responseHead)) {
+                    invalidResponse();
                     return;
                 }
-                if (message instanceof HttpContent content && head.status().code() >= 200) {
-                    take(content);
+                if (message instanceof HttpContent content && responseHead.status().code() >= 200) {
+                    append(content);
                 }
             } finally {
                 ReferenceCountUtil.release(message);
             }
         }
 
-        private void take(HttpContent content) {
-            boolean whole = content instanceof LastHttpContent;
-            if (body.readableBytes() + content.content().readableBytes() > MOST_ANSWER) {
-                spoilt();
-            } else if (whole && !body.isReadable()) {
-                answered(content.content());
+        private void append(HttpContent content) {
+            boolean last = content instanceof LastHttpContent;
+            if (responseBody.readableBytes() + content.content().readableBytes() > MAX_RESPONSE_BYTES) {
+                invalidResponse();
+            } else if (last && !responseBody.isReadable()) {
+                responseComplete(content.content());
             } else {
-                body = body.isReadable() ? body : channel.alloc().buffer(content.content().readableBytes() * 2);
-                body.writeBytes(content.content());
-                if (whole) {
-                    answered(body);
+                responseBody = responseBody.isReadable() ? responseBody
+                        : channel.alloc().buffer(content.content().readableBytes() * 2);
+                responseBody.writeBytes(content.content());
+                if (last) {
+                    responseComplete(responseBody);
                 }
             }
         }
 
-        private void answered(ByteBuf whole) {
-            Ride ended = ride;
-            HttpResponse answer = head;
-            ByteBuf gathered = body;
-            Outcome outcome = written ? outcome(answer) : outcomeOfUnwritten(answer);
-            ride = null;
-            ended.connection = null;
-            body = Unpooled.EMPTY_BUFFER;
-            stopClock();
-            toldAge(false);
+        private void responseComplete(ByteBuf completeBody) {
+            UpstreamAttempt finished = backendAttempt;
+            HttpResponse response = responseHead;
+            ByteBuf aggregated = responseBody;
+            Outcome outcome = requestWritten ? outcome(response) : outcomeBeforeWritten(response);
+            backendAttempt = null;
+            finished.connection = null;
+            responseBody = Unpooled.EMPTY_BUFFER;
+            stopProgressTimer();
+            reportIdleAge(false);
             idleSince = System.nanoTime();
-            if (written && HttpUtil.isKeepAlive(answer) && !decoder.hasUndecodedBytes()) {
-                rest();
+            if (requestWritten && HttpUtil.isKeepAlive(response) && !decoder.hasUndecodedBytes()) {
+                startCooldown();
             } else {
                 channel.close();
             }
-            ended.attempt.ended(outcome, reports.read(new HeaderLookup(answer.headers())), whole,
-                    answer.headers().get(HttpHeaderNames.CONTENT_TYPE));
-            gathered.release();
+            finished.attempt.ended(outcome, reports.read(new HeaderLookup(response.headers())), completeBody,
+                    response.headers().get(HttpHeaderNames.CONTENT_TYPE));
+            aggregated.release();
         }
 
-        private void toldAge(boolean broke) {
-            if (age >= 0) {
-                ages.recordUse(age, broke, System.nanoTime());
-                age = -1;
+        private void reportIdleAge(boolean connectionLost) {
+            if (idleAge >= 0) {
+                idleTimeoutEstimator.recordUse(idleAge, connectionLost, System.nanoTime());
+                idleAge = -1;
             }
         }
 
-        private void rest() {
-            resting = true;
-            backend.resting++;
-            restUntil = idleSince + REST_NS;
-            resters.addLast(this);
+        private void startCooldown() {
+            coolingDown = true;
+            backend.coolingDown++;
+            cooldownEnd = idleSince + COOLDOWN_NANOS;
+            cooldowns.addLast(this);
             if (!backend.waiting.isEmpty()) {
-                wakeAtRestOf(backend, idleSince);
+                scheduleCooldownEnd(backend, idleSince);
             }
         }
 
-        private void endRest() {
-            if (resting) {
-                resting = false;
-                backend.resting--;
+        private void endCooldown() {
+            if (coolingDown) {
+                coolingDown = false;
+                backend.coolingDown--;
             }
         }
 
-        /** What came is no answer to anything, but the request has run. */
-        private void spoilt() {
-            Ride ended = ride;
-            ride = null;
-            ended.connection = null;
-            stopClock();
+        /** The response is invalid; the request may have run if it was written whole. */
+        private void invalidResponse() {
+            UpstreamAttempt finished = backendAttempt;
+            backendAttempt = null;
+            finished.connection = null;
+            stopProgressTimer();
             channel.close();
-            ended.attempt.ended(written ? Outcome.ERROR : Outcome.CONNECT_FAILED);
+            finished.attempt.ended(requestWritten ? Outcome.ERROR : Outcome.CONNECT_FAILED);
         }
 
         /**
-         * A backend begins a request when its last byte has come, so that what comes before is no answer to it, however good it
-         * looks; and with the connection closed it never runs. Only to be turned away needs no whole request.
+         * A backend starts a request when its last byte has arrived, so a response before that is not its response,
+         * however valid it looks, and with the connection closed the request never runs. Only a rejection needs no
+         * whole request.
          */
-        private static Outcome outcomeOfUnwritten(HttpResponse answer) {
-            return outcome(answer) == Outcome.FULL ? Outcome.FULL : Outcome.CONNECT_FAILED;
+        private static Outcome outcomeBeforeWritten(HttpResponse response) {
+            return outcome(response) == Outcome.FULL ? Outcome.FULL : Outcome.CONNECT_FAILED;
         }
 
-        /** Whether nothing has come on it that is not read yet, its end included; to be closed if not. */
-        private boolean quiet() {
+        /**
+         * Whether no input is unread, the end of the stream included; the connection must be closed if this is false.
+         */
+        private boolean hasNothingUnread() {
             return !(channel instanceof PeekingChannel socket) || socket.hasNothingUnread();
         }
 
-        /** Starts with an answer's first bytes, if these are not all: some stop in their middle and stay silent. */
+        /**
+         * Starts the progress timeout with the first bytes of an incomplete response: some backends stop within one.
+         */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (ride != null && partClock == null && (head != null || decoder.hasUndecodedBytes())) {
-                partClock = nextPart();
+            if (backendAttempt != null && progressTimer == null
+                    && (responseHead != null || decoder.hasUndecodedBytes())) {
+                progressTimer = startProgressTimer();
             }
         }
 
-        private Future<?> nextPart() {
-            long before = decoder.receivedBytes();
+        private Future<?> startProgressTimer() {
+            long receivedBefore = decoder.receivedBytes();
             return loop.schedule(() -> {
-                partClock = null;
-                if (ride != null && decoder.receivedBytes() - before >= LEAST_PART) {
-                    partClock = nextPart();
-                } else if (ride != null) {
-                    spoilt();
+                progressTimer = null;
+                if (backendAttempt != null && decoder.receivedBytes() - receivedBefore >= MIN_PROGRESS_BYTES) {
+                    progressTimer = startProgressTimer();
+                } else if (backendAttempt != null) {
+                    invalidResponse();
                 }
-            }, MOST_PART_MS, TimeUnit.MILLISECONDS);
+            }, PROGRESS_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        private void stopClock() {
-            head = null;
-            if (partClock != null) {
-                partClock.cancel(false);
-                partClock = null;
+        private void stopProgressTimer() {
+            responseHead = null;
+            if (progressTimer != null) {
+                progressTimer.cancel(false);
+                progressTimer = null;
             }
         }
 
-        /** An answer ends with its length or its last chunk; the end of the connection could as well be a break. */
-        private static boolean hasEnd(HttpResponse answer) {
-            return HttpUtil.isTransferEncodingChunked(answer)
-                    || answer.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
-                    && HttpUtil.getContentLength(answer, -1L) <= MOST_ANSWER;
+        /**
+         * Whether chunks or a permitted length delimit the response. The end of the connection does not, as it could be
+         * a connection loss.
+         */
+        private static boolean hasDefiniteEnd(HttpResponse response) {
+            return HttpUtil.isTransferEncodingChunked(response)
+                    || response.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
+                    && HttpUtil.getContentLength(response, -1L) <= MAX_RESPONSE_BYTES;
         }
 
-        private static Outcome outcome(HttpResponse answer) {
-            int status = answer.status().code();
+        private static Outcome outcome(HttpResponse response) {
+            int status = response.status().code();
             if (status == 200) {
                 return Outcome.OK;
             }
-            boolean unseen = (status == 503 || status == 504) && "1".equals(answer.headers().get(TURNED_AWAY));
-            return unseen ? Outcome.FULL : Outcome.ERROR;
+            boolean rejectedUnread = (status == 503 || status == 504)
+                    && "1".equals(response.headers().get(TURNED_AWAY));
+            return rejectedUnread ? Outcome.FULL : Outcome.ERROR;
         }
 
         /**
-         * Comes before the decoder hears of the end and could take that for the end of a body without a length:
-         * such a body can't be told from one cut short.
+         * Called before the decoder is notified of the end, which it could take for the end of a body without a length:
+         * such a body can't be distinguished from a truncated one.
          */
-        void closed() {
+        void channelClosed() {
             connections--;
             backend.connections--;
-            releasing++;
-            // Of two timers, the second made by the first, at least one is heard in a later round: it began with that look.
-            loop.schedule(() -> loop.schedule(() -> releasing--, 0, TimeUnit.MILLISECONDS), 0, TimeUnit.MILLISECONDS);
+            unreleasedDescriptors++;
+            // Of two nested timers at least one runs in a later loop iteration, which began with the select that
+            // released the descriptor.
+            loop.schedule(() -> loop.schedule(() -> unreleasedDescriptors--, 0, TimeUnit.MILLISECONDS), 0,
+                    TimeUnit.MILLISECONDS);
             backend.idle.remove(this);
-            body.release();
-            body = Unpooled.EMPTY_BUFFER;
-            if (ride != null && head == null && !decoder.hasUndecodedBytes()) {
-                toldAge(true);
+            responseBody.release();
+            responseBody = Unpooled.EMPTY_BUFFER;
+            if (backendAttempt != null && responseHead == null && !decoder.hasUndecodedBytes()) {
+                reportIdleAge(true);
             }
-            stopClock();
-            if (resting) {
-                endRest();
+            stopProgressTimer();
+            if (coolingDown) {
+                endCooldown();
                 connectIfNeeded(backend);
             }
-            Ride broken = ride;
-            if (broken != null) {
-                ride = null;
-                broken.connection = null;
-                broken.attempt.ended(written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+            UpstreamAttempt lost = backendAttempt;
+            if (lost != null) {
+                backendAttempt = null;
+                lost.connection = null;
+                lost.attempt.ended(requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED);
             }
         }
 
--- a/front-door/src/main/java/nettletrail/upstream/HeadBytes.java
+++ b/front-door/src/main/java/nettletrail/upstream/HeadBytes.java
@@ -10,82 +10,83 @@
 import java.util.Arrays;
 
 /**
- * The head of a message that is written (RFC 9112), put together in one piece: what is written here has the same few
- * headers each time, and Netty's encoder, which takes any, cost a tenth of a request's CPU. Nothing is checked: what goes
- * in is this front door's own or came through a decoder that has checked it.
+ * The head of an outgoing HTTP message (RFC 9112), encoded into one buffer. Outgoing messages have the same few headers
+ * each time, and Netty's general encoder took a tenth of the CPU time of a request. Nothing is validated: the values
+ * are the process's own or were checked by a decoder.
  */
 public final class HeadBytes {
-    /** A body up to so many bytes goes out in one piece with its head: a copy costs less than a second buffer. */
-    private static final int MOST_COPIED = 2 << 10;
-    private static final int MOST_DIGITS = 20;
+    /** Up to this size a body is copied behind its head: the copy costs less than a second buffer. */
+    private static final int MAX_COPIED_BODY_BYTES = 2 << 10;
+    private static final int MAX_DIGITS = 20;
 
     private byte[] bytes;
     private int length;
 
-    /** @param expected bytes; it grows if there are more */
-    public HeadBytes(int expected) {
-        bytes = new byte[expected];
+    /** @param expectedBytes the initial capacity, which grows as needed */
+    public HeadBytes(int expectedBytes) {
+        bytes = new byte[expectedBytes];
     }
 
-    /** Bytes as they are written. */
+    /** Encodes a text as ISO 8859-1, the form in which heads are written. */
     public static byte[] constant(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
+    /** @param part appended as it is */
     public HeadBytes add(byte[] part) {
-        makeRoom(part.length);
+        ensureCapacity(part.length);
         System.arraycopy(part, 0, bytes, length, part.length);
         length += part.length;
         return this;
     }
 
-    /** @param text each of its characters one byte, as a decoder reads them */
+    /** @param text encoded as ISO 8859-1, one byte for each character, as a decoder reads it */
     public HeadBytes add(String text) {
         return add(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** @param number 0 or more, written in decimal */
+    /** @param number written in decimal; not negative */
     public HeadBytes add(long number) {
-        makeRoom(MOST_DIGITS);
+        ensureCapacity(MAX_DIGITS);
         int digits = 1;
-        for (long rest = number / 10; rest > 0; rest /= 10) {
+        for (long remaining = number / 10; remaining > 0; remaining /= 10) {
             digits++;
         }
         length += digits;
-        long rest = number;
-        for (int at = length - 1; digits > 0; digits--) {
-            bytes[at--] = (byte) ('0' + rest % 10);
-            rest /= 10;
+        long remaining = number;
+        for (int index = length - 1; digits > 0; digits--) {
+            bytes[index--] = (byte) ('0' + remaining % 10);
+            remaining /= 10;
         }
         return this;
     }
 
-    private void makeRoom(int more) {
-        if (length + more > bytes.length) {
-            bytes = Arrays.copyOf(bytes, 2 * bytes.length + more);
+    private void ensureCapacity(int additionalBytes) {
+        if (length + additionalBytes > bytes.length) {
+            bytes = Arrays.copyOf(bytes, 2 * bytes.length + additionalBytes);
         }
     }
 
     /**
-     * Writes and flushes it, and the body behind it.
+     * Writes and flushes the head and the body.
      *
-     * @param to the context from which on nothing but bytes is written
-     * @param body not released here, and not needed any more once this has returned
-     * @param done told of the last byte's end
+     * @param context the context behind which no handler encodes HTTP, so that only bytes are written
+     * @param body not released here; the caller may release it once this has returned
+     * @param promise completes when the last byte is written
      */
-    public ChannelFuture writeTo(ChannelHandlerContext to, ByteBuf body, ChannelPromise done) {
+    public ChannelFuture writeTo(ChannelHandlerContext context, ByteBuf body, ChannelPromise promise) {
         int size = body.readableBytes();
-        boolean whole = size <= MOST_COPIED;
-        Channel channel = to.channel();
+        boolean copyBody = size <= MAX_COPIED_BODY_BYTES;
+        Channel channel = context.channel();
         ByteBufAllocator allocator = channel.alloc();
-        ByteBuf out = allocator.ioBuffer(length + (whole ? size : 0)).writeBytes(bytes, 0, length);
-        if (whole) {
+        ByteBuf out = allocator.ioBuffer(length + (copyBody ? size : 0)).writeBytes(bytes, 0, length);
+        if (copyBody) {
             if (size > 0) {
                 out.writeBytes(body, body.readerIndex(), size);
             }
-            return to.writeAndFlush(out, done);
+            return context.writeAndFlush(out, promise);
         }
-        to.write(out, channel.voidPromise());
-        return to.writeAndFlush(body.retainedDuplicate(), done);
+        context.write(out, channel.voidPromise());
+        return context.writeAndFlush(body.retainedDuplicate(), promise);
     }
 }
--- a/front-door/src/main/java/nettletrail/upstream/IdleTimeoutEstimator.java
+++ b/front-door/src/main/java/nettletrail/upstream/IdleTimeoutEstimator.java
@@ -3,74 +3,83 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long a kept connection may have stood idle and still be used, learned from those that broke at their next
- * request. A backend, or what lies on the way to it, may drop idle connections far sooner than the settings say and
- * without a word: the request written to one is lost, and one that must not run twice can't be sent again. Ages are
- * held against each other, as connections also break for reasons that have nothing to do with age, and those make no
- * age bad. It guards as well against address translators and balancers that forget a flow. It could do harm where a
- * fault strikes just the connections that happened to be old: they are then not used for some seconds, and each
- * request there pays for a new one.
+ * Estimates how long a kept-alive connection may be idle and still be reused, from connections that were lost on
+ * their next request. A backend, or a NAT or load balancer on the path that forgets a flow, may drop idle connections
+ * silently and far sooner than the settings say. The request written to one is lost, and one that must not run twice
+ * can't be retried. Loss rates of idle times are compared with each other, because connections are also lost for
+ * reasons unrelated to their idle time. Drawback: a fault that happens to hit only connections with long idle times
+ * stops their reuse for some seconds, and each request then pays for a new connection.
+ *
+ * <p>Times are in ns of {@link System#nanoTime}.
  */
 public final class IdleTimeoutEstimator {
-    /** Ages by powers of two from this on; what is younger counts as one, what is older than the last as the last. */
-    private static final long YOUNGEST_NS = TimeUnit.MILLISECONDS.toNanos(16);
-    private static final int CLASSES = 12;
-    /** Breaks that make an age bad: fewer may be chance. */
-    private static final double LEAST_BREAKS = 2.5;
-    /** A bad age breaks so many times as often as the younger ones, and at least so often. */
-    private static final double TIMES_YOUNGER = 2;
-    private static final double LEAST_RATE = 0.1;
-    /** What was seen counts half after this time, so that an age once bad is tried again. */
-    private static final double HALF_LIFE_NS = TimeUnit.SECONDS.toNanos(8);
-    private static final long DECAY_NS = TimeUnit.SECONDS.toNanos(1);
+    /**
+     * Upper bound of the first histogram bucket; bounds double from bucket to bucket, and the last one is unbounded.
+     */
+    private static final long FIRST_BUCKET_NANOS = TimeUnit.MILLISECONDS.toNanos(16);
+    private static final int BUCKETS = 12;
+    /** Losses from which on a bucket may be unsafe: fewer may be chance. */
+    private static final double MIN_LOSSES = 2.5;
+    /**
+     * A bucket is unsafe if its loss rate is above this multiple of that of the shorter idle times, and above the
+     * minimum.
+     */
+    private static final double MIN_LOSS_RATE_RATIO = 2;
+    private static final double MIN_LOSS_RATE = 0.1;
+    /** Half-life of the counts, so that an idle time once unsafe is tried again. */
+    private static final double HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(8);
+    private static final long DECAY_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final double[] uses = new double[CLASSES];
-    private final double[] breaks = new double[CLASSES];
+    private final double[] uses = new double[BUCKETS];
+    private final double[] losses = new double[BUCKETS];
     private long decayedAt;
 
-    /** @param now as {@link System#nanoTime} */
-    public IdleTimeoutEstimator(long now) {
-        decayedAt = now;
+    /** @param nowNanos the current {@link System#nanoTime} */
+    public IdleTimeoutEstimator(long nowNanos) {
+        decayedAt = nowNanos;
     }
 
-    /** A connection that had stood idle for so long was used, and broke before a byte of the answer, or not. */
-    public void recordUse(long idleNanos, boolean broken, long nowNanos) {
+    /**
+     * Records the reuse of a connection after this idle time, and whether it was lost before the first response byte.
+     */
+    public void recordUse(long idleNanos, boolean lost, long nowNanos) {
         decay(nowNanos);
-        int at = classOf(idleNanos);
-        uses[at]++;
-        breaks[at] += broken ? 1 : 0;
+        int bucket = bucketOf(idleNanos);
+        uses[bucket]++;
+        losses[bucket] += lost ? 1 : 0;
     }
 
-    /** Connections idle for longer are better not used. */
+    /** Returns the longest idle time after which to reuse a connection; {@link Long#MAX_VALUE} for no limit. */
     public long maxIdleNanos(long nowNanos) {
         decay(nowNanos);
-        double younger = uses[0];
-        double brokeYounger = breaks[0];
-        for (int at = 1; at < CLASSES; at++) {
-            double usual = younger > 0 ? brokeYounger / younger : 0;
-            if (breaks[at] >= LEAST_BREAKS && breaks[at] > Math.max(LEAST_RATE, TIMES_YOUNGER * usual) * uses[at]) {
-                return YOUNGEST_NS << at - 1;
+        double shorterUses = uses[0];
+        double shorterLosses = losses[0];
+        for (int bucket = 1; bucket < BUCKETS; bucket++) {
+            double shorterLossRate = shorterUses > 0 ? shorterLosses / shorterUses : 0;
+            if (losses[bucket] >= MIN_LOSSES
+                    && losses[bucket] > Math.max(MIN_LOSS_RATE, MIN_LOSS_RATE_RATIO * shorterLossRate) * uses[bucket]) {
+                return FIRST_BUCKET_NANOS << bucket - 1;
             }
-            younger += uses[at];
-            brokeYounger += breaks[at];
+            shorterUses += uses[bucket];
+            shorterLosses += losses[bucket];
         }
         return Long.MAX_VALUE;
     }
 
-    private static int classOf(long ageNs) {
-        long times = Math.max(0, ageNs) / YOUNGEST_NS;
-        return Math.min(CLASSES - 1, Long.SIZE - Long.numberOfLeadingZeros(times));
+    private static int bucketOf(long idleNanos) {
+        long multiple = Math.max(0, idleNanos) / FIRST_BUCKET_NANOS;
+        return Math.min(BUCKETS - 1, Long.SIZE - Long.numberOfLeadingZeros(multiple));
     }
 
-    private void decay(long now) {
-        if (now - decayedAt < DECAY_NS) {
+    private void decay(long nowNanos) {
+        if (nowNanos - decayedAt < DECAY_INTERVAL_NANOS) {
             return;
         }
-        double kept = Math.pow(0.5, (now - decayedAt) / HALF_LIFE_NS);
-        decayedAt = now;
-        for (int at = 0; at < CLASSES; at++) {
-            uses[at] *= kept;
-            breaks[at] *= kept;
+        double factor = Math.pow(0.5, (nowNanos - decayedAt) / HALF_LIFE_NANOS);
+        decayedAt = nowNanos;
+        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+            uses[bucket] *= factor;
+            losses[bucket] *= factor;
         }
     }
 }
--- a/front-door/src/main/java/nettletrail/upstream/PeekingChannel.java
+++ b/front-door/src/main/java/nettletrail/upstream/PeekingChannel.java
@@ -5,29 +5,32 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A socket that can be asked whether anything has come that the event loop has not read yet. */
+/** A socket channel that can be asked whether input has arrived that the event loop has not read yet. */
 public final class PeekingChannel extends NioSocketChannel {
-    private final ByteBuffer one;
+    private final ByteBuffer probe;
 
-    /** Makes the channels of one event loop, which share the byte that they look with. */
+    /** Returns a factory for the channels of one event loop, which share one probe buffer. */
     public static ChannelFactory<PeekingChannel> factory() {
-        ByteBuffer one = ByteBuffer.allocateDirect(1);
-        return () -> new PeekingChannel(one);
+        ByteBuffer probe = ByteBuffer.allocateDirect(1);
+        return () -> new PeekingChannel(probe);
     }
 
-    /** @param one of one byte or more, off the heap (the look copies nothing then); for this event loop's channels alone */
-    PeekingChannel(ByteBuffer one) {
-        this.one = one;
+    /**
+     * @param probe a direct buffer of at least one byte, so that the read copies nothing; shared only by channels of
+     *     the same event loop
+     */
+    PeekingChannel(ByteBuffer probe) {
+        this.probe = probe;
     }
 
     /**
-     * Whether neither a byte nor the end has come. What came is lost by the look, so that the connection must be closed if
-     * this is false. On the event loop; costs one system call.
+     * Whether neither a byte nor the end of the stream has arrived. The probe consumes what has arrived, so the
+     * connection must be closed if this is false. To be called on the event loop; costs one system call.
      */
     public boolean hasNothingUnread() {
-        one.clear();
+        probe.clear();
         try {
-            return javaChannel().read(one) == 0;
+            return javaChannel().read(probe) == 0;
         } catch (IOException e) {
             return false;
         }
--- a/front-door/src/main/java/nettletrail/upstream/ResponseDecoder.java
+++ b/front-door/src/main/java/nettletrail/upstream/ResponseDecoder.java
@@ -7,31 +7,31 @@
 import io.netty.util.AsciiString;
 
 /**
- * Netty's decoder for a backend's answers, with {@link StrictFraming}. It tells whether bytes were left over behind an
- * answer, and how many came in all.
+ * Netty's response decoder with the stricter checks of {@link StrictFraming}. It also reports whether bytes are left
+ * behind a response and how many bytes were received in all.
  */
 public final class ResponseDecoder extends HttpResponseDecoder {
-    /** Bytes so far. */
-    private long received;
-    private boolean bodiless;
+    private long receivedBytes;
+    private boolean responseHasNoBody;
 
     /**
-     * Tells of the next request.
+     * Prepares for the response to the next request.
      *
-     * @param head whether its method is HEAD: its answer has no body, whatever its headers say (RFC 9112 section 6.3)
+     * @param headRequest whether the method is HEAD: its response has no body whatever its headers say (RFC 9112
+     *     section 6.3)
      */
-    public void expectResponseTo(boolean head) {
-        bodiless = head;
+    public void expectResponseTo(boolean headRequest) {
+        responseHasNoBody = headRequest;
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-        return bodiless || super.isContentAlwaysEmpty(message);
+        return responseHasNoBody || super.isContentAlwaysEmpty(message);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-        received += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+        receivedBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
         super.channelRead(context, message);
     }
 
@@ -46,13 +46,13 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    /** Whether bytes have come that are not decoded yet. */
+    /** Whether bytes have been received that are not decoded yet. */
     public boolean hasUndecodedBytes() {
         return internalBuffer().isReadable();
     }
 
-    /** Bytes that have come so far, of all answers. */
+    /** Bytes received so far on this connection, of all responses. */
     public long receivedBytes() {
-        return received;
+        return receivedBytes;
     }
 }
--- a/front-door/src/main/java/nettletrail/upstream/package-info.java
+++ b/front-door/src/main/java/nettletrail/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** Attempts out: connections of this process to backends. */
+/** The upstream side: connections of this process to backends, which carry attempts. */
 package nettletrail.upstream;
--- a/front-door/src/test/java/nettletrail/discovery/Watch.java
+++ b/front-door/src/test/java/nettletrail/discovery/AgentConnection.java
@@ -6,21 +6,21 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** An agent's end of one connection from a front door. */
-final class Watch implements AutoCloseable {
-    private static final int PATIENCE_MS = 10_000;
+/** The agent's side of a connection from a discovery client. */
+final class AgentConnection implements AutoCloseable {
+    private static final int TIMEOUT_MS = 10_000;
 
     private final Socket socket;
 
-    /** Takes the next that comes; one that does not fails the test. */
-    Watch(ServerSocket agent) throws IOException {
-        agent.setSoTimeout(PATIENCE_MS);
+    /** Accepts the next connection; fails the test if none is made within the timeout. */
+    AgentConnection(ServerSocket agent) throws IOException {
+        agent.setSoTimeout(TIMEOUT_MS);
         socket = agent.accept();
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
     }
 
-    /** The next call's first line, or "ended". */
-    String read() throws IOException {
+    /** The first line of the next request, or "ended" if the connection was closed. */
+    String readRequestLine() throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
@@ -33,13 +33,13 @@
         return head.substring(0, head.indexOf("\r\n"));
     }
 
-    void answer(String list) throws IOException {
-        answer("200 OK", list);
+    void respond(String body) throws IOException {
+        respond("200 OK", body);
     }
 
-    void answer(String status, String body) throws IOException {
-        socket.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                .getBytes(StandardCharsets.ISO_8859_1));
+    void respond(String status, String body) throws IOException {
+        socket.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
+                + body).getBytes(StandardCharsets.ISO_8859_1));
     }
 
     @Override
--- a/front-door/src/test/java/nettletrail/upstream/HeadBytesTest.java
+++ b/front-door/src/test/java/nettletrail/upstream/HeadBytesTest.java
@@ -19,7 +19,7 @@
         return channel.pipeline().context(handler);
     }
 
-    /** What was written, in so many pieces. */
+    /** The written text; fails unless it was written in this number of buffers. */
     private String written(int pieces) {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < pieces; i++) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void numbersAreWrittenAsTheyAreRead() {
+    void writesNumbersInDecimal() {
         long[] numbers = {0, 1, 9, 10, 99, 100, 65_536, 3_600_000, Long.MAX_VALUE};
         for (long number : numbers) {
             new HeadBytes(1).add(number).writeTo(context(), Unpooled.EMPTY_BUFFER, channel.newPromise());
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void moreThanWasExpectedFits() {
+    void growsBeyondExpectedSize() {
         String uri = "/" + "x".repeat(4_000) + "\u00e9";
         new HeadBytes(8).add(HeadBytes.constant("GET ")).add(uri).add(HeadBytes.constant(" HTTP/1.1\r\n\r\n"))
                 .writeTo(context(), Unpooled.EMPTY_BUFFER, channel.newPromise());
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aBodyIsLeftAsItWasAndIsTheCallersStill() {
+    void leavesBodyUnchangedAndOwnedByCaller() {
         for (int size : new int[] {0, 1, 2_048, 2_049, 60_000}) {
             ByteBuf body = channel.alloc().buffer().writeZero(3).writeBytes(new byte[size]);
             body.skipBytes(3);
--- a/router/src/main/java/nettletrail/router/ClientConnection.java
+++ b/router/src/main/java/nettletrail/router/ClientConnection.java
@@ -12,9 +12,9 @@
 import nettletrail.configuration.Limits;
 import nettletrail.core.PendingInput;
 import nettletrail.http.LingeringClose;
-import nettletrail.http.RequestHeadValidator;
 import nettletrail.http.RequestAggregator;
 import nettletrail.http.RequestDecoder;
+import nettletrail.http.RequestHeadValidator;
 
 /**
  * One connection of a client, the last handler of its pipeline. Dispatches its requests one at a
--- a/router/src/main/java/nettletrail/router/upstream/UpstreamConnection.java
+++ b/router/src/main/java/nettletrail/router/upstream/UpstreamConnection.java
@@ -12,9 +12,9 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import nettletrail.upstream.ResponseDecoder;
 import nettletrail.upstream.IdleTimeoutEstimator;
 import nettletrail.upstream.PeekingChannel;
+import nettletrail.upstream.ResponseDecoder;
 
 /**
  * One connection to a backend, the last handler of its pipeline. Carries one request at a time. All
@@ -241,7 +241,8 @@
 
   /** Whether the socket has neither unread bytes nor an unread end. */
   boolean hasNothingUnread() {
-    return channel.isActive() && (!(channel instanceof PeekingChannel socket) || socket.hasNothingUnread());
+    return channel.isActive()
+        && (!(channel instanceof PeekingChannel socket) || socket.hasNothingUnread());
   }
 
   /**
--- a/router/src/main/java/nettletrail/router/upstream/UpstreamPool.java
+++ b/router/src/main/java/nettletrail/router/upstream/UpstreamPool.java
@@ -21,7 +21,8 @@
   private final int maxConnections;
   private final Map<String, BackendConnectionPool> backends = new HashMap<>();
   private final CooldownQueue cooldowns;
-  private final IdleTimeoutEstimator idleTimeoutEstimator = new IdleTimeoutEstimator(System.nanoTime());
+  private final IdleTimeoutEstimator idleTimeoutEstimator =
+      new IdleTimeoutEstimator(System.nanoTime());
   private int connections;
 
   /**
--- a/tokens/src/main/java/nettletrail/tokens/Revocations.java
+++ b/tokens/src/main/java/nettletrail/tokens/Revocations.java
@@ -19,8 +19,8 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpResponseEncoder;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.timeout.ReadTimeoutHandler;
 import java.io.IOException;
@@ -29,8 +29,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import nettletrail.core.Log;
-import nettletrail.http.RequestHeadValidator;
 import nettletrail.http.RequestDecoder;
+import nettletrail.http.RequestHeadValidator;
 
 /**
  * Where the authority pushes what it revoked (RFC 8935): one signed event a request, 202 for one that was taken, 400 with an
