--- a/ext-proc/src/main/java/nettletrail/extproc/BoundedServerChannel.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/BoundedServerChannel.java
@@ -6,42 +6,43 @@
 import nettletrail.core.Log;
 
 /**
- * A listener that holds so many connections at most: one over the bound is closed as soon as it is accepted, so that a
- * crowd of callers can't use up the descriptors that clients and backends need.
+ * A listener with a maximum number of connections. A connection above the limit is closed as soon as it is accepted, so
+ * that a burst of callers can't exhaust the file descriptors that clients and backends need.
  */
 final class BoundedServerChannel extends NioServerSocketChannel {
-    private final int most;
-    private final String name;
-    private int open;
-    private boolean told;
+    private final int maxConnections;
+    private final String protocol;
+    private int openConnections;
+    private boolean limitLogged;
 
-    BoundedServerChannel(int most, String name) {
-        this.most = most;
-        this.name = name;
+    BoundedServerChannel(int maxConnections, String protocol) {
+        this.maxConnections = maxConnections;
+        this.protocol = protocol;
     }
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-        int before = accepted.size();
+        int alreadyAccepted = accepted.size();
         super.doReadMessages(accepted);
-        for (int i = accepted.size() - 1; i >= before; i--) {
+        for (int i = accepted.size() - 1; i >= alreadyAccepted; i--) {
             Channel channel = (Channel) accepted.get(i);
-            if (open >= most) {
+            if (openConnections >= maxConnections) {
                 accepted.remove(i);
                 channel.unsafe().closeForcibly();
-                if (!told) {
-                    told = true;
-                    Log.line("ext_proc: " + name + ": over " + most + " callers; further ones are closed "
+                if (!limitLogged) {
+                    limitLogged = true;
+                    Log.line("ext_proc: " + protocol + ": limit of " + maxConnections
+                            + " connections reached; further ones are closed "
                             + "(most_callers)");
                 }
             } else {
-                open++;
+                openConnections++;
                 channel.closeFuture().addListener(closed -> {
-                    open--;
-                    told = false;
+                    openConnections--;
+                    limitLogged = false;
                 });
             }
         }
-        return accepted.size() - before;
+        return accepted.size() - alreadyAccepted;
     }
 }
--- a/ext-proc/src/main/java/nettletrail/extproc/Answers.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcResponses.java
@@ -4,8 +4,8 @@
 import com.google.protobuf.Struct;
 import com.google.protobuf.Value;
 import io.envoyproxy.envoy.config.core.v3.HeaderValue;
-import io.envoyproxy.envoy.config.core.v3.HeaderValueOption;
 import io.envoyproxy.envoy.config.core.v3.HeaderValueOption.HeaderAppendAction;
+import io.envoyproxy.envoy.config.core.v3.HeaderValueOption;
 import io.envoyproxy.envoy.service.ext_proc.v3.BodyResponse;
 import io.envoyproxy.envoy.service.ext_proc.v3.CommonResponse;
 import io.envoyproxy.envoy.service.ext_proc.v3.HeaderMutation;
@@ -19,10 +19,10 @@
 import java.net.SocketAddress;
 import nettletrail.core.Authorizer;
 
-/** The messages that go to a proxy over gRPC. Those that never change are made once. */
-final class Answers {
-    /** Tells whoever reads the client's answer what this processor decided. */
-    static final String DECISION = "x-gateway-decision";
+/** Builds the gRPC responses sent to a proxy. Responses that never change are shared constants. */
+final class ExtProcResponses {
+    /** Response header that states this processor's decision, for whoever inspects the client's response. */
+    static final String DECISION_HEADER = "x-gateway-decision";
     static final ProcessingResponse REQUEST_BODY = ProcessingResponse.newBuilder()
             .setRequestBody(BodyResponse.getDefaultInstance()).build();
     static final ProcessingResponse REQUEST_TRAILERS = ProcessingResponse.newBuilder()
@@ -33,91 +33,91 @@
             .setResponseBody(BodyResponse.getDefaultInstance()).build();
     static final ProcessingResponse RESPONSE_TRAILERS = ProcessingResponse.newBuilder()
             .setResponseTrailers(TrailersResponse.getDefaultInstance()).build();
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final ExtProcSettings settings;
 
-    Answers(ExtProcSettings settings) {
+    ExtProcResponses(ExtProcSettings settings) {
         this.settings = settings;
     }
 
-    /** The address as proxies read it. */
-    static String text(SocketAddress address) {
+    /** The address as {@code IP:port}, with an IPv6 address in brackets. */
+    static String hostPort(SocketAddress address) {
         InetSocketAddress socket = (InetSocketAddress) address;
         String host = socket.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + socket.getPort();
     }
 
-    ProcessingResponse forward(String node, long remainingMs, boolean unsafe) {
+    ProcessingResponse forward(String hostPort, long remainingMs, boolean unsafe) {
         HeaderMutation.Builder headers = HeaderMutation.newBuilder();
-        if (!settings.destination().isEmpty()) {
-            headers.addSetHeaders(header(settings.destination(), node));
+        if (!settings.destinationHeader().isEmpty()) {
+            headers.addSetHeaders(overwriteHeader(settings.destinationHeader(), hostPort));
         }
-        if (!settings.originalDst().isEmpty()) {
-            headers.addSetHeaders(header(settings.originalDst(), node));
+        if (!settings.originalDstHeader().isEmpty()) {
+            headers.addSetHeaders(overwriteHeader(settings.originalDstHeader(), hostPort));
         }
-        headers.addSetHeaders(header("x-remaining-ms", Long.toString(remainingMs)));
-        if (unsafe && settings.stopRetries()) {
-            // The router's own tries are not asked about here.
-            headers.addSetHeaders(header("x-envoy-max-retries", "0"));
+        headers.addSetHeaders(overwriteHeader("x-remaining-ms", Long.toString(remainingMs)));
+        if (unsafe && settings.suppressRetries()) {
+            // Retries and hedges by Envoy's router filter don't pass through this processor, so they are disabled.
+            headers.addSetHeaders(overwriteHeader("x-envoy-max-retries", "0"));
             headers.addRemoveHeaders("x-envoy-retry-on");
             headers.addRemoveHeaders("x-envoy-retry-grpc-on");
             headers.addRemoveHeaders("x-envoy-hedge-on-per-try-timeout");
         }
-        ProcessingResponse.Builder answer = ProcessingResponse.newBuilder().setRequestHeaders(
+        ProcessingResponse.Builder response = ProcessingResponse.newBuilder().setRequestHeaders(
                 HeadersResponse.newBuilder().setResponse(CommonResponse.newBuilder().setHeaderMutation(headers)));
-        if (!settings.namespace().isEmpty() && !settings.destination().isEmpty()) {
-            Struct.Builder inner = Struct.newBuilder().putFields(settings.destination(),
-                    Value.newBuilder().setStringValue(node).build());
-            answer.setDynamicMetadata(Struct.newBuilder().putFields(settings.namespace(),
-                    Value.newBuilder().setStructValue(inner).build()));
+        if (!settings.metadataNamespace().isEmpty() && !settings.destinationHeader().isEmpty()) {
+            Struct.Builder namespaceFields = Struct.newBuilder().putFields(settings.destinationHeader(),
+                    Value.newBuilder().setStringValue(hostPort).build());
+            response.setDynamicMetadata(Struct.newBuilder().putFields(settings.metadataNamespace(),
+                    Value.newBuilder().setStructValue(namespaceFields).build()));
         }
-        return answer.build();
+        return response.build();
     }
 
-    /** 0 ns: no word on when to come again. */
-    static ProcessingResponse refuse(int status, long retryAfterNs, String why) {
-        return comeAgain(immediate(status, "refuse", why), retryAfterNs);
+    /** @param retryAfterNs delay before a retry, in ns; 0 sends no {@code retry-after} header */
+    static ProcessingResponse refuse(int status, long retryAfterNs, String reason) {
+        return withRetryAfter(immediate(status, "refuse", reason), retryAfterNs);
     }
 
-    private static ProcessingResponse comeAgain(ImmediateResponse.Builder answer, long retryAfterNs) {
+    private static ProcessingResponse withRetryAfter(ImmediateResponse.Builder response, long retryAfterNs) {
         if (retryAfterNs > 0) {
-            answer.getHeadersBuilder().addSetHeaders(header("retry-after", retryAfter(retryAfterNs)));
+            response.getHeadersBuilder().addSetHeaders(overwriteHeader("retry-after", retryAfterSeconds(retryAfterNs)));
         }
-        return ProcessingResponse.newBuilder().setImmediateResponse(answer).build();
+        return ProcessingResponse.newBuilder().setImmediateResponse(response).build();
     }
 
-    /** Whole seconds, as RFC 9110 section 10.2.3 has it; never too early. */
-    static String retryAfter(long ns) {
-        return Long.toString(Math.max(1, (ns + SECOND - 1) / SECOND));
+    /** Whole seconds (RFC 9110 section 10.2.3), rounded up so that the client never retries too early. */
+    static String retryAfterSeconds(long nanos) {
+        return Long.toString(Math.max(1, (nanos + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND));
     }
 
-    static ProcessingResponse fail(int status, String why) {
-        return ProcessingResponse.newBuilder().setImmediateResponse(immediate(status, "fail", why)).build();
+    static ProcessingResponse fail(int status, String reason) {
+        return ProcessingResponse.newBuilder().setImmediateResponse(immediate(status, "fail", reason)).build();
     }
 
     static ProcessingResponse deny(Authorizer.Denial denial) {
-        ImmediateResponse.Builder answer = immediate(denial.status(), "deny", denial.message());
+        ImmediateResponse.Builder response = immediate(denial.status(), "deny", denial.message());
         if (!denial.challenge().isEmpty()) {
-            answer.getHeadersBuilder().addSetHeaders(header("www-authenticate", denial.challenge()));
+            response.getHeadersBuilder().addSetHeaders(overwriteHeader("www-authenticate", denial.challenge()));
         }
-        return comeAgain(answer, denial.retryAfterNanos());
+        return withRetryAfter(response, denial.retryAfterNanos());
     }
 
-    static ProcessingResponse malformed(String what) {
-        return ProcessingResponse.newBuilder().setImmediateResponse(immediate(400, "malformed", what)).build();
+    static ProcessingResponse malformed(String problem) {
+        return ProcessingResponse.newBuilder().setImmediateResponse(immediate(400, "malformed", problem)).build();
     }
 
-    private static ImmediateResponse.Builder immediate(int status, String decision, String why) {
+    private static ImmediateResponse.Builder immediate(int status, String decision, String reason) {
         return ImmediateResponse.newBuilder()
                 .setStatus(HttpStatus.newBuilder().setCode(StatusCode.forNumber(status)))
-                .setHeaders(HeaderMutation.newBuilder().addSetHeaders(header(DECISION, decision))
-                        .addSetHeaders(header("content-type", "text/plain; charset=utf-8")))
-                .setBody(ByteString.copyFromUtf8(why + "\n"))
+                .setHeaders(HeaderMutation.newBuilder().addSetHeaders(overwriteHeader(DECISION_HEADER, decision))
+                        .addSetHeaders(overwriteHeader("content-type", "text/plain; charset=utf-8")))
+                .setBody(ByteString.copyFromUtf8(reason + "\n"))
                 .setDetails("nettletrail_" + decision);
     }
 
-    private static HeaderValueOption header(String name, String value) {
+    private static HeaderValueOption overwriteHeader(String name, String value) {
         return HeaderValueOption.newBuilder()
                 .setHeader(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value)))
                 .setAppendAction(HeaderAppendAction.OVERWRITE_IF_EXISTS_OR_ADD).build();
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
@@ -33,54 +33,54 @@
 import nettletrail.http.RequestDecoder;
 
 /**
- * The external processor as a front: its two listeners on the front door's event loop, where gRPC calls run too, so
- * that no ask waits for another thread and the module needs no lock.
+ * The external processor's server. Its gRPC and HTTP listeners share the front door's event loop, where gRPC calls run
+ * too, so that no decision request waits for another thread and the decision module needs no lock.
  */
 public final class ExtProcServer implements Frontend {
-    private static final int MOST_METADATA = 16 << 10;
-    /** Resets of streams that a connection may send in a window before it is closed: HTTP/2 rapid reset. */
-    private static final int MOST_RESETS = 2_000;
-    private static final int RESET_WINDOW_S = 1;
-    private static final int MOST_HTTP_BODY = 4 << 10;
-    private static final int MOST_LINE = 8 << 10;
-    private static final int MOST_HEADERS = 32 << 10;
-    /** An HTTP caller that says nothing for so long is closed. */
-    private static final int MOST_SILENT_S = 60;
+    private static final int MAX_METADATA_BYTES = 16 << 10;
+    /** A connection with more stream resets in a window is closed, against HTTP/2 rapid reset attacks. */
+    private static final int MAX_RESETS_PER_WINDOW = 2_000;
+    private static final int RESET_WINDOW_SECONDS = 1;
+    private static final int MAX_HTTP_BODY_BYTES = 4 << 10;
+    private static final int MAX_REQUEST_LINE_BYTES = 8 << 10;
+    private static final int MAX_HEADER_BYTES = 32 << 10;
+    /** An HTTP connection that sends nothing for this time is closed. */
+    private static final int MAX_IDLE_SECONDS = 60;
 
     private final ExtProcSettings settings;
     private final EventLoopGroup group;
     private final GatewaySettingsReader reader;
     private final Gateway.Settings deployment;
-    private final boolean dryRun;
+    private final boolean warmUp;
     private final EventLoop loop;
     private final Processor processor;
-    private final BackendReport.Reader reports;
-    private final ChannelGroup callers;
-    private Server server;
-    private Channel http;
+    private final BackendReport.Reader reportReader;
+    private final ChannelGroup httpConnections;
+    private Server grpcServer;
+    private Channel httpListener;
 
-    /** The front that the settings describe. */
+    /** A factory for the server that the settings describe. */
     public static Frontend.Factory factory(ExtProcSettings settings) {
         return (group, reader, deployment) -> new ExtProcServer(settings, group, reader, deployment, true);
     }
 
-    /** The same without a dry run: it starts at once and is cold. */
-    static ExtProcServer cold(ExtProcSettings settings, EventLoopGroup group, GatewaySettingsReader reader,
+    /** A server without a warm-up, for tests: it starts at once, with cold code. */
+    static ExtProcServer withoutWarmUp(ExtProcSettings settings, EventLoopGroup group, GatewaySettingsReader reader,
             Gateway.Settings deployment) {
         return new ExtProcServer(settings, group, reader, deployment, false);
     }
 
     private ExtProcServer(ExtProcSettings settings, EventLoopGroup group, GatewaySettingsReader reader,
-            Gateway.Settings deployment, boolean dryRun) {
+            Gateway.Settings deployment, boolean warmUp) {
         this.settings = settings;
         this.group = group;
         this.reader = reader;
         this.deployment = deployment;
-        this.dryRun = dryRun;
+        this.warmUp = warmUp;
         loop = group.next();
         processor = new Processor(loop, settings, new RequestValidator(reader, deployment));
-        reports = new BackendReport.Reader(reader);
-        callers = new DefaultChannelGroup(loop);
+        reportReader = new BackendReport.Reader(reader);
+        httpConnections = new DefaultChannelGroup(loop);
     }
 
     @Override
@@ -91,106 +91,107 @@
     @Override
     public void open(Dispatcher dispatcher) throws IOException {
         processor.open(dispatcher);
-        if (dryRun) {
-            DryRun.run(group, settings, reader, deployment);
+        if (warmUp) {
+            ExtProcWarmUp.run(group, settings, reader, deployment);
         }
         if (settings.listen() != null) {
-            server = grpc();
+            grpcServer = buildGrpcServer();
             try {
-                server.start();
+                grpcServer.start();
             } catch (IOException e) {
-                throw new IOException("ext_proc.listen: can't listen on " + settings.listen() + ": " + cause(e)
+                throw new IOException("ext_proc.listen: can't listen on " + settings.listen() + ": " + causeMessage(e)
                         + "; name an address of this machine that is free", e);
             }
             Log.line("ext_proc listens on " + grpcAddress() + " (gRPC)");
         }
         if (settings.httpListen() != null) {
-            var bound = new ServerBootstrap().group(group)
-                    .channelFactory(() -> new BoundedServerChannel(settings.mostCallers(), "http"))
+            var bindFuture = new ServerBootstrap().group(group)
+                    .channelFactory(() -> new BoundedServerChannel(settings.maxConnections(), "http"))
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel made) {
-                            callers.add(made);
-                            made.pipeline().addLast(new IdleStateHandler(MOST_SILENT_S, 0, 0) {
+                        protected void initChannel(SocketChannel channel) {
+                            httpConnections.add(channel);
+                            channel.pipeline().addLast(new IdleStateHandler(MAX_IDLE_SECONDS, 0, 0) {
                                 @Override
-                                protected void channelIdle(io.netty.channel.ChannelHandlerContext on,
+                                protected void channelIdle(io.netty.channel.ChannelHandlerContext context,
                                         io.netty.handler.timeout.IdleStateEvent event) {
-                                    on.close();
+                                    context.close();
                                 }
-                            }, new RequestDecoder(MOST_LINE, MOST_HEADERS), new HttpResponseEncoder(),
-                                    new HttpObjectAggregator(MOST_HTTP_BODY, true),
-                                    new HttpAsks(processor, reports, settings));
+                            }, new RequestDecoder(MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES), new HttpResponseEncoder(),
+                                    new HttpObjectAggregator(MAX_HTTP_BODY_BYTES, true),
+                                    new ForwardAuthHandler(processor, reportReader, settings));
                         }
                     }).bind(settings.httpListen()).awaitUninterruptibly();
-            if (!bound.isSuccess()) {
+            if (!bindFuture.isSuccess()) {
                 throw new IOException("ext_proc.http_listen: can't listen on " + settings.httpListen() + ": "
-                        + cause(bound.cause()) + "; name an address of this machine that is free", bound.cause());
+                        + causeMessage(bindFuture.cause()) + "; name an address of this machine that is free",
+                                bindFuture.cause());
             }
-            http = bound.channel();
-            Log.line("ext_proc listens on " + http.localAddress() + " (HTTP)");
+            httpListener = bindFuture.channel();
+            Log.line("ext_proc listens on " + httpListener.localAddress() + " (HTTP)");
         }
     }
 
-    private static String cause(Throwable of) {
-        return String.valueOf((of.getCause() == null ? of : of.getCause()).getMessage());
+    private static String causeMessage(Throwable error) {
+        return String.valueOf((error.getCause() == null ? error : error.getCause()).getMessage());
     }
 
-    private Server grpc() {
-        Answers answers = new Answers(settings);
+    private Server buildGrpcServer() {
+        ExtProcResponses responses = new ExtProcResponses(settings);
         return NettyServerBuilder.forAddress(settings.listen())
-                .channelFactory(() -> new BoundedServerChannel(settings.mostCallers(), "gRPC"))
+                .channelFactory(() -> new BoundedServerChannel(settings.maxConnections(), "gRPC"))
                 .bossEventLoopGroup(group).workerEventLoopGroup(group).directExecutor()
                 .withChildOption(ChannelOption.TCP_NODELAY, true)
-                .maxInboundMessageSize(settings.mostMessage())
-                .maxInboundMetadataSize(MOST_METADATA)
-                .maxConcurrentCallsPerConnection(settings.mostStreams())
-                .maxRstFramesPerWindow(MOST_RESETS, RESET_WINDOW_S)
+                .maxInboundMessageSize(settings.maxMessageBytes())
+                .maxInboundMetadataSize(MAX_METADATA_BYTES)
+                .maxConcurrentCallsPerConnection(settings.maxStreamsPerConnection())
+                .maxRstFramesPerWindow(MAX_RESETS_PER_WINDOW, RESET_WINDOW_SECONDS)
                 .permitKeepAliveTime(5, TimeUnit.SECONDS).permitKeepAliveWithoutCalls(true)
                 .keepAliveTime(30, TimeUnit.SECONDS).keepAliveTimeout(5, TimeUnit.SECONDS)
                 .addService(new ExternalProcessorGrpc.ExternalProcessorImplBase() {
                     @Override
-                    public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> out) {
-                        return new AskStream(processor, answers, reports, settings,
-                                (ServerCallStreamObserver<ProcessingResponse>) out);
+                    public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> responseObserver) {
+                        return new ExtProcStream(processor, responses, reportReader, settings,
+                                (ServerCallStreamObserver<ProcessingResponse>) responseObserver);
                     }
                 }).build();
     }
 
-    /** Where it listens for gRPC, or null. */
+    /** The address of the gRPC listener, or null if there is none. */
     public InetSocketAddress grpcAddress() {
-        return server == null ? null : (InetSocketAddress) server.getListenSockets().get(0);
+        return grpcServer == null ? null : (InetSocketAddress) grpcServer.getListenSockets().get(0);
     }
 
-    /** Where it listens for HTTP, or null. */
+    /** The address of the HTTP listener, or null if there is none. */
     public InetSocketAddress httpAddress() {
-        return http == null ? null : (InetSocketAddress) http.localAddress();
+        return httpListener == null ? null : (InetSocketAddress) httpListener.localAddress();
     }
 
-    /** For tests; asked on the loop. */
+    /** For tests; call it on the event loop. */
     Processor processor() {
         return processor;
     }
 
-    /** What has happened since the start, by name; asked on the loop. */
+    /** The counters since the start, by name; call it on the event loop. */
     public java.util.Map<String, Object> counters() {
         return processor.counters().all();
     }
 
-    /** Calls that are open go on: gRPC callers are told to open no more, HTTP ones are closed when idle. */
+    /** Open calls continue: gRPC clients are told to open no more, idle HTTP connections are closed. */
     @Override
     public void drain() {
-        Log.line("ext_proc: draining, " + processor.undecided() + " undecided, "
-                + (processor.held() - processor.undecided()) + " without an outcome");
-        if (server != null) {
-            server.shutdown();
+        Log.line("ext_proc: draining, " + processor.awaitingDecision() + " awaiting a decision, "
+                + (processor.openCount() - processor.awaitingDecision()) + " awaiting an outcome");
+        if (grpcServer != null) {
+            grpcServer.shutdown();
         }
-        if (http != null) {
-            http.close();
-            for (Channel caller : callers) {
-                HttpAsks asks = caller.pipeline().get(HttpAsks.class);
-                if (asks != null && asks.idle()) {
-                    caller.close();
+        if (httpListener != null) {
+            httpListener.close();
+            for (Channel connection : httpConnections) {
+                ForwardAuthHandler handler = connection.pipeline().get(ForwardAuthHandler.class);
+                if (handler != null && handler.idle()) {
+                    connection.close();
                 }
             }
         }
@@ -198,17 +199,17 @@
 
     @Override
     public boolean drained() {
-        return processor.held() == 0;
+        return processor.openCount() == 0;
     }
 
     @Override
     public void close() {
-        if (server != null) {
-            server.shutdownNow();
+        if (grpcServer != null) {
+            grpcServer.shutdownNow();
         }
-        if (http != null) {
-            http.close();
+        if (httpListener != null) {
+            httpListener.close();
         }
-        callers.close();
+        httpConnections.close();
     }
 }
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcSettings.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcSettings.java
@@ -9,34 +9,38 @@
 /**
  * The external processor's settings: section {@code [ext_proc]} of the operator file.
  *
- * @param listen where proxies ask over gRPC, or null
- * @param httpListen where proxies ask over HTTP, or null
- * @param budgetNs within which each ask is answered
- * @param reserveNs of it kept for the way and for lateness: the module may hold an ask for the rest
- * @param orphanNs after which an ask whose stream has ended without an outcome gives its slot free
- * @param memoryNs how long ids of unsafe requests are remembered
- * @param destination header that names the node; "" for none
- * @param originalDst header for Envoy's original-destination clusters; "" for none
- * @param namespace of the dynamic metadata that names the node; "" for none
- * @param stopRetries whether a proxy is told not to repeat an unsafe request by itself
- * @param mostCallers connections at once, gRPC and HTTP each
- * @param mostStreams open calls on one connection
- * @param mostOpen asks undecided or with no outcome yet, over all callers
- * @param mostIds ids of requests remembered
- * @param mostMessage bytes of one message
+ * @param listen address of the gRPC listener, or null for none
+ * @param httpListen address of the HTTP listener, or null for none
+ * @param budgetNanos time in which each decision request is answered, in ns
+ * @param reserveNanos part of the budget kept for network time and delays, in ns; the decision module may hold a
+ * request
+ *     for the rest
+ * @param orphanTimeoutNanos time after which a request whose stream ended without an outcome frees its slot, in ns
+ * @param idRetentionNanos how long ids of unsafe requests are retained, in ns
+ * @param destinationHeader request header that names the endpoint; "" for none
+ * @param originalDstHeader request header for Envoy's original-destination clusters; "" for none
+ * @param metadataNamespace namespace of the dynamic metadata that names the endpoint; "" for none
+ * @param suppressRetries whether a proxy is told not to retry an unsafe request by itself
+ * @param maxConnections maximum number of connections, for gRPC and for HTTP each
+ * @param maxStreamsPerConnection maximum number of open calls on one connection
+ * @param maxOpen maximum number of requests that await a decision or an outcome, over all connections
+ * @param maxIds maximum number of retained request ids
+ * @param maxMessageBytes maximum size of one message, in bytes
  */
-public record ExtProcSettings(InetSocketAddress listen, InetSocketAddress httpListen, long budgetNs, long reserveNs,
-        long orphanNs, long memoryNs, String destination, String originalDst, String namespace, boolean stopRetries,
-        int mostCallers, int mostStreams, int mostOpen, int mostIds, int mostMessage) {
-    private static final long MS = 1_000_000L;
+public record ExtProcSettings(InetSocketAddress listen, InetSocketAddress httpListen, long budgetNanos,
+        long reserveNanos,
+        long orphanTimeoutNanos, long idRetentionNanos, String destinationHeader, String originalDstHeader,
+                String metadataNamespace, boolean suppressRetries,
+        int maxConnections, int maxStreamsPerConnection, int maxOpen, int maxIds, int maxMessageBytes) {
+    private static final long NANOS_PER_MS = 1_000_000L;
 
     public ExtProcSettings {
         Gateway.requireInRange(listen != null || httpListen != null, "ExtProcSettings.listen");
-        Gateway.requireInRange(reserveNs > 0 && reserveNs < budgetNs, "ExtProcSettings.reserveNs");
-        Gateway.requireInRange(mostOpen <= mostIds, "ExtProcSettings.mostOpen");
+        Gateway.requireInRange(reserveNanos > 0 && reserveNanos < budgetNanos, "ExtProcSettings.reserveNanos");
+        Gateway.requireInRange(maxOpen <= maxIds, "ExtProcSettings.maxOpen");
     }
 
-    /** The section's keys. */
+    /** The section with its keys, ranges, defaults and help texts. */
     public static SettingsSection section() {
         return new SettingsSection("ext_proc", "The external processor: other proxies ask for each request.")
                 .flag("enabled", false, "whether proxies may ask at all")
@@ -44,10 +48,8 @@
                 .address("http_listen", "", "where proxies ask over HTTP (forward-auth, auth_request)")
                 .integer("budget_ms", 5, 1_000, 20, "each ask is answered within so many ms")
                 .integer("reserve_ms", 1, 500, 10, "ms of the budget kept for the way and for lateness")
-                .integer("orphan_ms", 0, 60_000, 500,
-                        "an ask whose stream ended without an outcome gives its slot free after so many ms")
-                .integer("id_memory_s", 5, 3_600, 60,
-                        "ids of requests that must not run twice are remembered for so many s")
+                .integer("orphan_ms", 0, 60_000, 500, "an ask whose stream ended without an outcome gives its slot free after so many ms")
+                .integer("id_memory_s", 5, 3_600, 60, "ids of requests that must not run twice are remembered for so many s")
                 .text("destination_header", 0, 128, "x-gateway-destination-endpoint", "request header that names the node; \"\" for none")
                 .text("original_dst_header", 0, 128, "x-envoy-original-dst-host", "request header for original-destination clusters; \"\" for none")
                 .text("metadata_namespace", 0, 128, "envoy.lb", "namespace of the dynamic metadata that names the node; \"\" for none")
@@ -59,41 +61,38 @@
                 .integer("most_message_kb", 4, 16_384, 256, "KiB of one message of a proxy");
     }
 
-    /** Rules that hold between keys. */
+    /** Checks the rules that involve several keys. */
     public static void check(SettingsSection.Values values, Consumer<SettingsSection.Fault> faults) {
         if (values.integer("reserve_ms") >= values.integer("budget_ms")) {
-            faults.accept(new SettingsSection.Fault("reserve_ms", "must be under budget_ms ("
-                    + values.integer("budget_ms")
-                    + "): the module decides in what is left of it"));
+            faults.accept(new SettingsSection.Fault("reserve_ms", "must be under budget_ms (" + values.integer("budget_ms")
+                    + "): the decision module decides in the rest of it"));
         }
         if (values.integer("most_open") > values.integer("most_ids")) {
-            faults.accept(new SettingsSection.Fault("most_open", "must not be over most_ids ("
-                    + values.integer("most_ids")
-                    + "): the ids of open asks are among those remembered"));
+            faults.accept(new SettingsSection.Fault("most_open", "must not be over most_ids (" + values.integer("most_ids")
+                    + "): the ids of open requests are among those retained"));
         }
         if (values.flag("enabled") && values.text("listen").isEmpty() && values.text("http_listen").isEmpty()) {
             faults.accept(new SettingsSection.Fault("listen",
-                    "and http_listen are both empty: nobody could ask; give one"));
+                    "and http_listen are both empty: no proxy could connect; set one"));
         }
         if (!values.text("listen").isEmpty() && values.text("listen").equals(values.text("http_listen"))
                 && !values.text("listen").endsWith(":0")) {
-            faults.accept(new SettingsSection.Fault("http_listen",
-                    "must not be the address of listen; use another port"));
+            faults.accept(new SettingsSection.Fault("http_listen", "must not be the address of listen; use another port"));
         }
         if (values.text("destination_header").isEmpty() && values.text("original_dst_header").isEmpty()
                 && values.text("metadata_namespace").isEmpty()) {
-            faults.accept(new SettingsSection.Fault("destination_header",
-                    "and original_dst_header and metadata_namespace are "
-                    + "all empty: no proxy could learn of the node; give one"));
+            faults.accept(new SettingsSection.Fault("destination_header", "and original_dst_header and metadata_namespace are "
+                    + "all empty: no proxy could learn the endpoint; set one"));
         }
     }
 
-    /** Made of checked values. */
+    /** The settings of checked values. */
     public static ExtProcSettings of(SettingsSection.Values values) {
         return new ExtProcSettings(address(values.text("listen")), address(values.text("http_listen")),
-                values.integer("budget_ms") * MS, values.integer("reserve_ms") * MS, values.integer("orphan_ms") * MS,
-                values.integer("id_memory_s") * 1_000 * MS, values.text("destination_header")
-                        .toLowerCase(java.util.Locale.ROOT),
+                values.integer("budget_ms") * NANOS_PER_MS, values.integer("reserve_ms") * NANOS_PER_MS,
+                        values.integer("orphan_ms") * NANOS_PER_MS,
+                values.integer("id_memory_s") * 1_000 * NANOS_PER_MS,
+                        values.text("destination_header").toLowerCase(java.util.Locale.ROOT),
                 values.text("original_dst_header").toLowerCase(java.util.Locale.ROOT), values.text("metadata_namespace"),
                 values.flag("stop_retries"), (int) values.integer("most_callers"),
                 (int) values.integer("most_streams_per_caller"), (int) values.integer("most_open"),
--- a/ext-proc/src/main/java/nettletrail/extproc/DryRun.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcWarmUp.java
@@ -38,68 +38,70 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * Asks of nobody, within the process and before the first proxy can connect: a JVM interprets what it has not run
- * often, and the first asks of a cold processor took hundreds of ms of a budget of 20. Parts of its own, a module of its
- * own, a listener that is gone before the real one comes: nothing stays of it but warm code. The sockets are real ones,
- * on loopback, as theirs is much of the code. Its time is bounded; a slow machine starts less warm.
+ * Warms up the JIT with synthetic decision requests before the first proxy can connect. The JVM interprets code that
+ * has rarely run, and the first requests to a cold processor took hundreds of ms of a budget of 20 ms. It uses its own
+ * processor, decision module and listener, all discarded before the real listener opens, so that only compiled code
+ * remains. It uses real loopback sockets because much of the code on the path is socket code. Its duration is bounded;
+ * a slow machine starts less warm.
  */
-final class DryRun {
-    private static final int ASKS = 6_000;
-    private static final int AT_ONCE = 16;
-    private static final int CALLERS = 4;
-    private static final long MOST_MS = 4_000;
+final class ExtProcWarmUp {
+    private static final int REQUESTS = 6_000;
+    private static final int CONCURRENCY = 16;
+    private static final int CONNECTIONS = 4;
+    private static final long MAX_DURATION_MS = 4_000;
     private static final int CUSTOMERS = 64;
-    private static final long NODE = 1;
+    private static final long ENDPOINT_ID = 1;
 
     private final EventLoop loop;
-    private final Gateway.Settings settings;
+    private final Gateway.Settings deploymentSettings;
     private final List<String> classes;
     private final List<String> plans;
     private final Dispatcher dispatcher;
     private final Server server;
     private final List<ManagedChannel> channels = new ArrayList<>();
-    private final CountDownLatch over = new CountDownLatch(1);
-    private final long startedAt = System.nanoTime();
-    private int begun;
-    private int ended;
+    private final CountDownLatch done = new CountDownLatch(1);
+    private final long startedAtNanos = System.nanoTime();
+    private int started;
+    private int finished;
     private int forwarded;
 
-    private DryRun(EventLoopGroup group, ExtProcSettings own, GatewaySettingsReader reader, Gateway.Settings deployment)
+    private ExtProcWarmUp(EventLoopGroup group, ExtProcSettings extProcSettings, GatewaySettingsReader reader,
+            Gateway.Settings deployment)
             throws IOException {
         loop = group.next();
-        settings = deployment;
+        deploymentSettings = deployment;
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
-        Processor processor = new Processor(loop, own, new RequestValidator(reader, deployment));
-        dispatcher = new Dispatcher(loop, new EventLoopClock(), RequestLimiter.NONE, List.of(processor), reader,
-                deployment,
-                GatewayDecider::new);
+        Processor processor = new Processor(loop, extProcSettings, new RequestValidator(reader, deployment));
+        dispatcher = new Dispatcher(loop, new EventLoopClock(), RequestLimiter.NONE, List.of(processor), reader, deployment, GatewayDecider::new);
         processor.open(dispatcher);
-        Answers answers = new Answers(own);
-        BackendReport.Reader reports = new BackendReport.Reader(reader);
+        ExtProcResponses responses = new ExtProcResponses(extProcSettings);
+        BackendReport.Reader reportReader = new BackendReport.Reader(reader);
         server = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .channelType(NioServerSocketChannel.class)
                 .bossEventLoopGroup(group).workerEventLoopGroup(group).directExecutor()
                 .addService(new ExternalProcessorGrpc.ExternalProcessorImplBase() {
                     @Override
-                    public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> out) {
-                        return new AskStream(processor, answers, reports, own,
-                                (ServerCallStreamObserver<ProcessingResponse>) out);
+                    public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> observer) {
+                        return new ExtProcStream(processor, responses, reportReader, extProcSettings,
+                                (ServerCallStreamObserver<ProcessingResponse>) observer);
                     }
                 }).build().start();
-        for (int i = 0; i < CALLERS; i++) {
+        for (int i = 0; i < CONNECTIONS; i++) {
             channels.add(NettyChannelBuilder.forAddress(server.getListenSockets().get(0)).usePlaintext()
                     .eventLoopGroup(group).channelType(NioSocketChannel.class).directExecutor().build());
         }
     }
 
-    /** Runs it to its end; called off the event loop. Never fails a start. */
-    static void run(EventLoopGroup group, ExtProcSettings own, GatewaySettingsReader reader,
+    /**
+     * Runs the warm-up and waits for its end. Must not be called on the event loop. A failure doesn't fail the start.
+     */
+    static void run(EventLoopGroup group, ExtProcSettings extProcSettings, GatewaySettingsReader reader,
             Gateway.Settings deployment) {
         try {
-            new DryRun(group, own, reader, deployment).run();
+            new ExtProcWarmUp(group, extProcSettings, reader, deployment).run();
         } catch (IOException | RuntimeException e) {
-            Log.line("ext_proc: dry run left out", e);
+            Log.line("ext_proc: warm-up skipped", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -107,35 +109,35 @@
 
     private void run() throws InterruptedException {
         loop.execute(() -> {
-            dispatcher.endpointsUpdated(true, List.of(new Endpoint(NODE, "dry", new InetSocketAddress(
+            dispatcher.endpointsUpdated(true, List.of(new Endpoint(ENDPOINT_ID, "dry", new InetSocketAddress(
                     InetAddress.getLoopbackAddress(), 9), "", "", 0, Gateway.DiscoveryState.READY, 1, 0)));
-            for (int i = 0; i < AT_ONCE; i++) {
-                next();
+            for (int i = 0; i < CONCURRENCY; i++) {
+                startNext();
             }
         });
-        over.await(MOST_MS, TimeUnit.MILLISECONDS);
+        done.await(MAX_DURATION_MS, TimeUnit.MILLISECONDS);
         channels.forEach(ManagedChannel::shutdownNow);
         server.shutdownNow();
-        Log.line("ext_proc: dry run: " + forwarded + " forwarded of " + ended + " asks in "
-                + (System.nanoTime() - startedAt) / 1_000_000 + " ms");
+        Log.line("ext_proc: dry run: " + forwarded + " forwarded of " + finished + " decision requests in "
+                + (System.nanoTime() - startedAtNanos) / 1_000_000 + " ms");
     }
 
-    private void next() {
-        if (begun < ASKS && !classes.isEmpty() && !plans.isEmpty()) {
-            ExternalProcessorGrpc.newStub(channels.get(begun % CALLERS)).process(new One(begun++));
-        } else if (ended >= begun) {
-            over.countDown();
+    private void startNext() {
+        if (started < REQUESTS && !classes.isEmpty() && !plans.isEmpty()) {
+            ExternalProcessorGrpc.newStub(channels.get(started % CONNECTIONS)).process(new WarmUpStream(started++));
+        } else if (finished >= started) {
+            done.countDown();
         }
     }
 
-    private ProcessingRequest ask(int number) {
-        int kind = number % classes.size();
-        boolean get = settings.classes().get(kind).idempotency() == Gateway.Idempotency.IDEMPOTENT;
+    private ProcessingRequest requestMessage(int number) {
+        int requestClass = number % classes.size();
+        boolean get = deploymentSettings.classes().get(requestClass).idempotency() == Gateway.Idempotency.IDEMPOTENT;
         HeaderMap.Builder headers = HeaderMap.newBuilder();
         add(headers, ":method", get ? "GET" : "POST");
         add(headers, ":path", "/api/dry");
         add(headers, "x-txn", String.format("%016x", number));
-        add(headers, "x-lane", classes.get(kind));
+        add(headers, "x-lane", classes.get(requestClass));
         add(headers, "x-plan", plans.get(number / classes.size() % plans.size()));
         add(headers, "x-customer", String.format("%016x", number % CUSTOMERS));
         add(headers, "x-remaining-ms", "3000");
@@ -144,57 +146,57 @@
         return ProcessingRequest.newBuilder().setRequestHeaders(HttpHeaders.newBuilder().setHeaders(headers)).build();
     }
 
-    private static void add(HeaderMap.Builder to, String name, String value) {
-        to.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value)));
+    private static void add(HeaderMap.Builder target, String name, String value) {
+        target.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value)));
     }
 
-    /** A stream from its ask to its outcome. */
-    private final class One implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
+    /** One stream, from its decision request to its outcome. */
+    private final class WarmUpStream implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
         private final int number;
-        private ClientCallStreamObserver<ProcessingRequest> out;
-        private boolean done;
+        private ClientCallStreamObserver<ProcessingRequest> observer;
+        private boolean streamDone;
 
-        One(int number) {
+        WarmUpStream(int number) {
             this.number = number;
         }
 
         @Override
         public void beforeStart(ClientCallStreamObserver<ProcessingRequest> stream) {
-            out = stream;
-            loop.execute(() -> out.onNext(ask(number)));
+            observer = stream;
+            loop.execute(() -> observer.onNext(requestMessage(number)));
         }
 
         @Override
-        public void onNext(ProcessingResponse answer) {
-            if (answer.hasRequestHeaders()) {
+        public void onNext(ProcessingResponse response) {
+            if (response.hasRequestHeaders()) {
                 forwarded++;
                 HeaderMap.Builder headers = HeaderMap.newBuilder();
                 add(headers, ":status", number % 50 == 0 ? "500" : "200");
                 add(headers, "x-quota-used", "10");
-                out.onNext(ProcessingRequest.newBuilder().setResponseHeaders(
+                observer.onNext(ProcessingRequest.newBuilder().setResponseHeaders(
                         HttpHeaders.newBuilder().setHeaders(headers)).build());
-            } else if (answer.hasResponseHeaders()) {
-                out.onCompleted();
+            } else if (response.hasResponseHeaders()) {
+                observer.onCompleted();
             }
         }
 
-        private void end() {
-            if (!done) {
-                done = true;
-                ended++;
-                // At the loop's next turn: begun within the last one's end they would nest.
-                loop.execute(DryRun.this::next);
+        private void finish() {
+            if (!streamDone) {
+                streamDone = true;
+                finished++;
+                // Scheduled as a task: starting the next stream inside this callback would recurse.
+                loop.execute(ExtProcWarmUp.this::startNext);
             }
         }
 
         @Override
-        public void onError(Throwable fault) {
-            end();
+        public void onError(Throwable error) {
+            finish();
         }
 
         @Override
         public void onCompleted() {
-            end();
+            finish();
         }
     }
 }
--- a/ext-proc/src/main/java/nettletrail/extproc/Processor.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/Processor.java
@@ -25,35 +25,36 @@
 import nettletrail.decision.Gateway.Outcome;
 
 /**
- * Asks of other proxies, from the first word to the outcome, for both ways of asking. An ask is a request of the
- * {@link Dispatcher} like any other; here its attempts are carried by handing the decision out. What the module
- * decides goes to whoever asks now, and what the proxy then tells ends the attempt and the request. All of it runs
- * on the event loop.
+ * Handles decision requests of other proxies, from arrival to outcome, for both protocols. Each is a request of the
+ * {@link Dispatcher} like any other; an attempt is carried by sending the decision to the proxy, which forwards the
+ * request itself. The decision goes to the current listener, and the outcome that the proxy reports ends the attempt
+ * and
+ * the request. Everything runs on the event loop.
  */
 final class Processor implements AttemptTransport {
-    /** What became of an outcome that was told. */
-    enum Told {
-        /** It ended its request. */
-        TAKEN,
-        /** One was told before, or its time was up: it changes nothing. */
+    /** Result of reporting an outcome. */
+    enum OutcomeReportResult {
+        /** It completed its request. */
+        ACCEPTED,
+        /** An outcome was reported before, or the request timed out; no effect. */
         TOO_LATE,
-        /** Nothing was handed out under this id. */
+        /** No request with this id was forwarded. */
         NO_DECISION
     }
 
-    /** What has happened since the start, for logs and measurements. */
-    static final class Counts {
+    /** Counters since the start, for logs and measurements. */
+    static final class Counters {
         long asked;
         long forwarded;
         long refused;
         long failed;
         long malformed;
-        long askedAgain;
+        long duplicates;
         long withdrawn;
-        long overBudget;
+        long budgetExceeded;
         long outcomes;
-        long outcomesLate;
-        long noOutcome;
+        long lateOutcomes;
+        long missingOutcomes;
 
         Map<String, Object> all() {
             Map<String, Object> all = new java.util.LinkedHashMap<>();
@@ -62,335 +63,343 @@
             all.put("refused", refused);
             all.put("failed", failed);
             all.put("malformed", malformed);
-            all.put("asked_again", askedAgain);
+            all.put("asked_again", duplicates);
             all.put("withdrawn", withdrawn);
-            all.put("over_budget", overBudget);
+            all.put("over_budget", budgetExceeded);
             all.put("outcomes", outcomes);
-            all.put("outcomes_late", outcomesLate);
-            all.put("no_outcome", noOutcome);
+            all.put("outcomes_late", lateOutcomes);
+            all.put("no_outcome", missingOutcomes);
             return all;
         }
     }
 
-    /** Tells requests apart that name the same id. */
-    private record What(int requestClass, int plan, long customer, double units) { }
+    /** Distinguishes requests with the same id. */
+    private record Fingerprint(int requestClass, int plan, long customer, double units) { }
 
-    /** An ask from its first word until its outcome is told or given up. */
-    final class OpenAsk implements RequestClient, StartedAttempt {
-        private final AskDecider.Ask ask;
-        private final long askedAt = System.nanoTime();
-        private Asker asker;
-        private Dispatcher.ActiveRequest live;
+    /** A decision request from its arrival until its outcome is reported or given up. */
+    final class OpenRequest implements RequestClient, StartedAttempt {
+        private final DeduplicationDecider.TrackedRequest tracked;
+        private final long askedAtNanos = System.nanoTime();
+        private DecisionListener listener;
+        private Dispatcher.ActiveRequest dispatched;
         private BackendAttempt attempt;
         private Future<?> timer;
 
-        private OpenAsk(AskDecider.Ask ask, Asker asker) {
-            this.ask = ask;
-            this.asker = asker;
+        private OpenRequest(DeduplicationDecider.TrackedRequest tracked, DecisionListener listener) {
+            this.tracked = tracked;
+            this.listener = listener;
         }
 
         boolean unsafe() {
-            return ask.unsafe();
+            return tracked.unsafe();
         }
 
-        // ---- As the one who gets the final answer: only before it was handed out.
+        // ---- As the dispatcher's client: receives the final result, only before the request was forwarded.
 
         @Override
         public void served(ByteBuf body, String contentType) {
-            throw new IllegalStateException("an answer that passed another proxy can't be had here");
+            throw new IllegalStateException("a response passes through the other proxy and never arrives here");
         }
 
         @Override
-        public void rejected(long retryAfterNs) {
-            if (undecided()) {
-                ended();
-                counts.refused++;
-                asker.refuse(retryAfterNs);
+        public void rejected(long retryAfterNanos) {
+            if (awaitingDecision()) {
+                finishUnforwarded();
+                counters.refused++;
+                listener.refuse(retryAfterNanos);
             }
         }
 
         @Override
         public void failed(int status) {
-            if (undecided()) {
-                ended();
-                counts.failed++;
-                asker.fail(status, status == 504 ? "its time is up" : "no node could be found for it");
+            if (awaitingDecision()) {
+                finishUnforwarded();
+                counters.failed++;
+                listener.fail(status, status == 504 ? "it timed out" : "no endpoint is available for it");
             }
         }
 
         @Override
         public void denied(Authorizer.Denial denial) {
-            if (undecided()) {
-                ended();
-                counts.refused++;
-                asker.deny(denial);
+            if (awaitingDecision()) {
+                finishUnforwarded();
+                counters.refused++;
+                listener.deny(denial);
             }
         }
 
-        private boolean undecided() {
-            return ask.state() == AskDecider.State.UNDECIDED;
+        private boolean awaitingDecision() {
+            return tracked.state() == DeduplicationDecider.State.AWAITING_DECISION;
         }
 
-        /** Never handed out. */
-        private void ended() {
-            stop();
-            open.remove(ask);
-            decider.neverRan(ask, System.nanoTime());
+        /** Completes a request that was never forwarded. */
+        private void finishUnforwarded() {
+            cancelTimer();
+            openRequests.remove(tracked);
+            deduplication.neverRan(tracked, System.nanoTime());
         }
 
-        private void stop() {
+        private void cancelTimer() {
             if (timer != null) {
                 timer.cancel(false);
                 timer = null;
             }
         }
 
-        // ---- As an attempt on its way.
+        // ---- As an attempt in flight.
 
         @Override
         public boolean isUnsent() {
             return false;
         }
 
-        /** Its time is up and no outcome was told: it may have run, or may yet. */
+        /** The request timed out without an outcome: it may have run, or may still run. */
         @Override
         public Outcome cancel() {
-            counts.noOutcome++;
-            over(true);
+            counters.missingOutcomes++;
+            finishForwarded(true);
             return Outcome.TIMED_OUT;
         }
 
-        private BackendAttempt over(boolean mayHaveRun) {
-            stop();
-            open.remove(ask);
+        private BackendAttempt finishForwarded(boolean mayHaveRun) {
+            cancelTimer();
+            openRequests.remove(tracked);
             BackendAttempt ended = attempt;
             attempt = null;
             if (mayHaveRun) {
-                decider.perhapsRan(ask, System.nanoTime());
+                deduplication.perhapsRan(tracked, System.nanoTime());
             } else {
-                decider.neverRan(ask, System.nanoTime());
+                deduplication.neverRan(tracked, System.nanoTime());
             }
             return ended;
         }
     }
 
-    private static final int MOST_COMPLAINTS = 5;
+    private static final int MAX_LOG_LINES_PER_SECOND = 5;
 
     private final EventLoop loop;
     private final ExtProcSettings settings;
     private final RequestValidator intake;
-    private final AskDecider decider;
-    private final Map<AskDecider.Ask, OpenAsk> open = new HashMap<>();
+    private final DeduplicationDecider deduplication;
+    private final Map<DeduplicationDecider.TrackedRequest, OpenRequest> openRequests = new HashMap<>();
     private final LongObjectHashMap<Endpoint> endpoints = new LongObjectHashMap<>();
-    private final Counts counts = new Counts();
+    private final Counters counters = new Counters();
     private Dispatcher dispatcher;
-    private long complaintSecond;
-    private int complaints;
+    private long logSecond;
+    private int linesThisSecond;
 
     Processor(EventLoop loop, ExtProcSettings settings, RequestValidator intake) {
         this.loop = loop;
         this.settings = settings;
         this.intake = intake;
-        decider = new AskDecider(settings.mostOpen(), settings.mostIds(), settings.memoryNs());
+        deduplication = new DeduplicationDecider(settings.maxOpen(), settings.maxIds(), settings.idRetentionNanos());
     }
 
-    /** Before the first ask. */
-    void open(Dispatcher through) {
-        dispatcher = through;
+    /** Called before the first decision request. */
+    void open(Dispatcher newDispatcher) {
+        dispatcher = newDispatcher;
     }
 
-    /** A line about a caller, some a second at most: who sends rubbish shall not fill the log with it. */
-    void complain(String line) {
+    /** Logs a line about a caller, rate-limited so that a misbehaving caller can't flood the log. */
+    void logLimited(String line) {
         long second = System.nanoTime() / 1_000_000_000L;
-        if (second != complaintSecond) {
-            if (complaints > MOST_COMPLAINTS) {
-                Log.line("ext_proc: " + (complaints - MOST_COMPLAINTS) + " more such lines left out");
+        if (second != logSecond) {
+            if (linesThisSecond > MAX_LOG_LINES_PER_SECOND) {
+                Log.line("ext_proc: " + (linesThisSecond - MAX_LOG_LINES_PER_SECOND) + " more such lines suppressed");
             }
-            complaintSecond = second;
-            complaints = 0;
+            logSecond = second;
+            linesThisSecond = 0;
         }
-        if (++complaints <= MOST_COMPLAINTS) {
+        if (++linesThisSecond <= MAX_LOG_LINES_PER_SECOND) {
             Log.line("ext_proc: " + line);
         }
     }
 
     /** For tests. */
-    Future<?> onLoop(Runnable what) {
-        return loop.submit(what);
+    Future<?> runOnLoop(Runnable task) {
+        return loop.submit(task);
     }
 
-    Counts counters() {
-        return counts;
+    Counters counters() {
+        return counters;
     }
 
-    /** Asks that wait for a decision. */
-    int undecided() {
+    /** Number of requests that await a decision. */
+    int awaitingDecision() {
         int waiting = 0;
-        for (OpenAsk each : open.values()) {
-            waiting += each.undecided() ? 1 : 0;
+        for (OpenRequest request : openRequests.values()) {
+            waiting += request.awaitingDecision() ? 1 : 0;
         }
         return waiting;
     }
 
-    /** Asks undecided or without an outcome. */
-    int held() {
-        return open.size();
+    /** Number of requests that await a decision or an outcome. */
+    int openCount() {
+        return openRequests.size();
     }
 
-    // ---- A proxy asks -----------------------------------------------------------------------------------
+    // ---- Decision requests ------------------------------------------------------------------------------
 
     /**
-     * A proxy asks about a request; its answer may come before this returns.
+     * Handles a proxy's decision request; the listener may be called before this returns.
      *
-     * @param method of the request; null if the way of asking doesn't tell
-     * @param headers of the request, by name
-     * @param attempt the proxy's count of its tries, from 1; 0 if it doesn't tell
-     * @return a handle for what comes later, or null if the ask is answered and nothing more can come of it
+     * @param method the request's method; null if the proxy doesn't send it
+     * @param headers the request's headers, by name
+     * @param attempt the proxy's attempt count, from 1; 0 if unknown
+     * @return a handle for later events, or null if the request is answered and complete
      */
-    OpenAsk asked(Asker asker, HttpMethod method, String uri, Function<CharSequence, String> headers, int attempt) {
-        counts.asked++;
+    OpenRequest decide(DecisionListener listener, HttpMethod method, String uri, Function<CharSequence,
+            String> headers, int attempt) {
+        counters.asked++;
         int requestClass = intake.requestClassOf(headers);
-        HttpMethod told = method != null || requestClass < 0 ? method : intake.requiredMethod(requestClass);
-        HttpMethod checked = told == null ? HttpMethod.GET : told;
+        HttpMethod effectiveMethod = method != null || requestClass < 0 ? method : intake.requiredMethod(requestClass);
+        HttpMethod checked = effectiveMethod == null ? HttpMethod.GET : effectiveMethod;
         InboundRequest arrival = intake.validate(checked, uri, headers, Unpooled.EMPTY_BUFFER, System.nanoTime());
         if (arrival == null) {
-            counts.malformed++;
-            asker.malformed(intake.describeFault(checked, headers));
+            counters.malformed++;
+            listener.malformed(intake.describeFault(checked, headers));
             return null;
         }
         boolean unsafe = intake.isNotRepeatable(arrival);
-        if (unsafe && decider.find(arrival.requestId()) == null && !dispatcher.isUnusedId(arrival.requestId())) {
-            // Taken by the socket front of this process.
-            counts.malformed++;
-            asker.malformed(RequestValidator.TXN
-                    + " is the id of another request that is open here: give each its own");
+        if (unsafe && deduplication.find(arrival.requestId()) == null && !dispatcher.isUnusedId(arrival.requestId())) {
+            // The front door's own listener has an open request with this id.
+            counters.malformed++;
+            listener.malformed(RequestValidator.TXN + " is the id of another request that is open here: give each its own");
             return null;
         }
-        What what = new What(arrival.requestClass(), arrival.plan(), arrival.customer(), arrival.units());
-        AskDecider.Ruling ruling = decider.asked(arrival.requestId(), unsafe, what, attempt, System.nanoTime());
-        if (ruling instanceof AskDecider.Ruling.Take take) {
-            return take(take.ask(), asker, arrival);
-        }
-        if (ruling instanceof AskDecider.Ruling.Instead instead) {
-            counts.askedAgain++;
-            OpenAsk known = open.get(instead.ask());
-            Asker before = known.asker;
-            known.asker = asker;
-            if (before != asker) {
-                before.fail(502, "asked again since, and answered there");
+        Fingerprint fingerprint = new Fingerprint(arrival.requestClass(), arrival.plan(), arrival.customer(),
+                arrival.units());
+        DeduplicationDecider.Result result = deduplication.decide(arrival.requestId(), unsafe, fingerprint, attempt,
+                System.nanoTime());
+        if (result instanceof DeduplicationDecider.Result.Accepted accepted) {
+            return accept(accepted.request(), listener, arrival);
+        }
+        if (result instanceof DeduplicationDecider.Result.Superseding superseding) {
+            counters.duplicates++;
+            OpenRequest existing = openRequests.get(superseding.request());
+            DecisionListener before = existing.listener;
+            existing.listener = listener;
+            if (before != listener) {
+                before.fail(502, "superseded by a later request with the same id");
             }
-            return known;
+            return existing;
         }
-        away(asker, ((AskDecider.Ruling.Away) ruling).reason());
+        reject(listener, ((DeduplicationDecider.Result.Rejected) result).reason());
         return null;
     }
 
-    private void away(Asker asker, AskDecider.Reason reason) {
+    private void reject(DecisionListener listener, DeduplicationDecider.Reason reason) {
         switch (reason) {
             case IN_USE -> {
-                counts.malformed++;
-                asker.malformed(RequestValidator.TXN + " is the id of another request: give each its own");
+                counters.malformed++;
+                listener.malformed(RequestValidator.TXN + " is the id of another request: give each its own");
             }
             case PERHAPS_RAN -> {
-                counts.askedAgain++;
-                counts.failed++;
-                asker.fail(502, "it was handed out before and may have run");
+                counters.duplicates++;
+                counters.failed++;
+                listener.fail(502, "it was forwarded before and may have run");
             }
             case NOT_SEEN -> {
-                counts.askedAgain++;
-                counts.failed++;
-                asker.fail(502, "it was tried before, and what became of that is not known here");
+                counters.duplicates++;
+                counters.failed++;
+                listener.fail(502, "it was attempted before, and the outcome of that attempt is unknown here");
             }
             case NEVER_RAN -> {
-                counts.askedAgain++;
-                counts.refused++;
-                asker.refuse(0);
+                counters.duplicates++;
+                counters.refused++;
+                listener.refuse(0);
             }
             case FULL -> {
-                counts.refused++;
-                asker.refuse(0);
+                counters.refused++;
+                listener.refuse(0);
             }
         }
     }
 
-    private OpenAsk take(AskDecider.Ask ask, Asker asker, InboundRequest arrival) {
-        OpenAsk taken = new OpenAsk(ask, asker);
-        open.put(ask, taken);
-        long hold = settings.budgetNs() - settings.reserveNs();
-        taken.live = dispatcher.accept(arrival.withMaxHold(hold), taken, this);
-        if (taken.undecided()) {
-            // The module gives it up by itself before; this is for a loop or a module that is late.
-            taken.timer = loop.schedule(() -> late(taken), settings.budgetNs() - settings.reserveNs() / 2,
+    private OpenRequest accept(DeduplicationDecider.TrackedRequest tracked, DecisionListener listener,
+            InboundRequest arrival) {
+        OpenRequest accepted = new OpenRequest(tracked, listener);
+        openRequests.put(tracked, accepted);
+        long holdNanos = settings.budgetNanos() - settings.reserveNanos();
+        accepted.dispatched = dispatcher.accept(arrival.withMaxHold(holdNanos), accepted, this);
+        if (accepted.awaitingDecision()) {
+            // The decision module normally gives up first; this covers a delayed event loop or module.
+            accepted.timer = loop.schedule(() -> budgetExceeded(accepted),
+                    settings.budgetNanos() - settings.reserveNanos() / 2,
                     TimeUnit.NANOSECONDS);
         }
-        return taken;
+        return accepted;
     }
 
-    private void late(OpenAsk ask) {
-        if (ask.undecided()) {
-            counts.overBudget++;
-            ask.live.clientDisconnected();
-            ask.rejected(0);
+    private void budgetExceeded(OpenRequest tracked) {
+        if (tracked.awaitingDecision()) {
+            counters.budgetExceeded++;
+            tracked.dispatched.clientDisconnected();
+            tracked.rejected(0);
         }
     }
 
     /**
-     * Whoever asked waits no longer, or can't be reached. Undecided, the request has never been anywhere and the
-     * module gets back what it drew; handed out, its outcome may still be told for a while by another way.
+     * The caller no longer waits, or its connection is lost. A request that awaits its decision was never forwarded,
+     * and
+     * the decision module gets back what it had reserved for it. The outcome of a forwarded one may still be reported
+     * by
+     * another call, until the orphan timeout.
      */
-    void left(OpenAsk ask, Asker asker) {
-        if (ask.asker != asker) {
-            return; // another asks in its place
-        }
-        if (ask.undecided()) {
-            counts.withdrawn++;
-            ask.live.clientDisconnected();
-            ask.ended();
-        } else if (ask.attempt != null && ask.timer == null) {
-            ask.timer = loop.schedule(() -> orphaned(ask), settings.orphanNs(), TimeUnit.NANOSECONDS);
+    void callerGone(OpenRequest tracked, DecisionListener listener) {
+        if (tracked.listener != listener) {
+            return; // superseded by another caller
+        }
+        if (tracked.awaitingDecision()) {
+            counters.withdrawn++;
+            tracked.dispatched.clientDisconnected();
+            tracked.finishUnforwarded();
+        } else if (tracked.attempt != null && tracked.timer == null) {
+            tracked.timer = loop.schedule(() -> orphanTimedOut(tracked), settings.orphanTimeoutNanos(),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
-    private void orphaned(OpenAsk ask) {
-        if (ask.attempt != null) {
-            counts.noOutcome++;
-            ask.over(true).endedWithRequest(Outcome.CANCELLED, BackendReport.NONE);
+    private void orphanTimedOut(OpenRequest tracked) {
+        if (tracked.attempt != null) {
+            counters.missingOutcomes++;
+            tracked.finishForwarded(true).endedWithRequest(Outcome.CANCELLED, BackendReport.NONE);
         }
     }
 
-    // ---- A proxy tells how it went ----------------------------------------------------------------------
+    // ---- Outcomes ---------------------------------------------------------------------------------------
 
-    /** The outcome of what was handed out, told with the handle. */
-    Told outcome(OpenAsk ask, Outcome outcome, BackendReport report) {
-        if (ask.undecided()) {
-            return Told.NO_DECISION;
+    /** Reports the outcome of a forwarded request by its handle. */
+    OutcomeReportResult outcome(OpenRequest tracked, Outcome outcome, BackendReport report) {
+        if (tracked.awaitingDecision()) {
+            return OutcomeReportResult.NO_DECISION;
         }
-        if (ask.attempt == null) {
-            counts.outcomesLate++;
-            return Told.TOO_LATE;
+        if (tracked.attempt == null) {
+            counters.lateOutcomes++;
+            return OutcomeReportResult.TOO_LATE;
         }
-        counts.outcomes++;
+        counters.outcomes++;
         boolean mayHaveRun = outcome.mayHaveRun;
-        ask.over(mayHaveRun).endedWithRequest(outcome, report);
-        return Told.TAKEN;
+        tracked.finishForwarded(mayHaveRun).endedWithRequest(outcome, report);
+        return OutcomeReportResult.ACCEPTED;
     }
 
-    /** The same, told by the request's id. */
-    Told outcome(String id, Outcome outcome, BackendReport report) {
-        AskDecider.Ask ask = decider.find(id);
-        if (ask == null) {
-            return Told.NO_DECISION;
+    /** Reports the outcome of a forwarded request by its id. */
+    OutcomeReportResult outcome(String id, Outcome outcome, BackendReport report) {
+        DeduplicationDecider.TrackedRequest tracked = deduplication.find(id);
+        if (tracked == null) {
+            return OutcomeReportResult.NO_DECISION;
         }
-        OpenAsk known = open.get(ask);
-        if (known == null) {
-            boolean handedOut = ask.state() != AskDecider.State.UNSENT;
-            counts.outcomesLate += handedOut ? 1 : 0;
-            return handedOut ? Told.TOO_LATE : Told.NO_DECISION;
+        OpenRequest existing = openRequests.get(tracked);
+        if (existing == null) {
+            boolean markForwarded = tracked.state() != DeduplicationDecider.State.NOT_FORWARDED;
+            counters.lateOutcomes += markForwarded ? 1 : 0;
+            return markForwarded ? OutcomeReportResult.TOO_LATE : OutcomeReportResult.NO_DECISION;
         }
-        return outcome(known, outcome, report);
+        return outcome(existing, outcome, report);
     }
 
-    // ---- What the dispatcher asks of a carrier ----------------------------------------------------------
+    // ---- AttemptTransport ----------------------------------------------------------------------------------------
 
     @Override
     public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
@@ -398,32 +407,33 @@
             endpoints.clear();
         }
         for (Endpoint entry : entries) {
-            Endpoint known = endpoints.get(entry.id());
+            Endpoint existing = endpoints.get(entry.id());
             if (entry.state() != DiscoveryState.READY) {
                 endpoints.remove(entry.id());
             } else if (entry.address() != null) {
                 endpoints.put(entry.id(), entry);
-            } else if (known == null) {
+            } else if (existing == null) {
                 endpoints.remove(entry.id());
             }
         }
     }
 
-    /** Hands the decision out: from here on the request counts as sent. */
+    /** Sends the decision to the proxy; from here on the request counts as sent. */
     @Override
     public StartedAttempt start(BackendAttempt attempt) {
-        OpenAsk ask = (OpenAsk) attempt.client();
-        Endpoint to = endpoints.get(attempt.backendId());
-        if (to == null || !ask.undecided() || System.nanoTime() - ask.askedAt > settings.budgetNs()) {
-            // Nothing has left this process, so nothing can have run.
+        OpenRequest tracked = (OpenRequest) attempt.client();
+        Endpoint endpoint = endpoints.get(attempt.backendId());
+        if (endpoint == null || !tracked.awaitingDecision()
+                || System.nanoTime() - tracked.askedAtNanos > settings.budgetNanos()) {
+            // No decision has left this process, so the request can't have run.
             attempt.ended(Outcome.NEVER_SENT);
-            return ask;
-        }
-        ask.stop();
-        decider.handedOut(ask.ask);
-        ask.attempt = attempt;
-        counts.forwarded++;
-        ask.asker.forward(to, attempt.remainingMs(), ask.unsafe());
-        return ask;
+            return tracked;
+        }
+        tracked.cancelTimer();
+        deduplication.markForwarded(tracked.tracked);
+        tracked.attempt = attempt;
+        counters.forwarded++;
+        tracked.listener.forward(endpoint, attempt.remainingMs(), tracked.unsafe());
+        return tracked;
     }
 }
--- a/ext-proc/src/main/java/nettletrail/extproc/package-info.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A front that other proxies ask for each request, over gRPC (Envoy's external processor) or HTTP (forward-auth), and
- * that hears from them how it ended. {@link nettletrail.extproc.AskDecider} decides what an ask that comes again
- * gets; where a request goes is decided by the decision module, as for every front.
+ * A server that other proxies call for a decision on each request, over gRPC (Envoy's external processor) or HTTP
+ * (forward-auth), and to which they report the outcome. {@link nettletrail.extproc.DeduplicationDecider} decides what a
+ * repeated decision request gets. The decision module chooses the endpoint, as for requests to the front door.
  */
 package nettletrail.extproc;
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcFormTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcFormTest.java
@@ -30,7 +30,7 @@
     @TempDir
     private Path folder;
     private final List<String> lines = new ArrayList<>();
-    private ExtProcRig.Scripted module = new ExtProcRig.Scripted(NODE);
+    private ExtProcTestServer.ScriptedGateway module = new ExtProcTestServer.ScriptedGateway(NODE);
 
     /** Compares with the approved text; what was found is left in the build's folder. */
     private void verify(String name) throws Exception {
@@ -41,21 +41,21 @@
         assertEquals(Files.exists(approved) ? Files.readString(approved) : "", found, name);
     }
 
-    private ExtProcRig start() throws Exception {
-        ExtProcRig rig = new ExtProcRig(folder);
+    private ExtProcTestServer start() throws Exception {
+        ExtProcTestServer rig = new ExtProcTestServer(folder);
         rig.agent.set("s-1", new java.net.InetSocketAddress("127.0.0.1", 7), "SERVING", 0);
         return rig.with("budget_ms", 1_000L).start(module.module());
     }
 
     private String told() throws InterruptedException {
-        Object next = module.told.poll(10, TimeUnit.SECONDS);
+        Object next = module.calls.poll(10, TimeUnit.SECONDS);
         assertNotNull(next);
         return next instanceof Gateway.AttemptReport answer ? "  told outcome " + answer.outcome().ordinal() + " used "
                 + answer.quotaUsedPercent() + " charged " + answer.actualUnits() : "  told of a request";
     }
 
     /** The answer as it comes over HTTP; prose is left out. */
-    private void call(ExtProcRig rig, String method, String uri, Map<String, String> headers) throws Exception {
+    private void call(ExtProcTestServer rig, String method, String uri, Map<String, String> headers) throws Exception {
         StringBuilder text = new StringBuilder(method + " " + uri + " HTTP/1.1\r\nHost: gw\r\nConnection: close\r\n");
         headers.forEach((name, value) -> text.append(name.startsWith(":") ? "" : name + ": " + value + "\r\n"));
         try (Socket socket = new Socket(rig.http().getAddress(), rig.http().getPort())) {
@@ -74,18 +74,20 @@
     }
 
     private static Map<String, String> outcome(String id, String how) {
-        return new LinkedHashMap<>(Map.of("X-Txn", ExtProcRig.txn(id), "X-Gateway-Outcome", how, "X-Quota-Used", "17",
+        return new LinkedHashMap<>(Map.of("X-Txn", ExtProcTestServer.txn(id), "X-Gateway-Outcome", how, "X-Quota-Used",
+                "17",
                 "X-Units-Charged", "1.5"));
     }
 
     @Test
     void httpAsksAndOutcomesHaveTheirNames() throws Exception {
-        try (ExtProcRig rig = start()) {
+        try (ExtProcTestServer rig = start()) {
             List<String> hows = List.of("200", "500", "503", "not-sent", "connect-failed", "reset", "timed-out",
                     "cancelled");
             for (String how : hows) {
                 String id = "a" + hows.indexOf(how);
-                call(rig, "GET", "/v1/ask", ExtProcRig.with(ExtProcRig.submit(id), "X-Forwarded-Method", "POST"));
+                call(rig, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit(id), "X-Forwarded-Method",
+                        "POST"));
                 lines.add(told());
                 lines.add("outcome " + how);
                 Map<String, String> more = outcome(id, how);
@@ -98,16 +100,19 @@
             for (String header : List.of("X-Forwarded-Uri", "X-Original-URI", "X-Forwarded-Method", "X-Original-Method",
                     "X-Gateway-Outcome", "x-envoy-attempt-count")) {
                 lines.add(header + " is read: twice it is a fault");
-                call(rig, "GET", "/v1/ask", ExtProcRig.with(ExtProcRig.status("c" + header.length()), header,
+                call(rig, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.status("c" + header.length()),
+                        header,
                         "1\r\n" + header + ": 1"));
             }
-            Map<String, String> both = ExtProcRig.with(ExtProcRig.submit("d1"), "X-Original-Method", "POST");
-            call(rig, "GET", "/v1/ask", ExtProcRig.with(both, "X-Original-URI", "/api/y"));
+            Map<String, String> both = ExtProcTestServer.with(ExtProcTestServer.submit("d1"), "X-Original-Method",
+                    "POST");
+            call(rig, "GET", "/v1/ask", ExtProcTestServer.with(both, "X-Original-URI", "/api/y"));
             call(rig, "POST", "/v1/outcome", outcome("d1", "200"));
             call(rig, "GET", "/v1/ask?deny=403", Map.of());
             call(rig, "POST", "/v1/outcome", outcome("a0", "200"));
             call(rig, "POST", "/v1/outcome", outcome("e9", "200"));
-            call(rig, "GET", "/v1/ask", ExtProcRig.with(ExtProcRig.submit("a0"), "X-Forwarded-Method", "POST"));
+            call(rig, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a0"), "X-Forwarded-Method",
+                    "POST"));
             call(rig, "GET", "/v1/other", Map.of());
             call(rig, "GET", "/v1/counts", Map.of());
         }
@@ -116,15 +121,17 @@
 
     @Test
     void refusalsHaveTheirHeads() throws Exception {
-        module = new ExtProcRig.Scripted(0) {
+        module = new ExtProcTestServer.ScriptedGateway(0) {
             @Override
             public void onRequest(long now, Request request) {
                 actions.reject(request.id(), 1_500_000_000L);
             }
         };
-        try (ExtProcRig rig = start()) {
-            call(rig, "GET", "/v1/ask", ExtProcRig.with(ExtProcRig.submit("a1"), "X-Forwarded-Method", "POST"));
-            add("refused", new AskPeer(rig.connection()).ask(ExtProcRig.submit("a2")).next());
+        try (ExtProcTestServer rig = start()) {
+            call(rig, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "X-Forwarded-Method",
+                    "POST"));
+            add("refused",
+                    new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a2")).next());
         }
         verify("ext-proc-refusals.txt");
     }
@@ -141,26 +148,30 @@
 
     @Test
     void grpcAnswersHaveTheirHeaders() throws Exception {
-        try (ExtProcRig rig = start()) {
-            AskPeer unsafe = new AskPeer(rig.connection());
-            add("forward, not to be repeated", unsafe.ask(ExtProcRig.submit("a1")).next());
+        try (ExtProcTestServer rig = start()) {
+            TestProxyStream unsafe = new TestProxyStream(rig.connection());
+            add("forward, not to be repeated", unsafe.sendRequestHeaders(ExtProcTestServer.submit("a1")).next());
             lines.add(told());
             add("its answer", unsafe.outcome(503, "x-quota-used", "17", "x-units-charged", "1.5").next());
             lines.add(told());
-            add("forward", new AskPeer(rig.connection()).ask(ExtProcRig.status("a2")).next());
+            add("forward",
+                    new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.status("a2")).next());
             lines.add(told());
-            AskPeer full = new AskPeer(rig.connection());
-            full.ask(ExtProcRig.submit("a3")).next();
+            TestProxyStream full = new TestProxyStream(rig.connection());
+            full.sendRequestHeaders(ExtProcTestServer.submit("a3")).next();
             lines.add(told());
             add("turned away", full.outcome(504, "x-turned-away", "1").next());
             lines.add(told());
-            add("a path", new AskPeer(rig.connection()).ask(ExtProcRig.with(ExtProcRig.submit("a4"), ":method", "GET"))
+            add("a path",
+                    new TestProxyStream(rig.connection())
+                            .sendRequestHeaders(ExtProcTestServer.with(ExtProcTestServer.submit("a4"), ":method",
+                            "GET"))
                     .next());
             int number = 0;
-            for (String header : new TreeSet<>(ExtProcRig.submit("b1").keySet())) {
-                Map<String, String> good = ExtProcRig.submit("b" + number++);
-                AskPeer peer = new AskPeer(rig.connection());
-                ProcessingResponse answer = peer.ask(ExtProcRig.with(good, header, null)).next();
+            for (String header : new TreeSet<>(ExtProcTestServer.submit("b1").keySet())) {
+                Map<String, String> good = ExtProcTestServer.submit("b" + number++);
+                TestProxyStream peer = new TestProxyStream(rig.connection());
+                ProcessingResponse answer = peer.sendRequestHeaders(ExtProcTestServer.with(good, header, null)).next();
                 boolean forwarded = answer.hasRequestHeaders();
                 lines.add("without " + header + ": " + (forwarded ? "forward"
                         : answer.getImmediateResponse().getStatus().getCodeValue()));
@@ -175,10 +186,10 @@
                     "upstream_reset_before_response_started{connection_termination}", "response_timeout",
                     "via_upstream");
             for (String detail : details) {
-                AskPeer peer = new AskPeer(rig.connection());
-                peer.ask(ExtProcRig.submit("c" + details.indexOf(detail))).next();
+                TestProxyStream peer = new TestProxyStream(rig.connection());
+                peer.sendRequestHeaders(ExtProcTestServer.submit("c" + details.indexOf(detail))).next();
                 told();
-                peer.say(Messages.responseHeaders(Map.of(":status", "503"), detail)).next();
+                peer.send(Messages.responseHeaders(Map.of(":status", "503"), detail)).next();
                 lines.add(detail + told());
             }
         }
--- a/ext-proc/src/test/java/nettletrail/extproc/TogetherTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcIntegrationTest.java
@@ -22,18 +22,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The project's own module behind both fronts at once, with stand-in proxies and backends that note what ran. */
+/** Runs the real decision module behind the front door and the external processor, with fake proxies and backends. */
 @Timeout(120)
-class TogetherTest {
+class ExtProcIntegrationTest {
     @TempDir
     private Path folder;
-    private ExtProcRig rig;
+    private ExtProcTestServer rig;
     private final Ledger ledger = new Ledger();
     private final List<StandInBackend> backends = new ArrayList<>();
 
     @BeforeEach
     void make() {
-        rig = new ExtProcRig(folder);
+        rig = new ExtProcTestServer(folder);
     }
 
     @AfterEach
@@ -49,9 +49,9 @@
         return made;
     }
 
-    /** 5 s at many times what it gives; whichever way a request comes, its units are from the one ceiling. */
+    /** 3 s of load far above the limit: requests through both servers draw from one shared limit. */
     @Test
-    void aCeilingHoldsOverBothFrontsTogether() throws Exception {
+    void sharedLimitHoldsAcrossFrontDoorAndExternalProcessor() throws Exception {
         for (int i = 0; i < 3; i++) {
             backend(StandInBackend.Manner.good(1), 0);
         }
@@ -62,7 +62,7 @@
                 byte[] buffer = new byte[4_096];
                 for (int i = 0; System.nanoTime() < until; i++) {
                     StringBuilder text = new StringBuilder("POST /api HTTP/1.1\r\nHost: gw\r\nContent-Length: 0\r\n");
-                    ExtProcRig.request("5" + Integer.toHexString(i + 4096), true, "business", 9, 3_000).headers()
+                    ExtProcTestServer.request("5" + Integer.toHexString(i + 4096), true, "business", 9, 3_000).headers()
                             .forEach((name, value) -> text.append(name.startsWith("x-") ? name + ": " + value + "\r\n"
                                     : ""));
                     client.getOutputStream().write((text + "\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -76,7 +76,8 @@
         try (StandInProxy proxy = new StandInProxy(rig.front().grpcAddress(), StandInProxy.Habits.ROUGH, 3, 1_000)) {
             for (int i = 0; System.nanoTime() < until; i++) {
                 int number = i;
-                proxy.loop().execute(() -> proxy.request(ExtProcRig.request("a" + Integer.toHexString(number + 4096),
+                proxy.loop().execute(() -> proxy.request(ExtProcTestServer.request("a" + Integer.toHexString(number
+                        + 4096),
                         true, "business", 9, 3_000)));
                 Thread.sleep(2);
             }
@@ -92,11 +93,12 @@
     }
 
     /**
-     * A rough proxy and rough backends: retries, double asks, cancels, resets, errors, silence. Every ask is answered, no
-     * order is handed out or run twice, and all is given free at the end.
+     * A faulty proxy and faulty backends: retries, duplicates, cancellations, resets, errors, timeouts. Every request
+     * is
+     * answered, no order is forwarded or run twice, and all slots are free at the end.
      */
     @Test
-    void aRoughProxyNeverGetsAnOrderRunTwice() throws Exception {
+    void faultyProxyNeverRunsAnOrderTwice() throws Exception {
         for (int i = 0; i < 4; i++) {
             backend(new StandInBackend.Manner(10, 0.03, 0.03, 0.03, 0.01), 0);
         }
@@ -108,7 +110,8 @@
         try (StandInProxy proxy = new StandInProxy(rig.front().grpcAddress(), habits, seed, 60_000)) {
             for (int i = 0; i < 1_500; i++) {
                 boolean unsafe = random.nextInt(3) > 0;
-                StandInProxy.Request request = ExtProcRig.request("c" + Integer.toHexString(i + 4096), unsafe, "standard",
+                StandInProxy.Request request = ExtProcTestServer.request("c" + Integer.toHexString(i + 4096), unsafe,
+                        "standard",
                         i % 20, 800);
                 proxy.loop().execute(() -> proxy.request(request));
                 if (i % 4 == 0) {
@@ -120,26 +123,27 @@
             assertEquals(List.of(), figures.faults);
             assertEquals(0, figures.decidedTwice);
             assertEquals(0, figures.errors);
-            // On a machine that is busy elsewhere most asks find their budget over, and are refused: some must not.
+            // On a busy machine most requests exceed their budget and are refused; some must not be.
             assertTrue(figures.forwarded > 100 && figures.askedAgain > 100 && figures.withdrawn > 20,
                     figures.forwarded + ", " + figures.askedAgain + ", " + figures.withdrawn);
         }
         assertEquals(0, ledger.ranTwice().size(), ledger.ranTwice().toString());
-        for (int i = 0; i < 200 && held() > 0; i++) {
+        for (int i = 0; i < 200 && openCount() > 0; i++) {
             Thread.sleep(20);
         }
-        assertEquals(0, held(), "asks left over");
+        assertEquals(0, openCount(), "requests still open");
     }
 
-    private int held() throws Exception {
-        int[] held = new int[1];
-        rig.front().processor().onLoop(() -> held[0] = rig.front().processor().held()).get();
-        return held[0];
+    private int openCount() throws Exception {
+        int[] openCount = new int[1];
+        rig.front().processor().runOnLoop(() -> openCount[0] = rig.front().processor().openCount()).get();
+        return openCount[0];
     }
 
     /**
-     * Until no ask is undecided; what is under way at nodes is not waited for. Second asks come up to 150 ms behind the
-     * first: each look counts only if one a while later finds nothing new.
+     * Waits until no request awaits its decision, not until backends have finished. A duplicate may come 150 ms after
+     * the
+     * first, so two successive polls must find no new request.
      */
     private static void settle(StandInProxy proxy) throws Exception {
         int undecided = 1;
@@ -153,16 +157,16 @@
             }
             asks = now[1];
         }
-        assertEquals(0, undecided, "asks without a decision");
+        assertEquals(0, undecided, "requests without a decision");
     }
 
-    /** Eight proxies ask at once; a node that has just started gets its part of what goes out and not a rush. */
+    /** With eight concurrent proxies, a backend in slow start gets its reduced share and no burst. */
     @Test
-    void aColdNodeIsSparedByAllProxiesTogether() throws Exception {
+    void slowStartHoldsAcrossAllProxies() throws Exception {
         for (int i = 0; i < 3; i++) {
             backend(StandInBackend.Manner.good(1), 0);
         }
-        StandInBackend cold = backend(StandInBackend.Manner.good(1), System.currentTimeMillis());
+        StandInBackend withoutWarmUp = backend(StandInBackend.Manner.good(1), System.currentTimeMillis());
         rig.start(FrontDoor.GATEWAY_FACTORY);
         int toCold = 0;
         int all = 0;
@@ -171,24 +175,26 @@
             proxies.add(rig.connection());
         }
         for (int round = 0; round < 25; round++) {
-            List<AskPeer> asked = new ArrayList<>();
+            List<TestProxyStream> asked = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                asked.add(new AskPeer(proxies.get(i)).ask(ExtProcRig.status("f" + Integer.toHexString(round * 8 + i))));
+                asked.add(new TestProxyStream(proxies.get(i)).sendRequestHeaders(ExtProcTestServer.status("f"
+                        + Integer.toHexString(round * 8 + i))));
             }
-            for (AskPeer each : asked) {
+            for (TestProxyStream each : asked) {
                 var decision = each.next();
                 if (decision.hasRequestHeaders()) {
                     all++;
                     toCold += nettletrail.proxy.Messages.set(decision, "x-gateway-destination-endpoint")
-                            .endsWith(":" + cold.address().getPort()) ? 1 : 0;
+                            .endsWith(":" + withoutWarmUp.address().getPort()) ? 1 : 0;
                     each.outcome(200).next();
                 }
             }
         }
-        // It has a quarter of its capacity: of 3.25 in all, one half of the overload multiple of 2 at most, and 2 saved.
+        // It has a quarter of its capacity, of 3.25 in total: at most half of the overload factor of 2, plus a burst of
+        // 2.
         double most = all * 0.5 * 2.0 * 0.30 / 3.25 + 2 + 1;
         assertTrue(all > 150, all + " forwarded");
         assertTrue(toCold <= most, toCold + " of " + all + " went to the cold node, at most " + most);
-        assertTrue(toCold > 0, "it warms up by what it gets");
+        assertTrue(toCold > 0, "it needs requests to warm up");
     }
 }
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcSettingsTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcSettingsTest.java
@@ -23,17 +23,17 @@
     }
 
     @Test
-    void theDefaultsAreSoundAndOff() {
+    void defaultsAreValidAndDisabled() {
         assertEquals(List.of(), faults());
         SettingsSection.Values values = ExtProcSettings.section().read(Map.of(), fault -> { });
         assertTrue(!values.flag("enabled"));
         ExtProcSettings settings = ExtProcSettings.of(values);
-        assertEquals(20_000_000L, settings.budgetNs());
+        assertEquals(20_000_000L, settings.budgetNanos());
         assertEquals(9002, settings.listen().getPort());
     }
 
     @Test
-    void eachFaultNamesItsKeyAndRule() {
+    void errorsNameKeyAndRule() {
         assertEquals("budget_ms", faults("budget_ms", 4L).get(0).key());
         assertTrue(faults("budget_ms", 4L).get(0).message().contains("from 5 to 1000"));
         assertTrue(faults("budget_ms", "20").get(0).message().contains("whole number"));
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcRig.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcTestServer.java
@@ -24,8 +24,8 @@
 import nettletrail.proxy.StandInProxy;
 import nettletrail.site.StandInAgent;
 
-/** A front door with an external processor, on loopback; the module is the project's or one that the test plays. */
-final class ExtProcRig implements AutoCloseable {
+/** A front door with an external processor on loopback, with the real decision module or a scripted one. */
+final class ExtProcTestServer implements AutoCloseable {
     static final String SETTINGS = """
             {"Balancers":1,"Ceilings":{"ConnIdle":30000000000,"ConnectTimeout":250000000,"MaxAttempts":3},
              "Dcs":["a"],"Discovery":"push","FamilyInfo":{"MostUnits":6},"Flavors":["m1"],
@@ -45,31 +45,30 @@
     private ExtProcServer front;
     private FrontDoor door;
 
-    ExtProcRig(Path folder) {
+    ExtProcTestServer(Path folder) {
         this.folder = folder;
         values.put("listen", "127.0.0.1:0");
         values.put("http_listen", "127.0.0.1:0");
     }
 
-    /** A key of the operator file. */
-    ExtProcRig with(String key, Object value) {
+    /** Sets a key of the operator file. */
+    ExtProcTestServer with(String key, Object value) {
         values.put(key, value);
         return this;
     }
 
-    ExtProcRig start(Dispatcher.GatewayFactory module) throws Exception {
+    ExtProcTestServer start(Dispatcher.GatewayFactory module) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"name\":\"n0\",\"discovery\":\"127.0.0.1:0\",\"seed\":\"77\",\"limits\":{\"sockets\":1024},"
                 + "\"known\":" + agent.list(-1) + ",\"settings\":" + SETTINGS + "}");
-        FrontDoorConfig config = FrontDoorConfig.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0",
-                "EDGE_DISCOVERY",
+        FrontDoorConfig config = FrontDoorConfig.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0", "EDGE_DISCOVERY",
                 "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString()));
         List<SettingsSection.Fault> faults = new ArrayList<>();
         SettingsSection.Values read = ExtProcSettings.section().read(values, faults::add);
         ExtProcSettings.check(read, faults::add);
         assertEquals(List.of(), faults);
         door = FrontDoor.start(config, module, (loop, reader, settings) ->
-                front = ExtProcServer.cold(ExtProcSettings.of(read), loop, reader, settings));
+                front = ExtProcServer.withoutWarmUp(ExtProcSettings.of(read), loop, reader, settings));
         return this;
     }
 
@@ -81,7 +80,7 @@
         return front;
     }
 
-    /** A proxy's connection of its own. */
+    /** Opens a new connection of a proxy. */
     ManagedChannel connection() {
         ManagedChannel channel = NettyChannelBuilder.forAddress(front.grpcAddress()).usePlaintext().build();
         channels.add(channel);
@@ -92,7 +91,7 @@
         return front.httpAddress();
     }
 
-    /** An id of the form that clients send. */
+    /** A request id in the clients' format. */
     static String txn(String end) {
         return "0".repeat(16 - end.length()) + end;
     }
@@ -130,15 +129,15 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** A module whose decisions the test gives, and that notes what it is told. */
-    static class Scripted implements Gateway {
-        final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
+    /** A decision module that the test controls; it records each call. */
+    static class ScriptedGateway implements Gateway {
+        final BlockingQueue<Object> calls = new LinkedBlockingQueue<>();
         private final BlockingQueue<Long> arrivals = new LinkedBlockingQueue<>();
         private final long sendTo;
         Gateway.Actions actions;
 
-        /** @param sendTo each arrival goes there at once; 0: arrivals wait for the test */
-        Scripted(long sendTo) {
+        /** @param sendTo backend that each arrival is sent to at once; 0 leaves arrivals to the test */
+        ScriptedGateway(long sendTo) {
             this.sendTo = sendTo;
         }
 
@@ -149,22 +148,22 @@
             };
         }
 
-        /** The next thing that it was told, of this kind; others before it are an error. */
-        <T> T heard(Class<T> kind) throws InterruptedException {
-            Object next = told.poll(10, TimeUnit.SECONDS);
-            assertNotNull(next, "not told: " + kind.getSimpleName());
+        /** Waits for the next call, which must be of this kind. */
+        <T> T expectCall(Class<T> kind) throws InterruptedException {
+            Object next = calls.poll(10, TimeUnit.SECONDS);
+            assertNotNull(next, "no call: " + kind.getSimpleName());
             assertEquals(kind, next.getClass(), next.toString());
             return kind.cast(next);
         }
 
-        /** On the event loop, as the module would. */
-        void act(ExtProcRig rig, java.util.function.Consumer<Gateway.Actions> what) throws Exception {
-            rig.front().processor().onLoop(() -> what.accept(actions)).get();
+        /** Runs an action on the event loop, as the module would. */
+        void onLoop(ExtProcTestServer rig, java.util.function.Consumer<Gateway.Actions> what) throws Exception {
+            rig.front().processor().runOnLoop(() -> what.accept(actions)).get();
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            told.add(request);
+            calls.add(request);
             arrivals.add(request.id());
             if (sendTo != 0) {
                 actions.send(request.id(), sendTo, 0);
@@ -173,12 +172,12 @@
 
         @Override
         public void onAttemptEnd(long now, AttemptReport answer) {
-            told.add(answer);
+            calls.add(answer);
         }
 
         @Override
         public void onRequestCancelled(long now, long requestId) {
-            told.add(requestId);
+            calls.add(requestId);
         }
 
         @Override
--- a/ext-proc/src/test/java/nettletrail/extproc/HttpAsksTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ForwardAuthHandlerTest.java
@@ -14,9 +14,9 @@
 import java.util.Locale;
 import java.util.Map;
 import nettletrail.core.Endpoint;
-import nettletrail.decision.Gateway;
 import nettletrail.decision.Gateway.Outcome;
-import nettletrail.extproc.ExtProcRig.Scripted;
+import nettletrail.decision.Gateway;
+import nettletrail.extproc.ExtProcTestServer.ScriptedGateway;
 import nettletrail.site.Ledger;
 import nettletrail.site.StandInBackend;
 import org.junit.jupiter.api.AfterEach;
@@ -25,19 +25,19 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Asks and outcomes over HTTP, as proxies with forward-auth or auth_request make them. */
+/** Decision requests and outcomes over HTTP, as sent by proxies with forward-auth or auth_request. */
 @Timeout(60)
-class HttpAsksTest {
+class ForwardAuthHandlerTest {
     private static final long NODE = Endpoint.idOf("s-1");
 
     @TempDir
     private Path folder;
-    private ExtProcRig rig;
+    private ExtProcTestServer rig;
     private StandInBackend backend;
 
     @BeforeEach
     void make() {
-        rig = new ExtProcRig(folder);
+        rig = new ExtProcTestServer(folder);
         backend = new StandInBackend("s-1", rig.group, new Ledger(), StandInBackend.Manner.good(1), 1);
         rig.agent.set("s-1", backend.address(), "SERVING", 0);
     }
@@ -89,7 +89,7 @@
         }
 
         Answer outcome(String id, String how) throws IOException {
-            return call("POST", "/v1/outcome", Map.of("X-Txn", ExtProcRig.txn(id), "X-Gateway-Outcome", how,
+            return call("POST", "/v1/outcome", Map.of("X-Txn", ExtProcTestServer.txn(id), "X-Gateway-Outcome", how,
                     "X-Quota-Used", "17"));
         }
 
@@ -100,57 +100,58 @@
     }
 
     @Test
-    void aForwardNamesTheNodeAndTheOutcomeIsToldByACallOfItsOwn() throws Exception {
-        Scripted module = new Scripted(NODE);
+    void forwardNamesEndpointAndOutcomeIsReportedSeparately() throws Exception {
+        ScriptedGateway module = new ScriptedGateway(NODE);
         rig.start(module.module());
         try (Caller caller = new Caller()) {
-            Map<String, String> order = ExtProcRig.with(ExtProcRig.submit("a1"), "X-Forwarded-Method", "POST");
+            Map<String, String> order = ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "X-Forwarded-Method",
+                    "POST");
             Answer forward = caller.call("GET", "/v1/ask", order);
             assertEquals(200, forward.status());
             assertEquals("forward", forward.headers().get("x-gateway-decision"));
             assertEquals("127.0.0.1:" + backend.address().getPort(),
                     forward.headers().get("x-gateway-destination-endpoint"));
-            module.heard(Gateway.Request.class);
+            module.expectCall(Gateway.Request.class);
             assertEquals(200, caller.outcome("a1", "200").status());
-            Gateway.AttemptReport told = module.heard(Gateway.AttemptReport.class);
+            Gateway.AttemptReport told = module.expectCall(Gateway.AttemptReport.class);
             assertEquals(Outcome.OK, told.outcome());
             assertEquals(17, told.quotaUsedPercent());
-            assertEquals(409, caller.outcome("a1", "500").status(), "told before");
-            assertEquals(404, caller.outcome("a2", "200").status(), "never handed out");
+            assertEquals(409, caller.outcome("a1", "500").status(), "reported before");
+            assertEquals(404, caller.outcome("a2", "200").status(), "never forwarded");
             Answer again = caller.call("GET", "/v1/ask", order);
             assertEquals(502, again.status());
             assertTrue(again.body().contains("may have run"), again.body());
             assertEquals(400, caller.outcome("a1", "sideways").status());
-            assertTrue(module.told.isEmpty());
+            assertTrue(module.calls.isEmpty());
             Answer counts = caller.call("GET", "/v1/counts", Map.of());
             assertTrue(counts.body().contains("\"forwarded\":1"), counts.body());
         }
     }
 
     @Test
-    void whatNeverLeftTheProxyIsToldAsSuch() throws Exception {
-        Scripted module = new Scripted(NODE);
+    void namedOutcomesReachModule() throws Exception {
+        ScriptedGateway module = new ScriptedGateway(NODE);
         rig.start(module.module());
         try (Caller caller = new Caller()) {
             for (String[] each : new String[][] {{"b1", "not-sent", "NEVER_SENT"}, {"b2", "connect-failed",
                 "CONNECT_FAILED"}, {"b3", "reset", "RESET"}, {"b4", "timed-out", "TIMED_OUT"}}) {
-                assertEquals(200, caller.call("GET", "/v1/ask", ExtProcRig.submit(each[0])).status());
-                module.heard(Gateway.Request.class);
+                assertEquals(200, caller.call("GET", "/v1/ask", ExtProcTestServer.submit(each[0])).status());
+                module.expectCall(Gateway.Request.class);
                 assertEquals(200, caller.outcome(each[0], each[1]).status());
-                assertEquals(Outcome.valueOf(each[2]), module.heard(Gateway.AttemptReport.class).outcome());
+                assertEquals(Outcome.valueOf(each[2]), module.expectCall(Gateway.AttemptReport.class).outcome());
             }
         }
     }
 
-    /** nginx's auth_request knows 2xx, 401 and 403: the status meant is in a header for it. */
+    /** nginx's auth_request supports only 2xx, 401 and 403; the actual status is in a header. */
     @Test
-    void aRefusalIsA403WhereTheProxyKnowsNoOther() throws Exception {
-        Scripted module = new Scripted(0);
+    void refusalIs403OnRequestWithStatusInHeader() throws Exception {
+        ScriptedGateway module = new ScriptedGateway(0);
         rig.start(module.module());
         try (Caller caller = new Caller()) {
-            caller.write("GET", "/v1/ask?deny=403", ExtProcRig.submit("a1"));
-            long id = module.heard(Gateway.Request.class).id();
-            module.act(rig, actions -> actions.reject(id, 3_000_000_000L));
+            caller.write("GET", "/v1/ask?deny=403", ExtProcTestServer.submit("a1"));
+            long id = module.expectCall(Gateway.Request.class).id();
+            module.onLoop(rig, actions -> actions.reject(id, 3_000_000_000L));
             Answer refused = caller.read();
             assertEquals(403, refused.status());
             assertEquals("429", refused.headers().get("x-gateway-status"));
@@ -159,44 +160,46 @@
     }
 
     @Test
-    void whatIsWrongIsNamedAndTheConnectionGoesOn() throws Exception {
-        rig.start(new Scripted(NODE).module());
+    void errorIsNamedAndConnectionStaysOpen() throws Exception {
+        rig.start(new ScriptedGateway(NODE).module());
         try (Caller caller = new Caller()) {
-            Answer lane = caller.call("GET", "/v1/ask", ExtProcRig.with(ExtProcRig.submit("a1"), "x-lane", "none"));
+            Answer lane = caller.call("GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a1"),
+                    "x-lane", "none"));
             assertEquals(400, lane.status());
             assertTrue(lane.body().contains("X-Lane: it must name a class"), lane.body());
-            Answer method = caller.call("GET", "/v1/ask", ExtProcRig.with(ExtProcRig.submit("a1"),
+            Answer method = caller.call("GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a1"),
                     "X-Forwarded-Method", "GET"));
             assertTrue(method.body().contains("the method of class order-submit must be POST"), method.body());
             assertEquals(404, caller.call("GET", "/", Map.of()).status());
-            assertEquals(200, caller.call("GET", "/v1/ask", ExtProcRig.submit("a1")).status());
+            assertEquals(200, caller.call("GET", "/v1/ask", ExtProcTestServer.submit("a1")).status());
         }
     }
 
     @Test
-    void whoClosesBeforeTheDecisionTakesNothingWithIt() throws Exception {
-        Scripted module = new Scripted(0);
+    void closeBeforeDecisionReleasesRequest() throws Exception {
+        ScriptedGateway module = new ScriptedGateway(0);
         rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
         long id;
         try (Caller caller = new Caller()) {
-            caller.write("GET", "/v1/ask", ExtProcRig.submit("a1"));
-            id = module.heard(Gateway.Request.class).id();
+            caller.write("GET", "/v1/ask", ExtProcTestServer.submit("a1"));
+            id = module.expectCall(Gateway.Request.class).id();
         }
-        assertEquals(id, module.heard(Long.class));
+        assertEquals(id, module.expectCall(Long.class));
     }
 
-    /** One connection, many asks in one piece: answered in turn, each with its own. */
+    /** Pipelined requests on one connection are answered in order. */
     @Test
-    void asksInOnePieceAreAnsweredInTurn() throws Exception {
-        Scripted module = new Scripted(0);
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+        ScriptedGateway module = new ScriptedGateway(0);
         rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
         try (Caller caller = new Caller()) {
-            caller.write("GET", "/v1/ask", ExtProcRig.submit("a1")).write("GET", "/v1/ask", ExtProcRig.submit("a2"));
-            long first = module.heard(Gateway.Request.class).id();
-            assertNull(module.told.peek(), "the second waits");
-            module.act(rig, actions -> actions.reject(first, 0));
-            long second = module.heard(Gateway.Request.class).id();
-            module.act(rig, actions -> actions.send(second, NODE, 0));
+            caller.write("GET", "/v1/ask", ExtProcTestServer.submit("a1")).write("GET", "/v1/ask",
+                    ExtProcTestServer.submit("a2"));
+            long first = module.expectCall(Gateway.Request.class).id();
+            assertNull(module.calls.peek(), "the second waits");
+            module.onLoop(rig, actions -> actions.reject(first, 0));
+            long second = module.expectCall(Gateway.Request.class).id();
+            module.onLoop(rig, actions -> actions.send(second, NODE, 0));
             assertEquals(429, caller.read().status());
             assertEquals(200, caller.read().status());
         }
@@ -213,14 +216,18 @@
 
     private static String ask(String more) {
         StringBuilder text = new StringBuilder("GET /v1/ask HTTP/1.1\r\nHost: gw\r\nX-Forwarded-Method: POST\r\n");
-        ExtProcRig.submit("a1").forEach((name, value) -> text.append(name.startsWith(":") ? "" : name + ": " + value + "\r\n"));
+        ExtProcTestServer.submit("a1").forEach((name, value) ->
+                text.append(name.startsWith(":") ? "" : name + ": " + value + "\r\n"));
         return text + more + "\r\n";
     }
 
-    /** As at the socket front: what two readers could take in two ways is refused, and the module hears of none. */
+    /**
+     * As at the front door: a head that two parsers could interpret differently is rejected and never reaches the
+     * module.
+     */
     @Test
-    void headsThatCanBeTakenInTwoWaysAreRefused() throws Exception {
-        Scripted module = new Scripted(NODE);
+    void ambiguousHeadsAreRejected() throws Exception {
+        ScriptedGateway module = new ScriptedGateway(NODE);
         rig.start(module.module());
         for (String name : java.util.List.of("X-Txn", "X-Customer", "X-Lane", "X-Plan", "X-Quota", "X-Remaining-Ms", "Host",
                 "X-Forwarded-Method")) {
@@ -234,13 +241,13 @@
         refused(ask("").replace("HTTP/1.1", "HTTP/2.0"), 505, "HTTP/1.1");
         refused("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 505, "HTTP/1.1");
         refused(ask("").replace("/v1/ask", "*"), 400, "target");
-        assertTrue(module.told.isEmpty());
+        assertTrue(module.calls.isEmpty());
     }
 
-    /** A HEAD's answer has no body, or the next answer would be read out of it. */
+    /** A HEAD response has no body; otherwise the client would read the body as the next response. */
     @Test
-    void anAskByHeadIsAnsweredWithoutABody() throws Exception {
-        rig.start(new Scripted(0).module());
+    void headRequestGetsNoBody() throws Exception {
+        rig.start(new ScriptedGateway(0).module());
         try (Caller caller = new Caller()) {
             caller.socket.getOutputStream().write(("HEAD /else HTTP/1.1\r\nHost: gw\r\n\r\n" + "GET /else HTTP/1.1\r\nHost: gw\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
--- a/ext-proc/src/test/java/nettletrail/extproc/BadInputTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/InvalidInputTest.java
@@ -28,7 +28,7 @@
 import java.util.Map;
 import nettletrail.core.Endpoint;
 import nettletrail.decision.Gateway;
-import nettletrail.extproc.ExtProcRig.Scripted;
+import nettletrail.extproc.ExtProcTestServer.ScriptedGateway;
 import nettletrail.proxy.Messages;
 import nettletrail.site.Ledger;
 import nettletrail.site.StandInBackend;
@@ -40,20 +40,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What proxies may send that makes no sense, is too much, or is of a mode of its own: a clear word, nobody else hurt. */
+/** Invalid, excessive or unsupported input is rejected with a clear reason and doesn't affect other callers. */
 @Timeout(60)
-class BadInputTest {
+class InvalidInputTest {
     private static final long NODE = Endpoint.idOf("s-1");
 
     @TempDir
     private Path folder;
-    private ExtProcRig rig;
+    private ExtProcTestServer rig;
     private StandInBackend backend;
-    private final Scripted module = new Scripted(NODE);
+    private final ScriptedGateway module = new ScriptedGateway(NODE);
 
     @BeforeEach
     void make() {
-        rig = new ExtProcRig(folder);
+        rig = new ExtProcTestServer(folder);
         backend = new StandInBackend("s-1", rig.group, new Ledger(), StandInBackend.Manner.good(1), 1);
         rig.agent.set("s-1", backend.address(), "SERVING", 0);
     }
@@ -68,7 +68,7 @@
         return answer.getImmediateResponse().getBody().toStringUtf8();
     }
 
-    /** Each names the header and the rule; none reaches the module; the value isn't repeated. */
+    /** The error names the header and the rule but doesn't echo the value; nothing reaches the module. */
     @ParameterizedTest
     @CsvSource({"x-txn,,X-Txn is missing", "x-txn,12,X-Txn: it must be 16 hex digits",
             "x-lane,secret-lane,X-Lane: it must name a class", "x-plan,secret-plan,X-Plan: it must name a plan",
@@ -77,105 +77,112 @@
             "x-quota,'units=7,spread=1,first=0',X-Quota: it must be",
             "x-quota,'units=NaN,spread=1,first=0',X-Quota: it must be",
             "x-quota,'units=1,spread=0,first=0',X-Quota: it must be", ":method,GET,the method of class order-submit"})
-    void whatIsWrongIsNamed(String header, String value, String told) throws Exception {
+    void invalidHeaderIsNamedInError(String header, String value, String told) throws Exception {
         rig.start(module.module());
-        AskPeer peer = new AskPeer(rig.connection()).ask(ExtProcRig.with(ExtProcRig.submit("a1"), header, value));
+        TestProxyStream peer =
+                new TestProxyStream(rig.connection())
+                        .sendRequestHeaders(ExtProcTestServer.with(ExtProcTestServer.submit("a1"), header, value));
         ProcessingResponse answer = peer.next();
         assertEquals(400, answer.getImmediateResponse().getStatus().getCodeValue());
         assertTrue(body(answer).contains(told), body(answer));
         assertTrue(!body(answer).contains("secret"), body(answer));
-        assertTrue(module.told.isEmpty());
+        assertTrue(module.calls.isEmpty());
         assertEquals(Status.Code.OK, peer.end().getCode());
     }
 
     @Test
-    void aHeaderThatIsThereTwiceIsAFault() throws Exception {
+    void repeatedRequestIdIsRejected() throws Exception {
         rig.start(module.module());
-        HeaderMap.Builder twice = Messages.headers(ExtProcRig.submit("a1")).toBuilder();
+        HeaderMap.Builder twice = Messages.headers(ExtProcTestServer.submit("a1")).toBuilder();
         twice.addHeaders(HeaderValue.newBuilder().setKey("X-Txn").setRawValue(ByteString.copyFromUtf8(
-                ExtProcRig.txn("a2"))));
-        ProcessingResponse answer = new AskPeer(rig.connection()).say(ProcessingRequest.newBuilder()
+                ExtProcTestServer.txn("a2"))));
+        ProcessingResponse answer = new TestProxyStream(rig.connection()).send(ProcessingRequest.newBuilder()
                 .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(twice)).build()).next();
         assertTrue(body(answer).contains("x-txn is there twice"), body(answer));
-        assertTrue(module.told.isEmpty());
+        assertTrue(module.calls.isEmpty());
     }
 
     @ParameterizedTest
     @CsvSource({"X-Customer", "x-lane", "X-Plan", "x-quota", "X-Remaining-Ms", "authorization", ":authority"})
-    void soIsEachOtherThatCountsOnce(String name) throws Exception {
+    void repeatedSingleValueHeaderIsRejected(String name) throws Exception {
         rig.start(module.module());
-        HeaderMap.Builder twice = Messages.headers(ExtProcRig.submit("a1")).toBuilder();
+        HeaderMap.Builder twice = Messages.headers(ExtProcTestServer.submit("a1")).toBuilder();
         for (int i = 0; i < 2; i++) {
             twice.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8("1")));
         }
-        ProcessingResponse answer = new AskPeer(rig.connection()).say(ProcessingRequest.newBuilder()
+        ProcessingResponse answer = new TestProxyStream(rig.connection()).send(ProcessingRequest.newBuilder()
                 .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(twice)).build()).next();
         assertTrue(body(answer).contains(name.toLowerCase(java.util.Locale.ROOT) + " is there twice"), body(answer));
-        assertTrue(module.told.isEmpty());
+        assertTrue(module.calls.isEmpty());
     }
 
-    /** HTTP/2 has no folded lines; a value with a line's end in it would become two lines on the way on. */
+    /** HTTP/2 has no line folding; a value with a line break would become two header lines when forwarded. */
     @ParameterizedTest
     @CsvSource({"'\r\n x'", "'\n'", "'\0'"})
-    void aValueWithALinesEndIsAFault(String end) throws Exception {
+    void controlCharacterInValueIsRejected(String end) throws Exception {
         rig.start(module.module());
         String text = end.replace("\\r", "\r").replace("\\n", "\n").replace("\\0", "\0");
-        ProcessingResponse answer = new AskPeer(rig.connection()).ask(ExtProcRig.with(ExtProcRig.submit("a1"), "x-customer",
+        ProcessingResponse answer =
+                new TestProxyStream(rig.connection())
+                        .sendRequestHeaders(ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "x-customer",
                 "00000000000000aa" + text)).next();
         assertTrue(body(answer).contains("x-customer holds a line's end"), body(answer));
-        assertTrue(module.told.isEmpty());
+        assertTrue(module.calls.isEmpty());
     }
 
     @Test
-    void anIdThatIsOpenAtTheSocketFrontIsTurnedAway() throws Exception {
-        Scripted silent = new Scripted(0);
+    void idOpenAtFrontDoorIsRejected() throws Exception {
+        ScriptedGateway silent = new ScriptedGateway(0);
         rig.start(silent.module());
         try (Socket client = new Socket("127.0.0.1", rig.door().address().getPort())) {
             StringBuilder request = new StringBuilder("POST /api HTTP/1.1\r\nHost: gw\r\nContent-Length: 0\r\n");
-            ExtProcRig.submit("a1").forEach((name, value) -> request.append(name.startsWith("x-")
+            ExtProcTestServer.submit("a1").forEach((name, value) -> request.append(name.startsWith("x-")
                     ? name + ": " + value + "\r\n" : ""));
             client.getOutputStream().write((request + "\r\n").getBytes(StandardCharsets.US_ASCII));
-            silent.heard(Gateway.Request.class);
-            ProcessingResponse answer = new AskPeer(rig.connection()).ask(ExtProcRig.submit("a1")).next();
+            silent.expectCall(Gateway.Request.class);
+            ProcessingResponse answer =
+                    new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1")).next();
             assertEquals(400, answer.getImmediateResponse().getStatus().getCodeValue());
             assertTrue(body(answer).contains("open here"), body(answer));
         }
     }
 
     @Test
-    void aMebibyteOfHeadersEndsItsStreamAndNoOther() throws Exception {
+    void oversizedHeadersEndOnlyTheirStream() throws Exception {
         rig.start(module.module());
         ManagedChannel connection = rig.connection();
-        AskPeer other = new AskPeer(connection).ask(ExtProcRig.submit("b1"));
-        AskPeer peer = new AskPeer(connection).ask(ExtProcRig.with(ExtProcRig.submit("a1"), "x-much",
+        TestProxyStream other = new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("b1"));
+        TestProxyStream peer =
+                new TestProxyStream(connection)
+                        .sendRequestHeaders(ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "x-much",
                 "m".repeat(1 << 20)));
         assertEquals(Status.Code.RESOURCE_EXHAUSTED, peer.end().getCode());
-        other.forwarded();
+        other.expectForward();
         other.outcome(200);
         assertTrue(other.next().hasResponseHeaders());
     }
 
     @Test
-    void messagesOutOfOrderEndTheirStreamWithTheirNames() throws Exception {
+    void outOfOrderMessageEndsStreamAndIsNamed() throws Exception {
         rig.start(module.module());
         ManagedChannel connection = rig.connection();
         ProcessingRequest body = ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()
                 .setBody(ByteString.copyFromUtf8("x"))).build();
-        Status first = new AskPeer(connection).say(body).end();
+        Status first = new TestProxyStream(connection).send(body).end();
         assertEquals(Status.Code.INVALID_ARGUMENT, first.getCode());
         assertTrue(first.getDescription().contains("request_body before request_headers"), first.getDescription());
-        Status empty = new AskPeer(connection).say(ProcessingRequest.getDefaultInstance()).end();
+        Status empty = new TestProxyStream(connection).send(ProcessingRequest.getDefaultInstance()).end();
         assertTrue(empty.getDescription().contains("without a request"), empty.getDescription());
-        AskPeer two = new AskPeer(connection).ask(ExtProcRig.submit("a1"));
-        two.forwarded();
-        Status another = two.ask(ExtProcRig.submit("a2")).end();
+        TestProxyStream two = new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        two.expectForward();
+        Status another = two.sendRequestHeaders(ExtProcTestServer.submit("a2")).end();
         assertTrue(another.getDescription().contains("of another request"), another.getDescription());
-        AskPeer tail = new AskPeer(connection).ask(ExtProcRig.submit("a3"));
-        tail.forwarded();
-        Status late = tail.say(ProcessingRequest.newBuilder().setResponseBody(HttpBody.newBuilder()).build()).end();
+        TestProxyStream tail = new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a3"));
+        tail.expectForward();
+        Status late = tail.send(ProcessingRequest.newBuilder().setResponseBody(HttpBody.newBuilder()).build()).end();
         assertTrue(late.getDescription().contains("response_body before response_headers"), late.getDescription());
-        AskPeer odd = new AskPeer(connection).ask(ExtProcRig.submit("a4"));
-        odd.forwarded();
+        TestProxyStream odd = new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a4"));
+        odd.expectForward();
         assertTrue(odd.outcome(7).end().getDescription().contains(":status"));
     }
 
@@ -188,98 +195,107 @@
 
     @ParameterizedTest
     @CsvSource({"NONE,NONE", "STREAMED,STREAMED", "BUFFERED,BUFFERED", "BUFFERED_PARTIAL,NONE"})
-    void bodiesAndTrailersAreEachAnsweredAndLeftAsTheyAre(BodySendMode request, BodySendMode response)
+    void bodiesAndTrailersAreAcknowledgedUnchanged(BodySendMode request, BodySendMode response)
             throws Exception {
         rig.start(module.module());
-        AskPeer peer = new AskPeer(rig.connection()).say(modes(request, response).setRequestHeaders(
-                HttpHeaders.newBuilder().setHeaders(Messages.headers(ExtProcRig.submit("a1")))).build());
-        peer.forwarded();
+        TestProxyStream peer = new TestProxyStream(rig.connection()).send(modes(request, response).setRequestHeaders(
+                HttpHeaders.newBuilder().setHeaders(Messages.headers(ExtProcTestServer.submit("a1")))).build());
+        peer.expectForward();
         for (int i = 0; i < 3; i++) {
-            peer.say(ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()
+            peer.send(ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()
                     .setBody(ByteString.copyFromUtf8("part")).setEndOfStream(i == 2)).build());
             ProcessingResponse answer = peer.next();
             assertTrue(answer.hasRequestBody() && !answer.getRequestBody().getResponse().hasBodyMutation());
         }
-        peer.say(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance()).build());
+        peer.send(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance()).build());
         assertTrue(peer.next().hasRequestTrailers());
         assertTrue(peer.outcome(200).next().hasResponseHeaders());
-        peer.say(ProcessingRequest.newBuilder().setResponseBody(HttpBody.getDefaultInstance()).build());
+        peer.send(ProcessingRequest.newBuilder().setResponseBody(HttpBody.getDefaultInstance()).build());
         assertTrue(peer.next().hasResponseBody());
-        peer.say(ProcessingRequest.newBuilder().setResponseTrailers(HttpTrailers.getDefaultInstance()).build());
+        peer.send(ProcessingRequest.newBuilder().setResponseTrailers(HttpTrailers.getDefaultInstance()).build());
         assertTrue(peer.next().hasResponseTrailers());
     }
 
-    /** A proxy may send the body without waiting: the answers come in its order, after the decision. */
+    /** A proxy may send the body before the decision; the responses follow in order after the decision. */
     @Test
-    void partsThatComeBeforeTheDecisionAreAnsweredAfterIt() throws Exception {
-        Scripted slow = new Scripted(0);
+    void earlyBodyPartsAreAnsweredAfterDecision() throws Exception {
+        ScriptedGateway slow = new ScriptedGateway(0);
         rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(slow.module());
-        AskPeer peer = new AskPeer(rig.connection()).ask(ExtProcRig.submit("a1"));
-        long id = slow.heard(Gateway.Request.class).id();
+        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        long id = slow.expectCall(Gateway.Request.class).id();
         ProcessingRequest part = ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()).build();
-        peer.say(part).say(part);
-        peer.say(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance()).build());
-        slow.act(rig, actions -> actions.send(id, NODE, 0));
-        peer.forwarded();
+        peer.send(part).send(part);
+        peer.send(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance()).build());
+        slow.onLoop(rig, actions -> actions.send(id, NODE, 0));
+        peer.expectForward();
         assertTrue(peer.next().hasRequestBody());
         assertTrue(peer.next().hasRequestBody());
         assertTrue(peer.next().hasRequestTrailers());
     }
 
     @Test
-    void aModeThatIsNotServedIsNamed() throws Exception {
+    void unsupportedModeIsNamed() throws Exception {
         rig.start(module.module());
-        Status status = new AskPeer(rig.connection()).say(modes(BodySendMode.FULL_DUPLEX_STREAMED, BodySendMode.NONE)
-                .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(Messages.headers(ExtProcRig.submit("a1"))))
+        Status status = new TestProxyStream(rig.connection()).send(modes(BodySendMode.FULL_DUPLEX_STREAMED,
+                BodySendMode.NONE)
+                .setRequestHeaders(HttpHeaders.newBuilder()
+                        .setHeaders(Messages.headers(ExtProcTestServer.submit("a1"))))
                 .build()).end();
         assertEquals(Status.Code.FAILED_PRECONDITION, status.getCode());
         assertTrue(status.getDescription().contains("request_body_mode FULL_DUPLEX_STREAMED is not served"),
                 status.getDescription());
-        assertTrue(module.told.isEmpty());
+        assertTrue(module.calls.isEmpty());
     }
 
-    /** It goes on whatever is said, so nothing is drawn for it and nothing answered. */
+    /** The proxy continues regardless, so no quota is drawn and no response is sent. */
     @Test
-    void whatIsOnlyObservedDrawsNothingAndIsNotAnswered() throws Exception {
+    void observabilityModeDrawsNothingAndGetsNoResponse() throws Exception {
         rig.start(module.module());
-        AskPeer peer = new AskPeer(rig.connection()).say(Messages.requestHeaders(ExtProcRig.submit("a1")).toBuilder()
+        TestProxyStream peer =
+                new TestProxyStream(rig.connection()).send(Messages.requestHeaders(ExtProcTestServer.submit("a1"))
+                        .toBuilder()
                 .setObservabilityMode(true).build());
-        peer.say(Messages.responseHeaders(Map.of(":status", "200"), null).toBuilder().setObservabilityMode(true).build());
+        peer.send(Messages.responseHeaders(Map.of(":status", "200"),
+                null).toBuilder().setObservabilityMode(true).build());
         peer.complete();
         assertEquals(Status.Code.OK, peer.end().getCode());
-        assertTrue(module.told.isEmpty());
+        assertTrue(module.calls.isEmpty());
     }
 
-    // ---- Too much ---------------------------------------------------------------------------------------
+    // ---- Limits -----------------------------------------------------------------------------------------
 
     @Test
-    void asksBeyondTheBoundAreAnsweredAtOnce() throws Exception {
-        Scripted silent = new Scripted(0);
+    void requestAboveOpenLimitIsRefusedAtOnce() throws Exception {
+        ScriptedGateway silent = new ScriptedGateway(0);
         rig.with("most_open", 2L).with("budget_ms", 1_000L).with("reserve_ms", 10L).start(silent.module());
         ManagedChannel connection = rig.connection();
-        new AskPeer(connection).ask(ExtProcRig.submit("a1"));
-        new AskPeer(connection).ask(ExtProcRig.submit("a2"));
-        silent.heard(Gateway.Request.class);
-        silent.heard(Gateway.Request.class);
-        assertEquals(429, new AskPeer(connection).ask(ExtProcRig.submit("a3")).immediate());
-        assertTrue(silent.told.isEmpty());
+        new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a2"));
+        silent.expectCall(Gateway.Request.class);
+        silent.expectCall(Gateway.Request.class);
+        assertEquals(429,
+                new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a3"))
+                        .expectImmediateStatus());
+        assertTrue(silent.calls.isEmpty());
     }
 
     @Test
-    void callersBeyondTheBoundAreClosedAndTheOthersServed() throws Exception {
+    void connectionAboveLimitIsClosedAndOthersAreServed() throws Exception {
         rig.with("most_callers", 1L).start(module.module());
         ManagedChannel first = rig.connection();
-        new AskPeer(first).ask(ExtProcRig.submit("a1")).forwarded();
-        assertEquals(Status.Code.UNAVAILABLE, new AskPeer(rig.connection()).ask(ExtProcRig.submit("a2")).end().getCode());
-        new AskPeer(first).ask(ExtProcRig.submit("a3")).forwarded();
+        new TestProxyStream(first).sendRequestHeaders(ExtProcTestServer.submit("a1")).expectForward();
+        assertEquals(Status.Code.UNAVAILABLE,
+                new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a2")).end()
+                        .getCode());
+        new TestProxyStream(first).sendRequestHeaders(ExtProcTestServer.submit("a3")).expectForward();
     }
 
-    /** A caller that opens streams and resets them at once is closed; one beside it is served meanwhile. */
+    /** A connection that opens and resets streams rapidly is closed; another is served meanwhile. */
     @Test
-    void rapidResetEndsItsConnectionAndDelaysNobody() throws Exception {
+    void rapidResetClosesItsConnectionOnly() throws Exception {
         rig.start(module.module());
         ManagedChannel other = rig.connection();
-        new AskPeer(other).ask(ExtProcRig.submit("b0")).forwarded();
+        new TestProxyStream(other).sendRequestHeaders(ExtProcTestServer.submit("b0")).expectForward();
         try (Socket socket = new Socket("127.0.0.1", rig.front().grpcAddress().getPort())) {
             socket.setSoTimeout(10_000);
             DataOutputStream to = new DataOutputStream(new java.io.BufferedOutputStream(socket.getOutputStream()));
@@ -295,7 +311,8 @@
                     frame(to, 3, 0, 2 * streams + 1, new byte[] {0, 0, 0, 8});
                     if (streams % 1_000 == 500) {
                         to.flush();
-                        new AskPeer(other).ask(ExtProcRig.submit("c" + Integer.toHexString(streams))).forwarded();
+                        new TestProxyStream(other).sendRequestHeaders(ExtProcTestServer.submit("c"
+                                + Integer.toHexString(streams))).expectForward();
                     }
                 }
                 to.flush();
@@ -304,7 +321,7 @@
             }
             assertTrue(closed || ended(socket), "the connection is still open after " + streams + " resets");
         }
-        new AskPeer(other).ask(ExtProcRig.submit("b1")).forwarded();
+        new TestProxyStream(other).sendRequestHeaders(ExtProcTestServer.submit("b1")).expectForward();
     }
 
     private static boolean ended(Socket socket) throws IOException {
@@ -349,9 +366,9 @@
         out.write(value.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** One that asks and never reads: its decisions stay in its connection's window, and others are not held up. */
+    /** A caller that never reads: its responses wait for its flow-control window, and others are not delayed. */
     @Test
-    void aCallerThatDoesNotReadDelaysNobody() throws Exception {
+    void callerThatDoesNotReadDoesNotDelayOthers() throws Exception {
         rig.start(module.module());
         ManagedChannel other = rig.connection();
         try (Socket socket = new Socket()) {
@@ -363,7 +380,7 @@
             byte[] head = hpack();
             List<Integer> asked = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
-                byte[] message = Messages.requestHeaders(ExtProcRig.submit("d" + Integer.toHexString(4096 + i)))
+                byte[] message = Messages.requestHeaders(ExtProcTestServer.submit("d" + Integer.toHexString(4096 + i)))
                         .toByteArray();
                 byte[] framed = new byte[message.length + 5];
                 framed[3] = (byte) (message.length >> 8);
@@ -374,11 +391,12 @@
                 asked.add(i);
             }
             for (int i = 0; i < 200; i++) {
-                module.heard(Gateway.Request.class);
+                module.expectCall(Gateway.Request.class);
             }
             for (int i = 0; i < 20; i++) {
-                AskPeer peer = new AskPeer(other).ask(ExtProcRig.submit("e" + Integer.toHexString(i)));
-                peer.forwarded();
+                TestProxyStream peer = new TestProxyStream(other).sendRequestHeaders(ExtProcTestServer.submit("e"
+                        + Integer.toHexString(i)));
+                peer.expectForward();
                 assertTrue(peer.outcome(200).next().hasResponseHeaders());
             }
         }
--- a/ext-proc/src/test/java/nettletrail/extproc/AskPeer.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/TestProxyStream.java
@@ -16,92 +16,92 @@
 import java.util.concurrent.TimeUnit;
 import nettletrail.proxy.Messages;
 
-/** A proxy's stream, played by a test: it says what it is told to and hears one answer at a time. */
-final class AskPeer implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
-    private static final int PATIENCE_S = 10;
+/** A proxy's stream, controlled by a test: sends messages and receives responses one at a time. */
+final class TestProxyStream implements ClientResponseObserver<ProcessingRequest, ProcessingResponse> {
+    private static final int TIMEOUT_SECONDS = 10;
 
-    private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
-    private ClientCallStreamObserver<ProcessingRequest> out;
+    private final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
+    private ClientCallStreamObserver<ProcessingRequest> requestObserver;
 
-    AskPeer(Channel channel) {
+    TestProxyStream(Channel channel) {
         ExternalProcessorGrpc.newStub(channel).process(this);
     }
 
     @Override
     public void beforeStart(ClientCallStreamObserver<ProcessingRequest> stream) {
-        out = stream;
+        requestObserver = stream;
     }
 
-    AskPeer say(ProcessingRequest message) {
-        out.onNext(message);
+    TestProxyStream send(ProcessingRequest message) {
+        requestObserver.onNext(message);
         return this;
     }
 
-    AskPeer ask(Map<String, String> headers) {
-        return say(Messages.requestHeaders(headers));
+    TestProxyStream sendRequestHeaders(Map<String, String> headers) {
+        return send(Messages.requestHeaders(headers));
     }
 
-    AskPeer outcome(int status, String... more) {
+    TestProxyStream outcome(int status, String... more) {
         Map<String, String> headers = new java.util.LinkedHashMap<>(Map.of(":status", Integer.toString(status)));
         for (int i = 0; i < more.length; i += 2) {
             headers.put(more[i], more[i + 1]);
         }
-        return say(Messages.responseHeaders(headers, null));
+        return send(Messages.responseHeaders(headers, null));
     }
 
     ProcessingResponse next() throws InterruptedException {
-        Object next = heard.poll(PATIENCE_S, TimeUnit.SECONDS);
-        assertNotNull(next, "no answer in " + PATIENCE_S + " s");
+        Object next = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertNotNull(next, "no answer in " + TIMEOUT_SECONDS + " s");
         assertTrue(next instanceof ProcessingResponse, "ended instead of an answer: " + next);
         return (ProcessingResponse) next;
     }
 
-    /** How the stream ended. */
+    /** Waits for the end of the stream and returns its status. */
     Status end() throws InterruptedException {
-        Object next = heard.poll(PATIENCE_S, TimeUnit.SECONDS);
-        assertNotNull(next, "no end in " + PATIENCE_S + " s");
+        Object next = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertNotNull(next, "no end in " + TIMEOUT_SECONDS + " s");
         assertTrue(next instanceof Status, "an answer instead of the end: " + next);
         return (Status) next;
     }
 
-    /** The node that the next answer names; fails if it is no decision to forward. */
-    String forwarded() throws InterruptedException {
+    /** The endpoint that the next response names; fails if it is not a decision to forward. */
+    String expectForward() throws InterruptedException {
         ProcessingResponse next = next();
         assertTrue(next.hasRequestHeaders(), "no decision to forward: " + next);
         return Messages.set(next, "x-gateway-destination-endpoint");
     }
 
-    /** The status of the next answer, which ends the request; fails if it is none such. */
-    int immediate() throws InterruptedException {
+    /** The status of the next response; fails if it is not an immediate response. */
+    int expectImmediateStatus() throws InterruptedException {
         ProcessingResponse next = next();
         assertTrue(next.hasImmediateResponse(), "no immediate answer: " + next);
         return next.getImmediateResponse().getStatus().getCodeValue();
     }
 
-    boolean nothingFor(long ms) throws InterruptedException {
-        return heard.poll(ms, TimeUnit.MILLISECONDS) == null;
+    boolean isSilentFor(long ms) throws InterruptedException {
+        return received.poll(ms, TimeUnit.MILLISECONDS) == null;
     }
 
     void cancel() {
-        out.cancel("test", null);
+        requestObserver.cancel("test", null);
     }
 
     void complete() {
-        out.onCompleted();
+        requestObserver.onCompleted();
     }
 
     @Override
     public void onNext(ProcessingResponse answer) {
-        heard.add(answer);
+        received.add(answer);
     }
 
     @Override
     public void onError(Throwable fault) {
-        heard.add(Status.fromThrowable(fault));
+        received.add(Status.fromThrowable(fault));
     }
 
     @Override
     public void onCompleted() {
-        heard.add(Status.OK);
+        received.add(Status.OK);
     }
 }
