--- a/front-door/src/main/java/nettletrail/core/Dispatcher.java
+++ b/front-door/src/main/java/nettletrail/core/Dispatcher.java
@@ -18,15 +18,15 @@
  * All of it runs on the one event loop.
  */
 public final class Dispatcher implements Gateway.Actions, Endpoint.Listener {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
     /** For the way back to the client, who counts from when it sent the request. */
-    private static final long WAY_BACK = 12 * MS;
+    private static final long RETURN_TRIP_NANOS = 12 * NANOS_PER_MS;
     /**
      * What has come may lie unread for so long before it is looked for: lists before a send, and whether a client has left
      * before its request is taken up. A quarter of the 0.1 s after which no attempt may begin for a client that left; before
      * an attempt's first byte its own client is looked at in any case.
      */
-    private static final long LATE = 25 * MS;
+    private static final long MAX_UNREAD_NANOS = 25 * NANOS_PER_MS;
 
     /** How a decision module is made. */
     public interface GatewayFactory {
@@ -36,187 +36,187 @@
     /** A request from its arrival until its final answer is given and its last attempt has ended. */
     public final class ActiveRequest {
         private final long id;
-        private final InboundRequest arrival;
+        private final InboundRequest inbound;
         private final RequestClient client;
-        private final AttemptTransport carrier;
+        private final AttemptTransport transport;
         private final long deadline;
-        private final Future<?> timer;
-        private int attempts;
-        private int out;
-        private Try last;
-        private boolean over;
+        private final Future<?> deadlineTimer;
+        private int attemptCount;
+        private int openAttempts;
+        private DispatchedAttempt lastAttempt;
+        private boolean ended;
         /** Whether the bound has taken its units, and it has come to no backend yet. */
-        private boolean bounded;
+        private boolean unitsHeld;
         /** An attempt ended so that a backend may have run it. */
         private boolean mayHaveRun;
         /** It waits for leave to come in: neither bound nor module has heard of it. */
-        private boolean outside;
+        private boolean awaitingAuthorization;
 
-        private ActiveRequest(long id, InboundRequest arrival, RequestClient client, AttemptTransport carrier,
+        private ActiveRequest(long id, InboundRequest inbound, RequestClient client, AttemptTransport transport,
                 long now) {
             this.id = id;
-            this.arrival = arrival;
+            this.inbound = inbound;
             this.client = client;
-            this.carrier = carrier;
-            deadline = now + Math.max(0, arrival.remainingMs() * MS - WAY_BACK);
-            timer = loop.schedule(new Deadline(this), deadline - now, TimeUnit.NANOSECONDS);
+            this.transport = transport;
+            deadline = now + Math.max(0, inbound.remainingMs() * NANOS_PER_MS - RETURN_TRIP_NANOS);
+            deadlineTimer = loop.schedule(new DeadlineTimer(this), deadline - now, TimeUnit.NANOSECONDS);
         }
 
         /** Whether its final answer is given, or nobody waits for it. */
         public boolean isEnded() {
-            return over;
+            return ended;
         }
 
         /** The client has gone away: it is owed nothing more. */
         public void clientDisconnected() {
-            if (!over && outside) {
-                admission.requestEnded(id, arrival);
-                end(this);
-            } else if (!over) {
-                end(this);
-                event(new Rare("departure", this, () -> gateway.onRequestCancelled(now(), id)));
+            if (!ended && awaitingAuthorization) {
+                authorizer.requestEnded(id, inbound);
+                markEnded(this);
+            } else if (!ended) {
+                markEnded(this);
+                submit(new UncommonEvent("departure", this, () -> gateway.onRequestCancelled(now(), id)));
                 // Without a carriage it is just being started, and its carrier will hear that it is not wanted.
-                if (last != null && last.carriage != null && last.carriage.isUnsent()) {
-                    timedOut(last); // nobody waits for it: it shall not cost a backend work
+                if (lastAttempt != null && lastAttempt.started != null && lastAttempt.started.isUnsent()) {
+                    timeOut(lastAttempt); // nobody waits for it: it shall not cost a backend work
                 }
             }
         }
     }
 
-    private record Taken(String txn, long until, long id) { }
+    private record UsedId(String requestId, long expiresAtNanos, long id) { }
 
     // The events of every request are classes: the first compiler, which is all that the platform leaves to a front door,
     // makes a lambda that captures something by a call into the JVM and several through method handles.
 
     /** Something for the module to hear of. */
     private abstract static class Event {
-        private final String what;
+        private final String description;
         /** Which it concerns, or null. */
         private final ActiveRequest request;
 
-        Event(String what, ActiveRequest request) {
-            this.what = what;
+        Event(String description, ActiveRequest request) {
+            this.description = description;
             this.request = request;
         }
 
-        abstract void happen();
+        abstract void deliver();
     }
 
     /** One of those that are not each request's. */
-    private static final class Rare extends Event {
+    private static final class UncommonEvent extends Event {
         private final Runnable run;
 
-        Rare(String what, ActiveRequest request, Runnable run) {
-            super(what, request);
+        UncommonEvent(String description, ActiveRequest request, Runnable run) {
+            super(description, request);
             this.run = run;
         }
 
         @Override
-        void happen() {
+        void deliver() {
             run.run();
         }
     }
 
-    private final class Came extends Event {
+    private final class ArrivalEvent extends Event {
         private final long now;
-        private final Gateway.Request told;
+        private final Gateway.Request gatewayRequest;
 
-        Came(ActiveRequest request, long now, Gateway.Request told) {
+        ArrivalEvent(ActiveRequest request, long now, Gateway.Request gatewayRequest) {
             super("arrival", request);
             this.now = now;
-            this.told = told;
+            this.gatewayRequest = gatewayRequest;
         }
 
         @Override
-        void happen() {
-            gateway.onRequest(now, told);
+        void deliver() {
+            gateway.onRequest(now, gatewayRequest);
         }
     }
 
-    private final class Ended extends Event {
+    private final class OutcomeEvent extends Event {
         private final long now;
-        private final Gateway.AttemptReport told;
+        private final Gateway.AttemptReport answer;
 
-        Ended(ActiveRequest request, long now, Gateway.AttemptReport told) {
+        OutcomeEvent(ActiveRequest request, long now, Gateway.AttemptReport answer) {
             super("outcome", request);
             this.now = now;
-            this.told = told;
+            this.answer = answer;
         }
 
         @Override
-        void happen() {
-            gateway.onAttemptEnd(now, told);
+        void deliver() {
+            gateway.onAttemptEnd(now, answer);
         }
     }
 
-    private final class Deadline implements Runnable {
+    private final class DeadlineTimer implements Runnable {
         private final ActiveRequest request;
 
-        Deadline(ActiveRequest request) {
+        DeadlineTimer(ActiveRequest request) {
             this.request = request;
         }
 
         @Override
         public void run() {
-            expired(request);
+            deadlineExceeded(request);
         }
     }
 
-    private final class Try extends BackendAttempt {
-        private final ActiveRequest live;
+    private final class DispatchedAttempt extends BackendAttempt {
+        private final ActiveRequest activeRequest;
         private final int number;
-        private long sentAt;
-        private AttemptTransport.StartedAttempt carriage;
-        private Future<?> timer;
+        private long sentAtNanos;
+        private AttemptTransport.StartedAttempt started;
+        private Future<?> timeoutTimer;
 
-        Try(ActiveRequest live, long backendId, long now) {
+        DispatchedAttempt(ActiveRequest activeRequest, long backendId, long now) {
             super(backendId);
-            this.live = live;
-            number = live.attempts++;
-            sentAt = now;
+            this.activeRequest = activeRequest;
+            number = activeRequest.attemptCount++;
+            sentAtNanos = now;
         }
 
         @Override
         public InboundRequest request() {
-            return live.arrival;
+            return activeRequest.inbound;
         }
 
         @Override
         public RequestClient client() {
-            return live.client;
+            return activeRequest.client;
         }
 
         @Override
         public long remainingNanos() {
-            return live.deadline - now();
+            return activeRequest.deadline - now();
         }
 
         @Override
         public long remainingMs() {
-            return Math.max(1, remainingNanos() / MS);
+            return Math.max(1, remainingNanos() / NANOS_PER_MS);
         }
 
         @Override
         public boolean isWanted() {
             if (isLoopLate()) {
-                news.run();
+                discoveryPoll.run();
             }
             // Always: for how long the loop was at something else before it first read its clock, it can't tell.
-            if (!live.over && !live.client.readPending()) {
-                live.clientDisconnected();
+            if (!activeRequest.ended && !activeRequest.client.readPending()) {
+                activeRequest.clientDisconnected();
             }
-            return !live.over;
+            return !activeRequest.ended;
         }
 
         @Override
         public void sendStarted() {
-            sentAt = now();
+            sentAtNanos = now();
         }
 
         @Override
         public void endedWithRequest(Gateway.Outcome outcome, BackendReport report) {
-            if (!live.over) {
-                end(live);
+            if (!activeRequest.ended) {
+                markEnded(activeRequest);
             }
             ended(outcome, report, null, null);
         }
@@ -224,191 +224,193 @@
         @Override
         public void ended(Gateway.Outcome outcome, BackendReport report, ByteBuf body, String contentType) {
             long now = now();
-            if (timer != null) {
-                timer.cancel(false);
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
             }
             if (outcome != Gateway.Outcome.NEVER_SENT && outcome != Gateway.Outcome.CONNECT_FAILED) {
-                live.bounded = false; // first: the end below may be the last of the request
+                activeRequest.unitsHeld = false; // first: the end below may be the last of the request
             }
-            live.mayHaveRun |= outcome.mayHaveRun;
-            live.out--;
-            if (live.last == this) {
-                live.last = null;
+            activeRequest.mayHaveRun |= outcome.mayHaveRun;
+            activeRequest.openAttempts--;
+            if (activeRequest.lastAttempt == this) {
+                activeRequest.lastAttempt = null;
             }
-            if (outcome == Gateway.Outcome.OK && !live.over) {
-                end(live);
-                live.client.served(body, contentType);
+            if (outcome == Gateway.Outcome.OK && !activeRequest.ended) {
+                markEnded(activeRequest);
+                activeRequest.client.served(body, contentType);
             }
             double charged = outcome == Gateway.Outcome.OK ? report.unitsCharged() : 0;
             if (charged > 0) {
-                bound.unitsCharged(live.arrival, charged);
+                limiter.unitsCharged(activeRequest.inbound, charged);
             }
             if (report.quotaUsedPercent() >= 0) {
-                bound.quotaUsed(live.arrival, report.quotaUsedPercent());
+                limiter.quotaUsed(activeRequest.inbound, report.quotaUsedPercent());
             }
-            long took = clock.arrivedAt(sentAt - clockOffset) + clockOffset - sentAt;
-            Gateway.AttemptReport told = new Gateway.AttemptReport(live.id, number, backendId(), outcome, live.over, took,
+            long elapsedNanos = clock.arrivedAt(sentAtNanos - clockOffsetNanos) + clockOffsetNanos - sentAtNanos;
+            Gateway.AttemptReport answer = new Gateway.AttemptReport(activeRequest.id, number, backendId(), outcome,
+                    activeRequest.ended, elapsedNanos,
                     report.quotaUsedPercent(), charged, report.load());
-            forget(live);
-            event(new Ended(live, now, told));
+            removeIfDone(activeRequest);
+            submit(new OutcomeEvent(activeRequest, now, answer));
         }
     }
 
     private final EventLoop loop;
     private final EventLoopClock clock;
-    private final Authorizer admission;
-    private final RequestLimiter bound;
-    private final List<AttemptTransport> carriers;
+    private final Authorizer authorizer;
+    private final RequestLimiter limiter;
+    private final List<AttemptTransport> transports;
     private final Gateway gateway;
     private final List<String> zones;
-    private final List<String> kinds;
+    private final List<String> machineTypes;
     /** No client of the deployment waits longer. */
-    private final long mostTaken;
-    private final LongObjectHashMap<ActiveRequest> live = new LongObjectHashMap<>();
+    private final long maxDeadlineNanos;
+    private final LongObjectHashMap<ActiveRequest> activeRequests = new LongObjectHashMap<>();
     /** Ids that clients gave, each until its request's time is up: later copies would run a second time. */
-    private final HashSet<String> taken = new HashSet<>();
-    private final ArrayDeque<Taken> takenInTurn = new ArrayDeque<>();
+    private final HashSet<String> usedIds = new HashSet<>();
+    private final ArrayDeque<UsedId> usedIdsByExpiry = new ArrayDeque<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     /** Added to the monotonic clock: the module's clock starts at Unix time and never goes back. */
-    private final long clockOffset = System.currentTimeMillis() * MS - System.nanoTime();
-    private boolean inside;
+    private final long clockOffsetNanos = System.currentTimeMillis() * NANOS_PER_MS - System.nanoTime();
+    private boolean processingEvent;
     /** The process is about to end: nothing is taken on or sent any more. */
-    private boolean ending;
-    private Runnable news = () -> { };
+    private boolean shuttingDown;
+    private Runnable discoveryPoll = () -> { };
     private long lastId;
 
     /**
      * @param loop on which all of this runs
      * @param clock the loop's, so that its lateness isn't told as a backend's
-     * @param bound held beside the module's own
-     * @param carriers all that attempts are ever carried by
+     * @param limiter held beside the module's own
+     * @param transports all that attempts are ever carried by
      * @param settings read by the same reader
      */
-    public Dispatcher(EventLoop loop, EventLoopClock clock, RequestLimiter bound, List<AttemptTransport> carriers,
+    public Dispatcher(EventLoop loop, EventLoopClock clock, RequestLimiter limiter, List<AttemptTransport> transports,
             GatewaySettingsReader reader,
-            Gateway.Settings settings, GatewayFactory module) {
-        this(loop, clock, Authorizer.NONE, bound, carriers, reader, settings, module);
+            Gateway.Settings settings, GatewayFactory factory) {
+        this(loop, clock, Authorizer.NONE, limiter, transports, reader, settings, factory);
     }
 
     /** The same where not all may come in. */
-    public Dispatcher(EventLoop loop, EventLoopClock clock, Authorizer admission, RequestLimiter bound,
-            List<AttemptTransport> carriers,
-            GatewaySettingsReader reader, Gateway.Settings settings, GatewayFactory module) {
-        this.admission = admission;
-        this.bound = bound;
+    public Dispatcher(EventLoop loop, EventLoopClock clock, Authorizer authorizer, RequestLimiter limiter,
+            List<AttemptTransport> transports,
+            GatewaySettingsReader reader, Gateway.Settings settings, GatewayFactory factory) {
+        this.authorizer = authorizer;
+        this.limiter = limiter;
         this.loop = loop;
         this.clock = clock;
-        this.carriers = List.copyOf(carriers);
+        this.transports = List.copyOf(transports);
         zones = reader.list("Dcs");
-        kinds = reader.list("Flavors");
-        mostTaken = reader.maxDeadlineNanos();
-        gateway = module.create(settings, now(), this);
-        admission.setRevocationListener(this::turnAway);
+        machineTypes = reader.list("Flavors");
+        maxDeadlineNanos = reader.maxDeadlineNanos();
+        gateway = factory.create(settings, now(), this);
+        authorizer.setRevocationListener(this::revoke);
     }
 
     // ---- What happens -----------------------------------------------------------------------------------
 
     /** Whether no other request came with this one's id while that could still be open anywhere. */
-    public boolean isUnusedId(String txn) {
+    public boolean isUnusedId(String requestId) {
         long now = now();
-        for (Taken first = takenInTurn.peekFirst(); first != null && first.until() < now;
-                first = takenInTurn.peekFirst()) {
-            takenInTurn.pollFirst();
-            if (live.containsKey(first.id())) {
-                takenInTurn.addLast(new Taken(first.txn(), now + mostTaken, first.id()));
+        for (UsedId first = usedIdsByExpiry.peekFirst(); first != null && first.expiresAtNanos() < now;
+                first = usedIdsByExpiry.peekFirst()) {
+            usedIdsByExpiry.pollFirst();
+            if (activeRequests.containsKey(first.id())) {
+                usedIdsByExpiry.addLast(new UsedId(first.requestId(), now + maxDeadlineNanos, first.id()));
             } else {
-                taken.remove(first.txn());
+                usedIds.remove(first.requestId());
             }
         }
-        return !taken.contains(txn);
+        return !usedIds.contains(requestId);
     }
 
     /**
      * Takes a request on, and its body with it; its final answer goes to the client, perhaps before this returns.
      *
-     * @param carrier what its attempts are carried by; one of those given at the start
+     * @param transport what its attempts are carried by; one of those given at the start
      */
-    public ActiveRequest accept(InboundRequest arrival, RequestClient client, AttemptTransport carrier) {
+    public ActiveRequest accept(InboundRequest inbound, RequestClient client, AttemptTransport transport) {
         long now = now();
         // The id is counted here: what clients send as theirs need not be a number, nor unique.
-        ActiveRequest request = new ActiveRequest(++lastId, arrival, client, carrier, now);
-        live.put(request.id, request);
-        taken.add(arrival.requestId());
-        takenInTurn.addLast(new Taken(arrival.requestId(), Math.min(request.deadline, now + mostTaken) + WAY_BACK,
+        ActiveRequest request = new ActiveRequest(++lastId, inbound, client, transport, now);
+        activeRequests.put(request.id, request);
+        usedIds.add(inbound.requestId());
+        usedIdsByExpiry.addLast(new UsedId(inbound.requestId(), Math.min(request.deadline, now + maxDeadlineNanos)
+                + RETURN_TRIP_NANOS,
                 request.id));
-        if (ending) {
-            end(request);
+        if (shuttingDown) {
+            markEnded(request);
             client.rejected(0);
             return request;
         }
-        if (admission != Authorizer.NONE) {
-            request.outside = true;
-            Authorizer.Decision word = admission.authorize(request.id, arrival, request.deadline - now,
-                    new AtTheDoor(request));
-            if (word instanceof Authorizer.Pending) {
+        if (authorizer != Authorizer.NONE) {
+            request.awaitingAuthorization = true;
+            Authorizer.Decision decision = authorizer.authorize(request.id, inbound, request.deadline - now,
+                    new InitialAuthorization(request));
+            if (decision instanceof Authorizer.Pending) {
                 return request;
             }
-            request.outside = false;
-            if (word instanceof Authorizer.Denial denial) {
-                end(request);
+            request.awaitingAuthorization = false;
+            if (decision instanceof Authorizer.Denial denial) {
+                markEnded(request);
                 client.denied(denial);
                 return request;
             }
         }
-        enter(request, now);
+        admit(request, now);
         return request;
     }
 
     /** It waits for leave to come in. */
-    private final class AtTheDoor implements Authorizer.AuthorizationCallback {
+    private final class InitialAuthorization implements Authorizer.AuthorizationCallback {
         private final ActiveRequest request;
 
-        AtTheDoor(ActiveRequest request) {
+        InitialAuthorization(ActiveRequest request) {
             this.request = request;
         }
 
         @Override
         public void allowed() {
-            request.outside = false;
-            enter(request, now());
+            request.awaitingAuthorization = false;
+            admit(request, now());
         }
 
         @Override
         public void denied(Authorizer.Denial denial) {
-            request.outside = false;
-            end(request);
+            request.awaitingAuthorization = false;
+            markEnded(request);
             request.client.denied(denial);
         }
     }
 
-    private void enter(ActiveRequest request, long now) {
-        InboundRequest arrival = request.arrival;
-        if (!bound.tryAcquire(arrival)) {
-            long retryAfterNs = bound.retryAfterNanos(arrival);
-            end(request);
-            request.client.rejected(retryAfterNs);
+    private void admit(ActiveRequest request, long now) {
+        InboundRequest inbound = request.inbound;
+        if (!limiter.tryAcquire(inbound)) {
+            long retryAfterNanos = limiter.retryAfterNanos(inbound);
+            markEnded(request);
+            request.client.rejected(retryAfterNanos);
             return;
         }
-        request.bounded = true;
-        Gateway.Request told = new Gateway.Request(request.id, arrival.requestClass(), arrival.plan(),
-                arrival.customer(), arrival.units(), arrival.customerDoorCount(), request.deadline - now,
-                        arrival.maxHoldNanos());
-        event(new Came(request, now, told));
+        request.unitsHeld = true;
+        Gateway.Request gatewayRequest = new Gateway.Request(request.id, inbound.requestClass(), inbound.plan(),
+                inbound.customer(), inbound.units(), inbound.customerDoorCount(), request.deadline - now,
+                        inbound.maxHoldNanos());
+        submit(new ArrivalEvent(request, now, gatewayRequest));
     }
 
     /** Those of them that nothing was sent on of; what is out ends as it ends, and asks again before it is sent again. */
-    private void turnAway(java.util.function.Predicate<InboundRequest> whose, Authorizer.Denial denial) {
-        for (ActiveRequest each : new ArrayList<>(live.values())) {
-            if (!each.over && !each.outside && each.out == 0 && whose.test(each.arrival)) {
-                withdraw(each, denial);
-                event(new Rare("withdrawal", each, () -> gateway.onRequestCancelled(now(), each.id)));
+    private void revoke(java.util.function.Predicate<InboundRequest> affected, Authorizer.Denial denial) {
+        for (ActiveRequest each : new ArrayList<>(activeRequests.values())) {
+            if (!each.ended && !each.awaitingAuthorization && each.openAttempts == 0 && affected.test(each.inbound)) {
+                endRevoked(each, denial);
+                submit(new UncommonEvent("withdrawal", each, () -> gateway.onRequestCancelled(now(), each.id)));
             }
         }
     }
 
     /** One that may have run already is not told that it hasn't. */
-    private void withdraw(ActiveRequest request, Authorizer.Denial denial) {
-        end(request);
+    private void endRevoked(ActiveRequest request, Authorizer.Denial denial) {
+        markEnded(request);
         if (request.mayHaveRun) {
             request.client.failed(502);
         } else {
@@ -417,23 +419,24 @@
     }
 
     /** A further attempt that waits for leave to be made. */
-    private final class Asking implements Authorizer.AuthorizationCallback, AttemptTransport.StartedAttempt {
-        private final Try attempt;
+    private final class RetryAuthorization implements Authorizer.AuthorizationCallback,
+            AttemptTransport.StartedAttempt {
+        private final DispatchedAttempt attempt;
 
-        Asking(Try attempt) {
+        RetryAuthorization(DispatchedAttempt attempt) {
             this.attempt = attempt;
         }
 
         @Override
         public void allowed() {
-            attempt.carriage = null; // being started: it no longer waits here
-            attempt.carriage = attempt.live.carrier.start(attempt);
+            attempt.started = null; // being started: it no longer waits here
+            attempt.started = attempt.activeRequest.transport.start(attempt);
         }
 
         @Override
         public void denied(Authorizer.Denial denial) {
-            if (!attempt.live.over) {
-                withdraw(attempt.live, denial);
+            if (!attempt.activeRequest.ended) {
+                endRevoked(attempt.activeRequest, denial);
             }
             attempt.ended(Gateway.Outcome.NEVER_SENT);
         }
@@ -445,79 +448,81 @@
 
         @Override
         public Gateway.Outcome cancel() {
-            admission.requestEnded(attempt.live.id, attempt.live.arrival);
+            authorizer.requestEnded(attempt.activeRequest.id, attempt.activeRequest.inbound);
             return Gateway.Outcome.NEVER_SENT;
         }
     }
 
     /** What came before is no leave for a further attempt: credentials may have been withdrawn since. */
-    private void startAgain(Try attempt) {
-        Asking asking = new Asking(attempt);
-        attempt.carriage = asking;
-        Authorizer.Decision word = admission.authorize(attempt.live.id, attempt.live.arrival, attempt.remainingNanos(),
-                asking);
-        if (word instanceof Authorizer.Allowed) {
-            asking.allowed();
-        } else if (word instanceof Authorizer.Denial denial) {
-            asking.denied(denial);
+    private void authorizeRetry(DispatchedAttempt attempt) {
+        RetryAuthorization authorization = new RetryAuthorization(attempt);
+        attempt.started = authorization;
+        Authorizer.Decision decision = authorizer.authorize(attempt.activeRequest.id, attempt.activeRequest.inbound,
+                attempt.remainingNanos(),
+                authorization);
+        if (decision instanceof Authorizer.Allowed) {
+            authorization.allowed();
+        } else if (decision instanceof Authorizer.Denial denial) {
+            authorization.denied(denial);
         }
     }
 
     @Override
     public void endpointsUpdated(boolean whole, List<Endpoint> entries) {
-        List<Gateway.Backend> told = new ArrayList<>(entries.size());
+        List<Gateway.Backend> backends = new ArrayList<>(entries.size());
         for (Endpoint entry : entries) {
-            told.add(new Gateway.Backend(entry.id(), place(zones, entry.zone()), place(kinds, entry.type()),
-                    entry.group(), entry.state(), entry.weight(), entry.startedAtMs() * MS));
+            backends.add(new Gateway.Backend(entry.id(), indexOrHash(zones, entry.zone()),
+                    indexOrHash(machineTypes, entry.type()),
+                    entry.group(), entry.state(), entry.weight(), entry.startedAtMs() * NANOS_PER_MS));
         }
         // The carriers first, or what the module sends to a new backend would find no address; what ends by it
         // is told after the list, or the module would send it to the same backend again.
-        if (inside) {
+        if (processingEvent) {
             // Heard by a look before a send: that carrier must know it now, the module after what it is at.
-            events.addLast(new Rare("list", null, () -> gateway.onBackends(now(), whole, told)));
-            carriers.forEach(carrier -> carrier.endpointsUpdated(whole, entries));
+            events.addLast(new UncommonEvent("list", null, () -> gateway.onBackends(now(), whole, backends)));
+            transports.forEach(transport -> transport.endpointsUpdated(whole, entries));
             return;
         }
-        event(new Rare("list", null, () -> {
-            carriers.forEach(carrier -> carrier.endpointsUpdated(whole, entries));
-            gateway.onBackends(now(), whole, told);
+        submit(new UncommonEvent("list", null, () -> {
+            transports.forEach(transport -> transport.endpointsUpdated(whole, entries));
+            gateway.onBackends(now(), whole, backends);
         }));
     }
 
     /** A name that the settings don't know is still not another such name: no two of them are one zone. */
-    private static int place(List<String> names, String name) {
-        int place = names.indexOf(name);
-        return place >= 0 ? place : name.hashCode() | Integer.MIN_VALUE;
+    private static int indexOrHash(List<String> names, String name) {
+        int index = names.indexOf(name);
+        return index >= 0 ? index : name.hashCode() | Integer.MIN_VALUE;
     }
 
     /** What takes in a list that has come and was not read yet; asked for before a send on a loop that is late. */
-    public void setDiscoveryPoll(Runnable look) {
-        news = look;
+    public void setDiscoveryPoll(Runnable poll) {
+        discoveryPoll = poll;
     }
 
     /** Whether what came may have lain unread for so long that it is looked for before anything is sent. */
     public boolean isLoopLate() {
-        return clock.maxUnreadNanos() > LATE;
+        return clock.maxUnreadNanos() > MAX_UNREAD_NANOS;
     }
 
     @Override
     public void discoveryFailed() {
-        event(new Rare("list failure", null, () -> gateway.onDiscoveryFailure(now())));
+        submit(new UncommonEvent("list failure", null, () -> gateway.onDiscoveryFailure(now())));
     }
 
     /** Its time is up: attempts are closed and told, and if the module leaves it at that, it has failed. */
-    private void expired(ActiveRequest request) {
-        if (request.outside) {
-            admission.requestEnded(request.id, request.arrival);
-            end(request);
+    private void deadlineExceeded(ActiveRequest request) {
+        if (request.awaitingAuthorization) {
+            authorizer.requestEnded(request.id, request.inbound);
+            markEnded(request);
             request.client.failed(504);
             return;
         }
-        timedOut(request.last);
-        event(new Rare("time-out", request, () -> {
-            if (!request.over) {
-                end(request);
-                if (ending && !request.mayHaveRun) {
+        timeOut(request.lastAttempt);
+        submit(new UncommonEvent("time-out", request, () -> {
+            if (!request.ended) {
+                markEnded(request);
+                if (shuttingDown && !request.mayHaveRun) {
                     request.client.rejected(0);
                 } else {
                     request.client.failed(504);
@@ -532,76 +537,76 @@
      * at once. On the loop.
      */
     public void expireAll() {
-        ending = true;
-        for (ActiveRequest each : new ArrayList<>(live.values())) {
-            if (!each.over) {
-                expired(each);
+        shuttingDown = true;
+        for (ActiveRequest each : new ArrayList<>(activeRequests.values())) {
+            if (!each.ended) {
+                deadlineExceeded(each);
             }
         }
     }
 
-    private void timedOut(Try attempt) {
+    private void timeOut(DispatchedAttempt attempt) {
         if (attempt != null) {
-            attempt.ended(attempt.carriage.cancel());
+            attempt.ended(attempt.started.cancel());
         }
     }
 
     /** Requests taken on and not answered, or with an attempt still out. */
     public int activeRequestCount() {
-        return live.size();
+        return activeRequests.size();
     }
 
     /**
      * Hands the module one event at a time: what its actions bring about at once waits until it has returned.
      * A throw fails the request that it concerns, never the process.
      */
-    private void event(Event event) {
-        if (inside) {
+    private void submit(Event event) {
+        if (processingEvent) {
             events.addLast(event);
             return;
         }
-        inside = true;
+        processingEvent = true;
         try {
-            run(event);
+            handle(event);
             for (Event next = events.pollFirst(); next != null; next = events.pollFirst()) {
-                run(next);
+                handle(next);
             }
         } finally {
-            inside = false;
+            processingEvent = false;
         }
     }
 
-    private void run(Event event) {
+    private void handle(Event event) {
         try {
-            event.happen();
+            event.deliver();
         } catch (RuntimeException | Error e) {
             // An Error too: Netty throws one when its buffers are used up, and events must still go on.
-            Log.line("fault at " + event.what, e);
+            Log.line("fault at " + event.description, e);
             ActiveRequest request = event.request;
-            if (request != null && !request.over) {
-                end(request);
+            if (request != null && !request.ended) {
+                markEnded(request);
                 request.client.failed(502);
             }
         }
     }
 
     private long now() {
-        return clock.now() + clockOffset;
+        return clock.now() + clockOffsetNanos;
     }
 
     /** The request has its final answer; from here on nothing is sent to its client. */
-    private void end(ActiveRequest request) {
-        request.over = true;
-        forget(request);
+    private void markEnded(ActiveRequest request) {
+        request.ended = true;
+        removeIfDone(request);
     }
 
-    private void forget(ActiveRequest request) {
-        if (request.over && request.out == 0 && live.remove(request.id) != null) {
+    private void removeIfDone(ActiveRequest request) {
+        if (request.ended && request.openAttempts == 0 && activeRequests.remove(request.id) != null) {
             // Not before: an attempt that is still out for a client that left may be at a silent backend.
-            request.timer.cancel(false);
-            request.arrival.body().release();
-            if (request.bounded) {
-                bound.release(request.arrival);
+            request.deadlineTimer.cancel(false);
+            request.inbound.body().release();
+            if (request.unitsHeld) {
+                limiter.release(request.inbound);
             }
         }
     }
@@ -609,53 +614,54 @@
     // ---- What the module asks for -----------------------------------------------------------------------
 
     @Override
-    public void send(long requestId, long backendId, long timeoutNs) {
-        ActiveRequest request = live.get(requestId);
+    public void send(long requestId, long backendId, long timeoutNanos) {
+        ActiveRequest request = activeRequests.get(requestId);
         long now = now();
-        if (request == null || request.over || ending) {
+        if (request == null || request.ended || shuttingDown) {
             // Its client left, a fault ended it, or nobody will hear the answer: a send now would run for nobody.
-            boolean over = request == null || request.over;
-            Gateway.AttemptReport told = new Gateway.AttemptReport(requestId, 0, backendId, Gateway.Outcome.NEVER_SENT,
+            boolean over = request == null || request.ended;
+            Gateway.AttemptReport answer = new Gateway.AttemptReport(requestId, 0, backendId,
+                    Gateway.Outcome.NEVER_SENT,
                     over, 0, -1,
                     0, null);
-            event(new Ended(null, now, told));
+            submit(new OutcomeEvent(null, now, answer));
             return;
         }
-        Try attempt = new Try(request, backendId, now);
-        request.out++;
-        request.last = attempt;
+        DispatchedAttempt attempt = new DispatchedAttempt(request, backendId, now);
+        request.openAttempts++;
+        request.lastAttempt = attempt;
         // The request's own timer ends the attempt at the deadline; a shorter time needs one of its own.
-        if (timeoutNs > 0 && now + timeoutNs < request.deadline) {
-            attempt.timer = loop.schedule(() -> timedOut(attempt), timeoutNs, TimeUnit.NANOSECONDS);
+        if (timeoutNanos > 0 && now + timeoutNanos < request.deadline) {
+            attempt.timeoutTimer = loop.schedule(() -> timeOut(attempt), timeoutNanos, TimeUnit.NANOSECONDS);
         }
-        if (admission != Authorizer.NONE && attempt.number > 0) {
-            startAgain(attempt);
+        if (authorizer != Authorizer.NONE && attempt.number > 0) {
+            authorizeRetry(attempt);
             return;
         }
-        attempt.carriage = request.carrier.start(attempt);
+        attempt.started = request.transport.start(attempt);
     }
 
     @Override
-    public void reject(long requestId, long retryAfterNs) {
-        ActiveRequest request = live.get(requestId);
-        if (request != null && !request.over) {
-            end(request);
-            request.client.rejected(retryAfterNs);
+    public void reject(long requestId, long retryAfterNanos) {
+        ActiveRequest request = activeRequests.get(requestId);
+        if (request != null && !request.ended) {
+            markEnded(request);
+            request.client.rejected(retryAfterNanos);
         }
     }
 
     @Override
     public void fail(long requestId) {
-        ActiveRequest request = live.get(requestId);
-        if (request != null && !request.over) {
-            end(request);
+        ActiveRequest request = activeRequests.get(requestId);
+        if (request != null && !request.ended) {
+            markEnded(request);
             request.client.failed(502);
         }
     }
 
     @Override
-    public void startTimer(int token, long ns) {
-        loop.schedule(() -> event(new Rare("timer", null, () -> gateway.onTimer(now(), token))), ns,
+    public void startTimer(int token, long delayNanos) {
+        loop.schedule(() -> submit(new UncommonEvent("timer", null, () -> gateway.onTimer(now(), token))), delayNanos,
                 TimeUnit.NANOSECONDS);
     }
 
--- a/front-door/src/main/java/nettletrail/core/DoorCalls.java
+++ b/front-door/src/main/java/nettletrail/core/DoorCalls.java
@@ -34,7 +34,7 @@
      * @param channel which subsystem answers
      * @param body at most 1 MiB
      */
-    default void call(MemberIncarnation to, String channel, byte[] body, long timeoutNs, ResponseCallback answer) {
+    default void call(MemberIncarnation to, String channel, byte[] body, long timeoutNanos, ResponseCallback answer) {
         answer.failed();
     }
 
--- a/front-door/src/main/java/nettletrail/core/EventLoopClock.java
+++ b/front-door/src/main/java/nettletrail/core/EventLoopClock.java
@@ -17,34 +17,34 @@
      * ns between listening and the first work after which the loop had slept, and what it then does has just come; or
      * this part of the round before, if that is more: what comes so soon after a long one was most likely there already.
      */
-    private static final long SLEPT = 200_000;
-    private static final long SLEPT_PART = 10;
+    private static final long MIN_SLEEP_NANOS = 200_000;
+    private static final long MIN_SLEEP_DIVISOR = 10;
 
-    private boolean used;
+    private boolean installed;
     /** Whether nothing has been noted since it last listened. */
-    private boolean fresh;
-    private long listened;
-    private long woke;
+    private boolean workPending;
+    private long selectStartedAt;
+    private long workStartedAt;
     /** When the round before this one began its work, if that is known. */
-    private long before;
-    private boolean beforeKnown;
+    private long previousWorkStartedAt;
+    private boolean previousRoundKnown;
 
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        used = true;
-        beforeKnown = !fresh;
-        before = woke;
-        listened = System.nanoTime();
-        fresh = true;
+        installed = true;
+        previousRoundKnown = !workPending;
+        previousWorkStartedAt = workStartedAt;
+        selectStartedAt = System.nanoTime();
+        workPending = true;
         return hasTasks ? selectNow.get() : SelectStrategy.SELECT;
     }
 
     /** {@link System#nanoTime}. The first call in a round also notes when its work began. */
     long now() {
         long now = System.nanoTime();
-        if (fresh) {
-            fresh = false;
-            woke = now;
+        if (workPending) {
+            workPending = false;
+            workStartedAt = now;
         }
         return now;
     }
@@ -55,15 +55,15 @@
      */
     long maxUnreadNanos() {
         long now = now();
-        if (!used) {
+        if (!installed) {
             return 0;
         }
-        return now - (slept() ? woke : beforeKnown ? before : listened);
+        return now - (hasSlept() ? workStartedAt : previousRoundKnown ? previousWorkStartedAt : selectStartedAt);
     }
 
-    private boolean slept() {
-        long busy = beforeKnown ? listened - before : 0;
-        return woke - listened > Math.max(SLEPT, busy / SLEPT_PART);
+    private boolean hasSlept() {
+        long previousRoundNanos = previousRoundKnown ? selectStartedAt - previousWorkStartedAt : 0;
+        return workStartedAt - selectStartedAt > Math.max(MIN_SLEEP_NANOS, previousRoundNanos / MIN_SLEEP_DIVISOR);
     }
 
     /**
@@ -75,18 +75,18 @@
      */
     long arrivedAt(long since) {
         long now = now();
-        if (!used) {
+        if (!installed) {
             return now;
         }
-        long came;
-        if (slept()) {
-            came = woke;
-        } else if (beforeKnown) {
-            long from = Math.max(before - since, 0) + since;
-            came = from + (listened - from) / 2;
+        long estimate;
+        if (hasSlept()) {
+            estimate = workStartedAt;
+        } else if (previousRoundKnown) {
+            long from = Math.max(previousWorkStartedAt - since, 0) + since;
+            estimate = from + (selectStartedAt - from) / 2;
         } else {
-            came = listened;
+            estimate = selectStartedAt;
         }
-        return came - since > 0 ? Math.min(came - since, now - since) + since : now;
+        return estimate - since > 0 ? Math.min(estimate - since, now - since) + since : now;
     }
 }
--- a/front-door/src/main/java/nettletrail/core/HeaderPairs.java
+++ b/front-door/src/main/java/nettletrail/core/HeaderPairs.java
@@ -6,13 +6,13 @@
  */
 final class HeaderPairs {
     /** More digits than any sane value has. */
-    private static final int MOST_DIGITS = 12;
+    private static final int MAX_DIGITS = 12;
 
     private HeaderPairs() { }
 
     /** The text under this name, or null; the first, if it is there twice. */
     static String value(String text, String name) {
-        int start = start(text, name, 0);
+        int start = valueStart(text, name, 0);
         if (start < 0) {
             return null;
         }
@@ -21,13 +21,13 @@
     }
 
     /** Whether the name is there more than once, so that two readers could take two values. */
-    static boolean twice(String text, String name) {
-        int start = start(text, name, 0);
-        return start >= 0 && start(text, name, start) >= 0;
+    static boolean isDuplicated(String text, String name) {
+        int start = valueStart(text, name, 0);
+        return start >= 0 && valueStart(text, name, start) >= 0;
     }
 
     /** Where the value under this name starts, looked for from a pair's start or within a value on; -1 if it isn't there. */
-    private static int start(String text, String name, int from) {
+    private static int valueStart(String text, String name, int from) {
         int at = from;
         while (at < text.length()) {
             int comma = text.indexOf(',', at);
@@ -51,7 +51,7 @@
 
     /** The number that the text is, 0 or more; NaN if it is absent or is none. */
     static double number(String text) {
-        if (text == null || text.length() > MOST_DIGITS) {
+        if (text == null || text.length() > MAX_DIGITS) {
             return Double.NaN;
         }
         // Exact: both the digits and the power of ten are below 2^53, and a division rounds once, as a parser does.
@@ -73,7 +73,7 @@
     }
 
     /** The whole number that the text is, 0 or more; -1 if it is absent or is none. */
-    static long whole(String text) {
+    static long wholeNumber(String text) {
         double number = number(text);
         return Double.isNaN(number) || text.indexOf('.') >= 0 ? -1 : (long) number;
     }
--- a/front-door/src/main/java/nettletrail/core/Log.java
+++ b/front-door/src/main/java/nettletrail/core/Log.java
@@ -18,11 +18,11 @@
         LogManager.getLogManager().reset();
         Logger.getLogger("").addHandler(new Handler() {
             @Override
-            public void publish(LogRecord told) {
-                if (told.getThrown() == null) {
-                    line(told.getMessage());
+            public void publish(LogRecord record) {
+                if (record.getThrown() == null) {
+                    line(record.getMessage());
                 } else {
-                    line(told.getMessage(), told.getThrown());
+                    line(record.getMessage(), record.getThrown());
                 }
             }
 
--- a/front-door/src/main/java/nettletrail/core/PendingInput.java
+++ b/front-door/src/main/java/nettletrail/core/PendingInput.java
@@ -15,7 +15,7 @@
      * Reads of one look, each of which takes a MB at most: more than a kernel holds back on both sides, so that an end is
      * found behind however much was sent, and a peer that goes on sending does not keep the loop for ever.
      */
-    private static final int MOST_READS = 16;
+    private static final int MAX_READS = 16;
 
     private PendingInput() { }
 
@@ -27,12 +27,12 @@
     public static void readAll(Channel channel) {
         if (channel.isActive() && channel.config().isAutoRead()
                 && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
-            var reads = socket.recvBufAllocHandle();
-            int times = 0;
+            var allocHandle = socket.recvBufAllocHandle();
+            int readCount = 0;
             do {
                 socket.read();
-            } while (channel.isActive() && channel.config().isAutoRead() && ++times < MOST_READS
-                    && reads.lastBytesRead() > 0); // until there is nothing: an end lies behind the last bytes
+            } while (channel.isActive() && channel.config().isAutoRead() && ++readCount < MAX_READS
+                    && allocHandle.lastBytesRead() > 0); // until there is nothing: an end lies behind the last bytes
         }
     }
 }
--- a/front-door/src/main/java/nettletrail/core/RequestValidator.java
+++ b/front-door/src/main/java/nettletrail/core/RequestValidator.java
@@ -22,24 +22,25 @@
     public static final AsciiString QUOTA = AsciiString.cached("X-Quota");
     public static final AsciiString AUTHORIZATION = AsciiString.cached("Authorization");
     private static final int ID_DIGITS = 16;
-    private static final long CUSTOMERS = 1L << 33;
-    private static final long MOST_REMAINING_MS = 3_600_000;
-    private static final long MS = 1_000_000L;
+    private static final long CUSTOMER_LIMIT = 1L << 33;
+    private static final long MAX_REMAINING_MS = 3_600_000;
+    private static final long NANOS_PER_MS = 1_000_000L;
 
     private final List<String> classes;
     private final List<String> plans;
     private final Gateway.Settings settings;
-    private final double mostUnits;
+    private final double maxUnits;
 
     public RequestValidator(GatewaySettingsReader reader, Gateway.Settings settings) {
         this.settings = settings;
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
-        mostUnits = reader.maxUnitsPerRequest() > 0 ? reader.maxUnitsPerRequest() : held(settings.plans());
+        maxUnits = reader.maxUnitsPerRequest() > 0 ? reader.maxUnitsPerRequest()
+                : largestPlanCapacity(settings.plans());
     }
 
     /** Where the settings don't tell the largest request, one that no plan's store could hold is none. */
-    private static double held(List<Gateway.Plan> plans) {
+    private static double largestPlanCapacity(List<Gateway.Plan> plans) {
         return plans.stream().mapToDouble(plan -> Math.max(plan.burstUnits(), plan.maxConcurrency())).max().orElse(1);
     }
 
@@ -48,32 +49,34 @@
      *
      * @param headers by name; a header that is absent is null
      * @param body goes into the arrival as it is, not retained
-     * @param since {@link System#nanoTime} of when it came
+     * @param receivedAtNanos {@link System#nanoTime} of when it came
      */
     public InboundRequest validate(HttpMethod method, String uri, Function<CharSequence, String> headers, ByteBuf body,
-            long since) {
-        String txn = headers.apply(TXN);
+            long receivedAtNanos) {
+        String requestId = headers.apply(TXN);
         int requestClass = classes.indexOf(headers.apply(LANE));
         int plan = plans.indexOf(headers.apply(PLAN));
-        long customer = hex(headers.apply(CUSTOMER));
-        long remaining = HeaderPairs.whole(headers.apply(REMAINING));
+        long customer = parseHex(headers.apply(CUSTOMER));
+        long remaining = HeaderPairs.wholeNumber(headers.apply(REMAINING));
         String quota = headers.apply(QUOTA);
-        if (!isRequestId(txn) || requestClass < 0 || plan < 0 || customer < 0 || customer >= CUSTOMERS || quota == null
-                || remaining < 0 || remaining > MOST_REMAINING_MS || !method.equals(requiredMethod(requestClass))) {
+        if (!isRequestId(requestId) || requestClass < 0 || plan < 0 || customer < 0 || customer >= CUSTOMER_LIMIT
+                || quota == null
+                || remaining < 0 || remaining > MAX_REMAINING_MS || !method.equals(requiredMethod(requestClass))) {
             return null;
         }
         double units = HeaderPairs.number(quota, "units");
-        long spread = HeaderPairs.whole(HeaderPairs.value(quota, "spread"));
-        long first = HeaderPairs.whole(HeaderPairs.value(quota, "first"));
+        long spread = HeaderPairs.wholeNumber(HeaderPairs.value(quota, "spread"));
+        long first = HeaderPairs.wholeNumber(HeaderPairs.value(quota, "first"));
         int gateways = settings.gatewayCount();
-        boolean twice = HeaderPairs.twice(quota, "units") || HeaderPairs.twice(quota, "spread")
-                || HeaderPairs.twice(quota, "first");
-        if (twice || !(units > 0 && units <= mostUnits) || spread < 1 || spread > gateways || first < 0 || first >= gateways) {
+        boolean duplicated = HeaderPairs.isDuplicated(quota, "units") || HeaderPairs.isDuplicated(quota, "spread")
+                || HeaderPairs.isDuplicated(quota, "first");
+        if (duplicated || !(units > 0 && units <= maxUnits) || spread < 1 || spread > gateways || first < 0
+                || first >= gateways) {
             return null;
         }
-        long left = remaining - (System.nanoTime() - since) / MS;
-        return new InboundRequest(method, uri, txn, requestClass, plan, customer, units, (int) spread,
-                Math.max(0, left),
+        long remainingMs = remaining - (System.nanoTime() - receivedAtNanos) / NANOS_PER_MS;
+        return new InboundRequest(method, uri, requestId, requestClass, plan, customer, units, (int) spread,
+                Math.max(0, remainingMs),
                 body, Long.MAX_VALUE, headers.apply(AUTHORIZATION));
     }
 
@@ -95,16 +98,16 @@
         if (plans.indexOf(headers.apply(PLAN)) < 0) {
             return describeFault(PLAN, headers, "must name a plan: one of " + String.join(", ", plans));
         }
-        long customer = hex(headers.apply(CUSTOMER));
-        if (customer < 0 || customer >= CUSTOMERS) {
+        long customer = parseHex(headers.apply(CUSTOMER));
+        if (customer < 0 || customer >= CUSTOMER_LIMIT) {
             return describeFault(CUSTOMER, headers, "must be " + ID_DIGITS + " hex digits, a number below 2^33");
         }
-        long remaining = HeaderPairs.whole(headers.apply(REMAINING));
-        if (remaining < 0 || remaining > MOST_REMAINING_MS) {
-            return describeFault(REMAINING, headers, "must be whole milliseconds from 0 to " + MOST_REMAINING_MS);
+        long remaining = HeaderPairs.wholeNumber(headers.apply(REMAINING));
+        if (remaining < 0 || remaining > MAX_REMAINING_MS) {
+            return describeFault(REMAINING, headers, "must be whole milliseconds from 0 to " + MAX_REMAINING_MS);
         }
         return describeFault(QUOTA, headers, "must be units=U,spread=N,first=F, each once, with U above 0 and at most "
-                + mostUnits
+                + maxUnits
                 + ", N from 1 to " + settings.gatewayCount() + ", F from 0 to " + (settings.gatewayCount() - 1));
     }
 
@@ -113,8 +116,8 @@
     }
 
     /** Whether it must not run twice. */
-    public boolean isNotRepeatable(InboundRequest arrival) {
-        return settings.classes().get(arrival.requestClass()).idempotency() != Gateway.Idempotency.IDEMPOTENT;
+    public boolean isNotRepeatable(InboundRequest request) {
+        return settings.classes().get(request.requestClass()).idempotency() != Gateway.Idempotency.IDEMPOTENT;
     }
 
     /** The method follows from the class: another is malformed, for it would say which may be sent again. */
@@ -134,7 +137,7 @@
             return false;
         }
         for (int i = 0; i < ID_DIGITS; i++) {
-            if (digit(text.charAt(i)) < 0) {
+            if (hexDigit(text.charAt(i)) < 0) {
                 return false;
             }
         }
@@ -142,7 +145,7 @@
     }
 
     /** Below 0 if it is no hex digit; digits of other scripts are none. */
-    private static int digit(char each) {
+    private static int hexDigit(char each) {
         if (each >= '0' && each <= '9') {
             return each - '0';
         }
@@ -151,13 +154,13 @@
     }
 
     /** The number that 16 hex digits are, or below 0: a sign is no digit. */
-    private static long hex(String text) {
+    private static long parseHex(String text) {
         if (text == null || text.length() != ID_DIGITS) {
             return -1;
         }
         long number = 0;
         for (int i = 0; i < ID_DIGITS; i++) {
-            int digit = digit(text.charAt(i));
+            int digit = hexDigit(text.charAt(i));
             if (digit < 0) {
                 return -1;
             }
--- a/front-door/src/main/java/nettletrail/core/SecretFile.java
+++ b/front-door/src/main/java/nettletrail/core/SecretFile.java
@@ -13,8 +13,8 @@
 
 /** Secrets in files that only this user may read. */
 public final class SecretFile {
-    private static final int MOST = 4_096;
-    private static final Set<PosixFilePermission> OTHERS = Set.of(PosixFilePermission.GROUP_READ,
+    private static final int MAX_BYTES = 4_096;
+    private static final Set<PosixFilePermission> FORBIDDEN_PERMISSIONS = Set.of(PosixFilePermission.GROUP_READ,
             PosixFilePermission.GROUP_WRITE, PosixFilePermission.OTHERS_READ, PosixFilePermission.OTHERS_WRITE);
 
     private SecretFile() { }
@@ -28,13 +28,13 @@
         Path path = Path.of(file);
         try {
             for (PosixFilePermission each : Files.getPosixFilePermissions(path)) {
-                if (OTHERS.contains(each)) {
+                if (FORBIDDEN_PERMISSIONS.contains(each)) {
                     throw new IOException(file + " may be read or written by others; chmod 600 it");
                 }
             }
             byte[] bytes = Files.readAllBytes(path);
-            if (bytes.length == 0 || bytes.length > MOST) {
-                throw new IOException(file + " must hold a secret of 1 to " + MOST + " bytes");
+            if (bytes.length == 0 || bytes.length > MAX_BYTES) {
+                throw new IOException(file + " must hold a secret of 1 to " + MAX_BYTES + " bytes");
             }
             CharBuffer text = StandardCharsets.UTF_8.decode(ByteBuffer.wrap(bytes));
             Arrays.fill(bytes, (byte) 0);
--- a/front-door/src/main/java/nettletrail/door/FrontDoorConfig.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoorConfig.java
@@ -37,35 +37,35 @@
 
     /** Reads the variables and the file that they name. */
     public static FrontDoorConfig read(Map<String, String> env) throws InvalidConfigException {
-        String name = variable(env, "EDGE_NAME");
-        InetSocketAddress listen = address(variable(env, "EDGE_LISTEN"), "EDGE_LISTEN");
-        InetSocketAddress discovery = address(variable(env, "EDGE_DISCOVERY"), "EDGE_DISCOVERY");
-        Map<String, Object> file = file(variable(env, "EDGE_CONFIG"));
-        int sockets = object(file, "limits").get("sockets") instanceof Number n ? n.intValue() : 0;
+        String name = requiredVariable(env, "EDGE_NAME");
+        InetSocketAddress listen = address(requiredVariable(env, "EDGE_LISTEN"), "EDGE_LISTEN");
+        InetSocketAddress discovery = address(requiredVariable(env, "EDGE_DISCOVERY"), "EDGE_DISCOVERY");
+        Map<String, Object> file = readFile(requiredVariable(env, "EDGE_CONFIG"));
+        int sockets = requiredObject(file, "limits").get("sockets") instanceof Number n ? n.intValue() : 0;
         if (sockets < 64) {
             throw new InvalidConfigException("EDGE_CONFIG: limits.sockets is missing or under 64");
         }
         StringBuilder text = new StringBuilder();
-        flatten("", object(file, "settings"), text);
-        return new FrontDoorConfig(name, listen, discovery, seed(file), sockets, object(file, "known"),
+        flatten("", requiredObject(file, "settings"), text);
+        return new FrontDoorConfig(name, listen, discovery, seed(file), sockets, requiredObject(file, "known"),
                 new GatewaySettingsReader(text.toString()));
     }
 
     /** Where the file, perhaps replaced since the start, says that discovery's agent listens now. */
-    static InetSocketAddress discoveryNow(Map<String, String> env) throws InvalidConfigException {
-        Object told = file(variable(env, "EDGE_CONFIG")).get("discovery");
-        return address(String.valueOf(told), "EDGE_CONFIG: discovery");
+    static InetSocketAddress currentDiscoveryAddress(Map<String, String> env) throws InvalidConfigException {
+        Object address = readFile(requiredVariable(env, "EDGE_CONFIG")).get("discovery");
+        return address(String.valueOf(address), "EDGE_CONFIG: discovery");
     }
 
-    private static InetSocketAddress address(String text, String what) throws InvalidConfigException {
+    private static InetSocketAddress address(String text, String source) throws InvalidConfigException {
         InetSocketAddress address = Endpoint.parseAddress(text);
         if (address == null) {
-            throw new InvalidConfigException(what + ": '" + text + "' is no address of the form IP:PORT");
+            throw new InvalidConfigException(source + ": '" + text + "' is no address of the form IP:PORT");
         }
         return address;
     }
 
-    private static String variable(Map<String, String> env, String name) throws InvalidConfigException {
+    private static String requiredVariable(Map<String, String> env, String name) throws InvalidConfigException {
         String value = env.get(name);
         if (value == null || value.isBlank()) {
             throw new InvalidConfigException(name + " is not set");
@@ -73,13 +73,13 @@
         return value;
     }
 
-    private static Map<String, Object> file(String path) throws InvalidConfigException {
+    private static Map<String, Object> readFile(String path) throws InvalidConfigException {
         try {
             return JSON.std.mapFrom(Files.readAllBytes(Path.of(path)));
         } catch (IOException | InvalidPathException e) {
-            String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+            String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
             throw new InvalidConfigException("EDGE_CONFIG: can't read '" + path + "': " + e.getClass().getSimpleName()
-                    + " " + why);
+                    + " " + reason);
         }
     }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    private static Map<?, ?> object(Map<String, Object> file, String key) throws InvalidConfigException {
+    private static Map<?, ?> requiredObject(Map<String, Object> file, String key) throws InvalidConfigException {
         if (file.get(key) instanceof Map<?, ?> map) {
             return map;
         }
--- a/front-door/src/main/java/nettletrail/door/FrontDoorWarmUp.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoorWarmUp.java
@@ -42,10 +42,10 @@
 final class FrontDoorWarmUp implements ClientHandler.Owner {
     private static final int REQUESTS = 250;
     private static final int CLIENTS = 4;
-    private static final long MOST_MS = 2_000;
-    private static final long BACKEND = 1;
+    private static final long MAX_DURATION_MS = 2_000;
+    private static final long BACKEND_ID = 1;
     private static final int CUSTOMERS = 16;
-    private static final ByteBuf SERVED = Unpooled.unreleasableBuffer(
+    private static final ByteBuf SERVED_PREFIX = Unpooled.unreleasableBuffer(
             Unpooled.copiedBuffer("HTTP/1.1 200", StandardCharsets.US_ASCII));
 
     private final EventLoop loop;
@@ -53,13 +53,13 @@
     private final Gateway.Settings settings;
     private final List<String> classes;
     private final List<String> plans;
-    private final RequestValidator intake;
+    private final RequestValidator validator;
     private final BackendPool pool;
     private final Dispatcher dispatcher;
     private final ChannelGroup channels;
     private final LocalAddress backend = new LocalAddress(FrontDoorWarmUp.class);
     private final LocalAddress door = new LocalAddress(FrontDoorWarmUp.class);
-    private Runnable then;
+    private Runnable onFinished;
     private long startedAt;
     private int sent;
     private int answered;
@@ -71,7 +71,7 @@
         this.settings = settings;
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
-        intake = new RequestValidator(reader, settings);
+        validator = new RequestValidator(reader, settings);
         channels = new DefaultChannelGroup(loop);
         pool = new BackendPool(loop, new BackendReport.Reader(reader), new Bootstrap().group(loop)
                 .channel(LocalChannel.class),
@@ -81,29 +81,30 @@
     }
 
     /** Runs on the loop, between all else that it does; at the end, or when its time is up, goes on with what follows. */
-    void start(Runnable then) {
-        this.then = then;
+    void start(Runnable onFinished) {
+        this.onFinished = onFinished;
         startedAt = System.nanoTime();
-        loop.schedule(this::end, MOST_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::end, MAX_DURATION_MS, TimeUnit.MILLISECONDS);
         dispatcher.endpointsUpdated(true,
-                List.of(new Endpoint(BACKEND, "", backend, "", "", 0, Gateway.DiscoveryState.READY, 1,
+                List.of(new Endpoint(BACKEND_ID, "", backend, "", "", 0, Gateway.DiscoveryState.READY, 1,
                 0)));
         listen(backend, new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel made) {
                 channels.add(made);
-                made.pipeline().addLast(new Answering());
+                made.pipeline().addLast(new SyntheticBackend());
             }
         });
         listen(door, new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel made) {
                 channels.add(made);
-                ClientHandler.add(made.pipeline(), FrontDoorWarmUp.this, intake, dispatcher, pool);
+                ClientHandler.add(made.pipeline(), FrontDoorWarmUp.this, validator, dispatcher, pool);
             }
         });
         for (int i = 0; i < CLIENTS; i++) {
-            channels.add(new Bootstrap().group(loop).channel(LocalChannel.class).handler(new Asking()).connect(door)
+            channels.add(new Bootstrap().group(loop).channel(LocalChannel.class).handler(new SyntheticClient())
+                    .connect(door)
                     .channel());
         }
     }
@@ -114,9 +115,9 @@
     }
 
     private void end() {
-        if (then != null) {
-            Runnable next = then;
-            then = null;
+        if (onFinished != null) {
+            Runnable next = onFinished;
+            onFinished = null;
             channels.close();
             Log.line("dry run: " + served + " served of " + answered + " answered in "
                     + (System.nanoTime() - startedAt) / 1_000_000 + " ms");
@@ -145,7 +146,7 @@
     }
 
     /** A client: the next request when the last is answered. */
-    private final class Asking extends ChannelInboundHandlerAdapter {
+    private final class SyntheticClient extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext context) {
             write(context, request(sent++));
@@ -154,7 +155,7 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             ByteBuf read = (ByteBuf) message;
-            served += ByteBufUtil.indexOf(SERVED, read) == 0 ? 1 : 0;
+            served += ByteBufUtil.indexOf(SERVED_PREFIX, read) == 0 ? 1 : 0;
             read.release();
         }
 
@@ -169,7 +170,7 @@
     }
 
     /** A backend that answers each request at once, with all that an answer may tell. */
-    private final class Answering extends ChannelInboundHandlerAdapter {
+    private final class SyntheticBackend extends ChannelInboundHandlerAdapter {
         private final String answer = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nX-Quota-Used: 10\r\nX-Units-Charged: 1\r\n"
                 + "X-Pressure: " + String.join("=0,", reader.loadReportFields()) + "=0\r\n\r\ndry run";
 
--- a/front-door/src/main/java/nettletrail/door/Main.java
+++ b/front-door/src/main/java/nettletrail/door/Main.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import nettletrail.core.FrontDoorExtensions;
 import nettletrail.decision.InvalidInputException;
-import nettletrail.sim.WireHost;
+import nettletrail.sim.SimulatorAdapter;
 
 /**
  * The command line: {@code serve} is one front door on sockets, {@code adapter} hosts instances of the module on
@@ -26,7 +26,7 @@
 
     private static void adapt() {
         try {
-            new WireHost(System.in, System.out).run();
+            new SimulatorAdapter(System.in, System.out).run();
         } catch (InvalidInputException | IOException e) {
             System.err.println("nettletrail: " + e.getMessage());
             System.exit(1);
--- a/front-door/src/main/java/nettletrail/sim/WireHost.java
+++ b/front-door/src/main/java/nettletrail/sim/SimulatorAdapter.java
@@ -20,23 +20,23 @@
 import nettletrail.decision.InvalidInputException;
 
 /** Hosts instances of the module on the simulator's wire: framing and translation, nothing else. */
-public final class WireHost {
+public final class SimulatorAdapter {
     private static final int EVENT_SIZE = 56;
     private static final int ACTION_SIZE = 24;
     private static final int ENTRY_SIZE = 23;
     private static final int BATCH_HEADER = 20;
     private static final int REPLY_HEADER = 12;
-    private static final int MOST_FRAME = 1 << 30;
+    private static final int MAX_FRAME_BYTES = 1 << 30;
 
     private final DataInputStream in;
     private final OutputStream out;
-    private final Map<Integer, Door> doors = new HashMap<>();
+    private final Map<Integer, GatewayInstance> instances = new HashMap<>();
     private ByteBuffer body = buffer(1 << 16);
     private ByteBuffer actions = buffer(1 << 16);
     private ByteBuffer texts = buffer(1 << 12);
     private int actionCount;
 
-    public WireHost(InputStream in, OutputStream out) {
+    public SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new DataInputStream(in);
         this.out = out;
     }
@@ -49,9 +49,9 @@
             int length = header.getInt(4);
             long now = header.getLong(8);
             int count = header.getInt(16);
-            String where = "batch " + Integer.toUnsignedString(batch);
-            if (length < 0 || length > MOST_FRAME || count < 0 || (long) count * EVENT_SIZE > length) {
-                throw new InvalidInputException(where + ": " + Integer.toUnsignedString(count)
+            String context = "batch " + Integer.toUnsignedString(batch);
+            if (length < 0 || length > MAX_FRAME_BYTES || count < 0 || (long) count * EVENT_SIZE > length) {
+                throw new InvalidInputException(context + ": " + Integer.toUnsignedString(count)
                         + " records do not fit in "
                         + Integer.toUnsignedString(length) + " bytes");
             }
@@ -61,13 +61,13 @@
             try {
                 in.readFully(body.array(), 0, length);
             } catch (EOFException e) {
-                throw new InvalidInputException(where + ": input ended inside the frame");
+                throw new InvalidInputException(context + ": input ended inside the frame");
             }
             actions.clear().position(REPLY_HEADER);
             texts.clear();
             actionCount = 0;
             for (int i = 0; i < count; i++) {
-                event(now, i * EVENT_SIZE, count * EVENT_SIZE, length, where + ", record " + i);
+                handleEvent(now, i * EVENT_SIZE, count * EVENT_SIZE, length, context + ", record " + i);
             }
             reply(batch);
         }
@@ -89,82 +89,83 @@
         out.flush();
     }
 
-    private void event(long now, int at, int tail, int end, String where) {
+    private void handleEvent(long now, int at, int tail, int end, String context) {
         int code = body.getShort(at) & 0xffff;
         int number = body.getShort(at + 2) & 0xffff;
         if (code == 1000) {
-            String text = new String(body.array(), tailStart(at + 12, tail, end, 1, where),
+            String text = new String(body.array(), tailStart(at + 12, tail, end, 1, context),
                     body.getInt(at + 16), StandardCharsets.UTF_8);
             try {
-                doors.put(number, new Door(number, text, body.getLong(at + 4), now));
+                instances.put(number, new GatewayInstance(number, text, body.getLong(at + 4), now));
             } catch (InvalidInputException | IllegalArgumentException e) {
-                throw new InvalidInputException(where + " (start of instance " + number + "): " + e.getMessage());
+                throw new InvalidInputException(context + " (start of instance " + number + "): " + e.getMessage());
             }
             return;
         }
         if (code == 1090) {
-            doors.remove(number);
+            instances.remove(number);
             return;
         }
         if (code < 1000 || code > 1100 || code % 10 != 0) {
-            throw new InvalidInputException(where + ": unknown event code " + code);
+            throw new InvalidInputException(context + ": unknown event code " + code);
         }
-        Door door = doors.get(number);
-        if (door == null) {
-            throw new InvalidInputException(where + ": event " + code + " for instance " + number
+        GatewayInstance instance = instances.get(number);
+        if (instance == null) {
+            throw new InvalidInputException(context + ": event " + code + " for instance " + number
                     + ", which was never started");
         }
         try {
-            dispatch(code, door, now, at, tail, end, where);
+            dispatchEvent(code, instance, now, at, tail, end, context);
         } catch (InvalidInputException e) {
             throw e;
         } catch (RuntimeException e) {
-            door.fault(e);
+            instance.fault(e);
         }
     }
 
-    private void dispatch(int code, Door door, long now, int at, int tail, int end, String where) {
+    private void dispatchEvent(int code, GatewayInstance instance, long now, int at, int tail, int end,
+            String context) {
         switch (code) {
             case 1010 -> {
                 int kind = body.get(at + 12);
-                int first = tailStart(at + 13, tail, end, ENTRY_SIZE, where);
+                int first = tailStart(at + 13, tail, end, ENTRY_SIZE, context);
                 int rows = body.getInt(at + 17);
                 if (kind == 3) {
-                    door.brain.onDiscoveryFailure(now);
+                    instance.gateway.onDiscoveryFailure(now);
                 } else {
                     List<Gateway.Backend> entries = new ArrayList<>(rows);
                     for (int i = 0; i < rows; i++) {
-                        entries.add(entry(first + i * ENTRY_SIZE, where));
+                        entries.add(entry(first + i * ENTRY_SIZE, context));
                     }
-                    door.brain.onBackends(now, kind != 1, entries);
+                    instance.gateway.onBackends(now, kind != 1, entries);
                 }
             }
-            case 1020 -> door.brain.onRequest(now, new Gateway.Request(body.getLong(at + 4),
+            case 1020 -> instance.gateway.onRequest(now, new Gateway.Request(body.getLong(at + 4),
                     body.getShort(at + 12) & 0xffff, body.getShort(at + 14) & 0xffff, body.getLong(at + 32),
                     body.getFloat(at + 28), Math.max(1, Math.round(body.getFloat(at + 16))), body.getLong(at + 20)));
-            case 1040 -> door.brain.onAttemptEnd(now, new Gateway.AttemptReport(body.getLong(at + 4),
+            case 1040 -> instance.gateway.onAttemptEnd(now, new Gateway.AttemptReport(body.getLong(at + 4),
                     body.getShort(at + 25) & 0xffff, body.getInt(at + 29) & 0xffffffffL,
-                    outcome(body.getShort(at + 27) & 0xffff, where), body.get(at + 12) != 0, body.getLong(at + 13),
-                    (body.getShort(at + 21) & 0xffff) - 1, body.getShort(at + 23) & 0xffff, door.load(at + 33)));
-            case 1050 -> door.brain.onRequestCancelled(now, body.getLong(at + 4));
-            case 1060 -> door.brain.onTimer(now, body.getInt(at + 4));
+                    outcome(body.getShort(at + 27) & 0xffff, context), body.get(at + 12) != 0, body.getLong(at + 13),
+                    (body.getShort(at + 21) & 0xffff) - 1, body.getShort(at + 23) & 0xffff, instance.load(at + 33)));
+            case 1050 -> instance.gateway.onRequestCancelled(now, body.getLong(at + 4));
+            case 1060 -> instance.gateway.onTimer(now, body.getInt(at + 4));
             default -> { } // begun, probe_result, whisper, added: nothing that the module asks for
         }
     }
 
-    private Gateway.Backend entry(int at, String where) {
+    private Gateway.Backend entry(int at, String context) {
         Gateway.DiscoveryState state = switch (body.get(at + 10)) {
             case 0 -> Gateway.DiscoveryState.GONE;
             case 1 -> Gateway.DiscoveryState.READY;
             case 2 -> Gateway.DiscoveryState.DRAINING;
-            default -> throw new InvalidInputException(where + ": unknown backend condition " + body.get(at + 10));
+            default -> throw new InvalidInputException(context + ": unknown backend condition " + body.get(at + 10));
         };
         return new Gateway.Backend(body.getInt(at) & 0xffffffffL, body.getShort(at + 4) & 0xffff,
                 body.getShort(at + 6) & 0xffff, body.getShort(at + 8) & 0xffff, state, body.getFloat(at + 11),
                 body.getLong(at + 15));
     }
 
-    private static Gateway.Outcome outcome(int status, String where) {
+    private static Gateway.Outcome outcome(int status, String context) {
         return switch (status) {
             case 200 -> Gateway.Outcome.OK;
             case 500 -> Gateway.Outcome.ERROR;
@@ -174,16 +175,16 @@
             case 598 -> Gateway.Outcome.RESET;
             case 499 -> Gateway.Outcome.CANCELLED;
             case 410 -> Gateway.Outcome.NEVER_SENT;
-            default -> throw new InvalidInputException(where + ": unknown outcome " + status);
+            default -> throw new InvalidInputException(context + ": unknown outcome " + status);
         };
     }
 
     /** Where a tail field starts in the body, after a check that it lies inside the tail. */
-    private int tailStart(int field, int tail, int end, int size, String where) {
+    private int tailStart(int field, int tail, int end, int size, String context) {
         long offset = body.getInt(field) & 0xffffffffL;
         long length = (body.getInt(field + 4) & 0xffffffffL) * size;
         if (tail + offset + length > end) {
-            throw new InvalidInputException(where + ": " + length + " bytes at " + offset
+            throw new InvalidInputException(context + ": " + length + " bytes at " + offset
                     + " run past the end of the frame");
         }
         return (int) (tail + offset);
@@ -193,7 +194,7 @@
         return ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    private static ByteBuffer grown(ByteBuffer from, int room) {
+    private static ByteBuffer withCapacity(ByteBuffer from, int room) {
         if (from.remaining() >= room) {
             return from;
         }
@@ -201,14 +202,14 @@
     }
 
     /** One instance, and the translation of what it asks for. */
-    private final class Door implements Gateway.Actions {
+    private final class GatewayInstance implements Gateway.Actions {
         private final short number;
         private final int waitingAt;
         private final int busyAt;
         private final int servedAt;
-        private final Gateway brain;
+        private final Gateway gateway;
 
-        Door(int number, String text, long seed, long now) {
+        GatewayInstance(int number, String text, long seed, long now) {
             this.number = (short) number;
             GatewaySettingsReader reader = new GatewaySettingsReader(text);
             List<String> fields = reader.loadReportFields();
@@ -216,7 +217,7 @@
             busyAt = fields.indexOf(GatewaySettingsReader.CPU_UTILIZATION);
             servedAt = fields.indexOf(GatewaySettingsReader.REQUESTS_PER_SECOND);
             Gateway.Settings settings = reader.settings(seed);
-            brain = ApertureGateway.wrap(new GatewayDecider(settings, now, this), settings, reader.gatewayIndex(),
+            gateway = ApertureGateway.wrap(new GatewayDecider(settings, now, this), settings, reader.gatewayIndex(),
                     reader.aperture(ApertureSettings.DEFAULT));
         }
 
@@ -232,7 +233,7 @@
 
         /** Starts an action's record; the caller puts its fields at the place returned. */
         private int action(int code) {
-            actions = grown(actions, ACTION_SIZE);
+            actions = withCapacity(actions, ACTION_SIZE);
             int at = actions.position();
             actions.putShort((short) code).putShort(number).putInt(0).putLong(0).putLong(0);
             actionCount++;
@@ -241,7 +242,7 @@
 
         private void textAction(int code, String text) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            texts = grown(texts, bytes.length);
+            texts = withCapacity(texts, bytes.length);
             int at = action(code);
             actions.putInt(at + 4, texts.position()).putInt(at + 8, bytes.length);
             texts.put(bytes);
--- a/front-door/src/test/java/nettletrail/core/AtTheDoorTest.java
+++ b/front-door/src/test/java/nettletrail/core/DispatcherAuthorizationTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The seam between dispatcher, admission, bound and module: who hears what, once, and when. */
-class AtTheDoorTest {
+class DispatcherAuthorizationTest {
     private static final Authorizer.Denial DENIAL = new Authorizer.Denial(401, "Bearer", "no", 0);
     private static final String SETTINGS = "Services.count=1\nServices.0.Name=s\nServices.0.Aim=1000000000\n"
             + "Services.0.Effect=single_shot\nTiersOfService.count=1\nTiersOfService.0.Name=t";
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void whoWaitsIsUnknownToBoundAndModuleUntilItIsAdmitted() throws Exception {
+    void limiterAndGatewaySeeARequestOnlyOnceItIsAuthorized() throws Exception {
         onLoop(() -> {
             arrive(3_000);
             heard("asked");
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void whoIsDeniedWhileItWaitsWasNeverThere() throws Exception {
+    void requestDeniedWhilePendingReachesNeitherLimiterNorGateway() throws Exception {
         onLoop(() -> {
             arrive(3_000);
             waiting.denied(DENIAL);
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void whoIsDeniedAtOnceIsToo() throws Exception {
+    void requestDeniedImmediatelyReachesNeitherLimiterNorGateway() throws Exception {
         onLoop(() -> {
             word = DENIAL;
             assertTrue(arrive(3_000).isEnded());
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void whoLeavesWhileItWaitsIsForgotten() throws Exception {
+    void clientDisconnectWhilePendingRemovesTheRequest() throws Exception {
         onLoop(() -> {
             arrive(3_000).clientDisconnected();
             heard("asked", "left");
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void whoseTimeIsUpWhileItWaitsFails() throws Exception {
+    void deadlineWhilePendingFailsTheRequest() throws Exception {
         onLoop(() -> arrive(30));
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         boolean[] ended = new boolean[1];
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void whatIsWithdrawnInTheQueueIsTurnedAwayAndWhatIsOutIsNot() throws Exception {
+    void revocationDeniesARequestWithoutAnOpenAttempt() throws Exception {
         Predicate<InboundRequest> all = arrival -> true;
         onLoop(() -> {
             word = new Authorizer.Allowed();
@@ -247,7 +247,7 @@
     }
 
     @Test
-    void whatIsOutEndsAsItEnds() throws Exception {
+    void revocationLeavesAnOpenAttemptRunning() throws Exception {
         onLoop(() -> {
             word = new Authorizer.Allowed();
             arrive(3_000);
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void aFurtherAttemptThatIsDeniedIsNeverSentAndSaysSoOnlyIfNothingCanHaveRun() throws Exception {
+    void deniedRetryIsNotSentAndFailsWhenAnEarlierAttemptMayHaveRun() throws Exception {
         onLoop(() -> {
             word = new Authorizer.Allowed();
             arrive(3_000);
@@ -278,7 +278,7 @@
     }
 
     @Test
-    void aFurtherAttemptAfterOneThatReachedNobodyIsDeniedAsOneThatWasNeverSent() throws Exception {
+    void deniedRetryAfterAFailedConnectIsReportedAsDenied() throws Exception {
         onLoop(() -> {
             word = new Authorizer.Allowed();
             arrive(3_000);
@@ -293,7 +293,7 @@
     }
 
     @Test
-    void aFurtherAttemptThatWaitsIsSentWhenAdmittedAndGivenUpWithItsTimeOut() throws Exception {
+    void pendingRetryIsSentWhenAuthorizedAndCancelledOnTimeout() throws Exception {
         onLoop(() -> {
             word = new Authorizer.Allowed();
             arrive(3_000);
--- a/front-door/src/test/java/nettletrail/core/LogTest.java
+++ b/front-door/src/test/java/nettletrail/core/LogTest.java
@@ -16,13 +16,13 @@
     private final PrintStream before = System.err;
 
     @AfterEach
-    void giveBack() throws IOException {
+    void restoreLogging() throws IOException {
         System.setErr(before);
         LogManager.getLogManager().readConfiguration();
     }
 
     @Test
-    void whatLibrariesLogIsOneLineOfOurs() {
+    void libraryLogRecordIsWrittenAsOneLine() {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
         Log.install();
--- a/front-door/src/test/java/nettletrail/core/UnreadTest.java
+++ b/front-door/src/test/java/nettletrail/core/PendingInputTest.java
@@ -28,9 +28,9 @@
 
 /** A look finds the end behind more than one of the loop's own reads would take. */
 @Timeout(30)
-class UnreadTest {
+class PendingInputTest {
     @Test
-    void theEndIsFoundBehindAllThatCame() throws Exception {
+    void closeIsDetectedBehindAllPendingBytes() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         BlockingQueue<Channel> taken = new LinkedBlockingQueue<>();
         AtomicInteger bytes = new AtomicInteger();
--- a/front-door/src/test/java/nettletrail/door/DescriptorsTest.java
+++ b/front-door/src/test/java/nettletrail/door/DescriptorLimitTest.java
@@ -25,7 +25,7 @@
 
 /** Clients that fill all places that a front door with few descriptors has, and what must find one all the same. */
 @Timeout(60)
-class DescriptorsTest {
+class DescriptorLimitTest {
     private static final String ODD = "GET /x HTTP/1.1\r\nHost: gw\r\n\r\n";
     private static final int SOCKETS = 128;
     /** Forty of them are clients'. */
@@ -34,31 +34,31 @@
 
     @TempDir
     private Path folder;
-    private Rig rig;
-    private final HeldModule module = new HeldModule();
+    private FrontDoorFixture rig;
+    private final PausingGateway module = new PausingGateway();
     private ServerSocket backend;
     private FrontDoor door;
     /** Of the last request, for its id. */
     private int number = 4_096;
 
     @BeforeEach
-    void make() throws Exception {
-        rig = new Rig(folder);
+    void setUp() throws Exception {
+        rig = new FrontDoorFixture(folder);
         backend = rig.backend();
         rig.sockets(SOCKETS);
-        door = rig.start(module.module(), Rig.entry("s-1", backend.getLocalPort(), "SERVING"));
+        door = rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
     }
 
     @AfterEach
-    void end() throws Exception {
-        module.release();
+    void tearDown() throws Exception {
+        module.resume();
         rig.close();
     }
 
     /** Each says this and nothing more; some are shut at once to make room for others. */
-    private void crowd(String says) throws IOException {
+    private void connectMany(String says) throws IOException {
         for (int i = 0; i < CROWD; i++) {
-            Peer one = rig.client();
+            TestPeer one = rig.client();
             try {
                 one.write(says);
             } catch (IOException e) {
@@ -68,14 +68,14 @@
     }
 
     /** Discovery's connection is gone, and nobody answers there. */
-    private void discoveryGoes() throws IOException {
+    private void stopDiscovery() throws IOException {
         rig.watch.close();
     }
 
     /** It answers again: the first call that is still open is given this list. */
-    private void discoveryReturns(String list) throws IOException {
+    private void restartDiscovery(String list) throws IOException {
         while (true) {
-            Peer call = rig.keep(Peer.accept(rig.discovery));
+            TestPeer call = rig.keep(TestPeer.accept(rig.discovery));
             try {
                 call.read();
                 call.answer("200 OK", "", list);
@@ -87,10 +87,10 @@
         }
     }
 
-    private void isServedBy(ServerSocket listening, Peer client, String txn) throws Exception {
-        client.write(Rig.request("look", txn, 30_000, ""));
-        try (Peer server = Peer.accept(listening)) {
-            assertEquals(Rig.txn(txn), server.read().header("X-Txn"));
+    private void assertServedBy(ServerSocket listening, TestPeer client, String txn) throws Exception {
+        client.write(FrontDoorFixture.request("look", txn, 30_000, ""));
+        try (TestPeer server = TestPeer.accept(listening)) {
+            assertEquals(FrontDoorFixture.txn(txn), server.read().header("X-Txn"));
             server.answer("200 OK", "", "seen");
             assertEquals("seen", client.read().body());
         }
@@ -103,36 +103,37 @@
     /** Silent, asked once, half a head, half a body: the list is taken in when discovery is back, and a new client served by it. */
     @ParameterizedTest
     @ValueSource(strings = {"", ODD, "GET /api HTTP/1.1\r\nX-Txn", "POST /api HTTP/1.1\r\nHost: gw\r\nContent-Length: 9000\r\n\r\nhalf"})
-    void aCrowdWhileDiscoveryIsDownKeepsNobodyOut(String says) throws Exception {
-        discoveryGoes();
-        crowd(says);
+    void newClientIsServedWhenManyConnectDuringADiscoveryOutage(String says) throws Exception {
+        stopDiscovery();
+        connectMany(says);
         ServerSocket other = rig.backend();
-        discoveryReturns(Rig.list(9, true, Rig.entry("s-2", other.getLocalPort(), "SERVING")));
-        crowd(says);
-        isServedBy(other, rig.client(), "a");
+        restartDiscovery(FrontDoorFixture.list(9, true, FrontDoorFixture.entry("s-2", other.getLocalPort(),
+                "SERVING")));
+        connectMany(says);
+        assertServedBy(other, rig.client(), "a");
         assertTrue(clients() <= (SOCKETS - 48) / 2 + 16, "what is taken in one turn at most beyond the clients' part");
     }
 
     /** The same when SIGTERM has come: who then connects is served, and the drain ends. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HTTP/1.1\r\nX-Txn"})
-    void aCrowdInADrainKeepsNobodyOut(String says) throws Exception {
-        discoveryGoes();
-        crowd(says);
+    void newClientIsServedWhenManyConnectDuringADrain(String says) throws Exception {
+        stopDiscovery();
+        connectMany(says);
         Thread drain = new Thread(door::drain);
         drain.start();
         while (!door.draining()) {
             Thread.onSpinWait();
         }
-        crowd(says);
-        isServedBy(backend, rig.client(), "a");
+        connectMany(says);
+        assertServedBy(backend, rig.client(), "a");
         drain.join();
         assertEquals(0, door.activeRequestCount());
     }
 
     /** Closed ones give their descriptors back only after the loop's turn: the end of listening takes in so many a turn, and all of them. */
     @Test
-    void theEndOfListeningTakesInOnlySoManyInOneTurn() throws Exception {
+    void stopListeningAcceptsABoundedNumberPerTurn() throws Exception {
         int queued = 150;
         CountDownLatch there = new CountDownLatch(1);
         CountDownLatch waiting = new CountDownLatch(1);
@@ -144,13 +145,13 @@
             return descriptors() - before;
         });
         there.await();
-        List<Peer> queue = new ArrayList<>();
+        List<TestPeer> queue = new ArrayList<>();
         for (int i = 0; i < queued; i++) {
             queue.add(rig.client().write(ODD));
         }
         waiting.countDown();
         assertTrue(more.get() <= SOCKETS / 4 + 16, "beyond a turn's part: " + more.get());
-        for (Peer each : queue) {
+        for (TestPeer each : queue) {
             assertEquals(404, each.read().status());
         }
         while (door.listens()) {
@@ -164,32 +165,32 @@
 
     /** All connections to backends break, and all are opened anew, with the clients' places full. */
     @Test
-    void whenAllConnectionsToBackendsBreakNewOnesAreFound() throws Exception {
+    void backendConnectionsAreReopenedAfterAllBreak() throws Exception {
         int both = 20;
-        List<Peer> clients = new ArrayList<>();
-        List<Peer> servers = new ArrayList<>();
+        List<TestPeer> clients = new ArrayList<>();
+        List<TestPeer> servers = new ArrayList<>();
         for (int i = 0; i < both; i++) {
-            clients.add(rig.client().write(Rig.request("look", Integer.toHexString(i + 16), 30_000, "")));
-            servers.add(rig.keep(Peer.accept(backend)));
+            clients.add(rig.client().write(FrontDoorFixture.request("look", Integer.toHexString(i + 16), 30_000, "")));
+            servers.add(rig.keep(TestPeer.accept(backend)));
             servers.get(i).read();
         }
-        crowd("");
-        module.answer = told -> { };
-        for (Peer each : servers) {
+        connectMany("");
+        module.onAnswer = told -> { };
+        for (TestPeer each : servers) {
             each.reset();
         }
-        for (Peer each : clients) {
+        for (TestPeer each : clients) {
             assertEquals(502, each.read().status()); // the module fails what is reset
         }
         for (int i = 0; i < both; i++) {
-            clients.get(i).write(Rig.request("look", Integer.toHexString(i + 256), 30_000, ""));
+            clients.get(i).write(FrontDoorFixture.request("look", Integer.toHexString(i + 256), 30_000, ""));
         }
         for (int i = 0; i < both; i++) {
-            Peer server = rig.keep(Peer.accept(backend));
+            TestPeer server = rig.keep(TestPeer.accept(backend));
             server.read();
             server.answer("200 OK", "", "seen");
         }
-        for (Peer each : clients) {
+        for (TestPeer each : clients) {
             assertEquals("seen", each.read().body());
         }
     }
@@ -199,11 +200,11 @@
      * back only after it, so that the new ones wait for these and take nobody else's.
      */
     @Test
-    void connectionsOpenedInTheTurnInWhichOthersBreakWaitForTheirDescriptors() throws Exception {
+    void newConnectionsWaitForTheDescriptorsOfBrokenOnes() throws Exception {
         int most = 8;
         AtomicInteger before = new AtomicInteger();
         AtomicInteger more = new AtomicInteger();
-        HeldModule again = new HeldModule() {
+        PausingGateway again = new PausingGateway() {
             @Override
             public void onAttemptEnd(long now, AttemptReport told) {
                 if (told.outcome() == Gateway.Outcome.RESET) {
@@ -213,38 +214,38 @@
                 answers.add(told);
             }
         };
-        Rig small = new Rig(folder).sockets(64); // eight for backends
+        FrontDoorFixture small = new FrontDoorFixture(folder).sockets(64); // eight for backends
         try {
-            small.start(again.module(), Rig.entry("s-1", backend.getLocalPort(), "SERVING"));
-            List<Peer> clients = new ArrayList<>();
-            List<Peer> servers = new ArrayList<>();
+            small.start(again.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+            List<TestPeer> clients = new ArrayList<>();
+            List<TestPeer> servers = new ArrayList<>();
             for (int i = 0; i < most; i++) {
-                Peer client = small.client();
-                clients.add(client.write(Rig.request("look", Integer.toHexString(i + 16), 30_000, "")));
-                servers.add(Peer.accept(backend));
+                TestPeer client = small.client();
+                clients.add(client.write(FrontDoorFixture.request("look", Integer.toHexString(i + 16), 30_000, "")));
+                servers.add(TestPeer.accept(backend));
                 servers.get(i).read();
             }
-            again.afterHold = () -> before.set(descriptors());
-            small.client().write(HeldModule.holding("b"));
-            again.awaitHeld();
-            for (Peer each : servers) {
+            again.afterPause = () -> before.set(descriptors());
+            small.client().write(PausingGateway.pausingRequest("b"));
+            again.awaitPaused();
+            for (TestPeer each : servers) {
                 each.reset();
             }
-            again.release();
+            again.resume();
             for (int i = 0; i < most; i++) {
-                assertEquals(Gateway.Outcome.RESET, HeldModule.next(again.answers).outcome());
+                assertEquals(Gateway.Outcome.RESET, PausingGateway.next(again.answers).outcome());
             }
             for (int i = 0; i < most; i++) {
-                Peer server = small.keep(Peer.accept(backend));
+                TestPeer server = small.keep(TestPeer.accept(backend));
                 server.read();
                 server.answer("200 OK", "", "seen");
             }
-            for (Peer each : clients) {
+            for (TestPeer each : clients) {
                 assertEquals("seen", each.read().body());
             }
             assertTrue(more.get() <= 2, "more than before: " + more.get());
         } finally {
-            again.release();
+            again.resume();
             small.close();
         }
     }
@@ -252,25 +253,25 @@
     // ---- Answers that are not read ----------------------------------------------------------------------
 
     /** A client with a small window, which reads only when it is told to. */
-    private Peer narrow() throws IOException {
+    private TestPeer smallWindowClient() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4_096);
         InetSocketAddress to = door.address();
         socket.connect(new InetSocketAddress(to.getAddress(), to.getPort()));
-        return rig.keep(new Peer(socket));
+        return rig.keep(new TestPeer(socket));
     }
 
     /** Large answers to it, one after the other, until its connection takes no more; how many were given. */
-    private int fill(Peer client, Peer server, int most) throws Exception {
+    private int fillSendBuffer(TestPeer client, TestPeer server, int most) throws Exception {
         int given = 0;
         while (given < most) {
-            client.write(Rig.request("look", Integer.toHexString(++number), 30_000, ""));
+            client.write(FrontDoorFixture.request("look", Integer.toHexString(++number), 30_000, ""));
             if (module.arrivals.poll(500, TimeUnit.MILLISECONDS) == null) {
                 return given;
             }
             server.read();
             server.answer("200 OK", "", "x".repeat(LARGE));
-            HeldModule.next(module.answers);
+            PausingGateway.next(module.answers);
             given++;
             TimeUnit.MILLISECONDS.sleep(20); // at least so long: its connection has rested then
         }
@@ -279,30 +280,30 @@
 
     /** The last of its answers is partly with the kernel: what makes room, and a drain, leave it whole. */
     @Test
-    void anAnswerThatIsStillGoingOutIsNotCutOff() throws Exception {
-        isServedBy(backend, rig.client(), "a");
-        HeldModule.next(module.arrivals);
-        HeldModule.next(module.answers);
-        Peer first = narrow();
-        first.write(Rig.request("look", "b", 30_000, ""));
-        HeldModule.next(module.arrivals);
-        Peer server = rig.keep(Peer.accept(backend));
+    void responseBeingWrittenIsNotCutOff() throws Exception {
+        assertServedBy(backend, rig.client(), "a");
+        PausingGateway.next(module.arrivals);
+        PausingGateway.next(module.answers);
+        TestPeer first = smallWindowClient();
+        first.write(FrontDoorFixture.request("look", "b", 30_000, ""));
+        PausingGateway.next(module.arrivals);
+        TestPeer server = rig.keep(TestPeer.accept(backend));
         server.read();
         server.answer("200 OK", "", "x".repeat(LARGE));
-        HeldModule.next(module.answers);
+        PausingGateway.next(module.answers);
         TimeUnit.MILLISECONDS.sleep(20);
-        int enough = 1 + fill(first, server, 40);
+        int enough = 1 + fillSendBuffer(first, server, 40);
         first.close();
-        Peer second = narrow();
-        int took = fill(second, server, enough);
+        TestPeer second = smallWindowClient();
+        int took = fillSendBuffer(second, server, enough);
         for (int again = 0; again < 5 && took < enough; again++) {
             second.close(); // the kernel took less this time, and one request waits: that one could not be closed as idle
             enough = took;
-            second = narrow();
-            took = fill(second, server, enough);
+            second = smallWindowClient();
+            took = fillSendBuffer(second, server, enough);
         }
         assertEquals(enough, took, "as many as the other took");
-        door.loop().submit(() -> door.endIdle(0)).sync();
+        door.loop().submit(() -> door.closeIdle(0)).sync();
         for (int i = 0; i < enough; i++) {
             assertEquals(LARGE, second.read().body().length(), "answer " + i + " of " + enough);
         }
@@ -310,16 +311,16 @@
 
     /** One that never reads is ended, and its place is another's. */
     @Test
-    void whoNeverReadsItsAnswersIsEnded() throws Exception {
-        Peer first = narrow();
-        first.write(Rig.request("look", "b", 30_000, ""));
-        HeldModule.next(module.arrivals);
-        Peer server = rig.keep(Peer.accept(backend));
+    void clientThatNeverReadsIsDisconnected() throws Exception {
+        TestPeer first = smallWindowClient();
+        first.write(FrontDoorFixture.request("look", "b", 30_000, ""));
+        PausingGateway.next(module.arrivals);
+        TestPeer server = rig.keep(TestPeer.accept(backend));
         server.read();
         server.answer("200 OK", "", "x".repeat(LARGE));
-        HeldModule.next(module.answers);
+        PausingGateway.next(module.answers);
         TimeUnit.MILLISECONDS.sleep(20);
-        fill(first, server, 40);
+        fillSendBuffer(first, server, 40);
         long since = System.nanoTime();
         while (clients() > 0) {
             TimeUnit.MILLISECONDS.sleep(10);
--- a/front-door/src/test/java/nettletrail/door/EndingsTest.java
+++ b/front-door/src/test/java/nettletrail/door/DrainAndEvictionTest.java
@@ -24,33 +24,33 @@
  * connection that closes. The loop is held at the instant; what crosses it happens meanwhile, and lies unread.
  */
 @Timeout(60)
-class EndingsTest {
+class DrainAndEvictionTest {
     private static final String ODD = "GET /x HTTP/1.1\r\nHost: gw\r\n\r\n";
     @TempDir
     private Path folder;
-    private Rig rig;
-    private final HeldModule module = new HeldModule();
+    private FrontDoorFixture rig;
+    private final PausingGateway module = new PausingGateway();
     private ServerSocket backend;
 
     @BeforeEach
-    void make() throws IOException {
-        rig = new Rig(folder);
+    void setUp() throws IOException {
+        rig = new FrontDoorFixture(folder);
         backend = rig.backend();
     }
 
     @AfterEach
-    void end() throws Exception {
-        module.release();
+    void tearDown() throws Exception {
+        module.resume();
         rig.close();
     }
 
     private FrontDoor start() throws Exception {
-        return rig.start(module.module(), Rig.entry("s-1", backend.getLocalPort(), "SERVING"));
+        return rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
     }
 
-    private Peer holdLoop(String txn) throws Exception {
-        Peer client = rig.client().write(HeldModule.holding(txn));
-        module.awaitHeld();
+    private TestPeer pauseLoop(String txn) throws Exception {
+        TestPeer client = rig.client().write(PausingGateway.pausingRequest(txn));
+        module.awaitPaused();
         return client;
     }
 
@@ -67,16 +67,16 @@
 
     /** The kernel has accepted them, more than the loop takes in one turn, when the listener's time is over. */
     @Test
-    void connectionsInTheKernelsQueueAtTheEndOfListeningAreServed() throws Exception {
+    void connectionsInTheAcceptQueueAreServedWhenListeningStops() throws Exception {
         FrontDoor door = start();
         Thread drain = drain(door);
-        Peer held = holdLoop("b"); // longer than connections are taken after SIGTERM
-        List<Peer> queue = new ArrayList<>();
+        TestPeer held = pauseLoop("b"); // longer than connections are taken after SIGTERM
+        List<TestPeer> queue = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             queue.add(rig.client().write(ODD));
         }
-        module.release();
-        for (Peer each : queue) {
+        module.resume();
+        for (TestPeer each : queue) {
             assertEquals(404, each.read().status());
         }
         assertEquals(502, held.read().status());
@@ -85,18 +85,18 @@
 
     /** What it wrote lies unread when the drain closes what looks idle: after the reads of that turn, before the next. */
     @Test
-    void aRequestUnreadOnAConnectionThatLooksIdleToADrainIsAnswered() throws Exception {
+    void drainAnswersAnUnreadRequestOnAnIdleConnection() throws Exception {
         FrontDoor door = start();
-        Peer idle = rig.client();
+        TestPeer idle = rig.client();
         assertEquals(404, idle.write(ODD).read().status());
-        Peer half = rig.client().write(ODD.substring(0, 10));
-        Peer silent = rig.client();
+        TestPeer half = rig.client().write(ODD.substring(0, 10));
+        TestPeer silent = rig.client();
         CountDownLatch there = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         var closing = door.loop().submit(() -> {
             there.countDown();
             written.await();
-            door.endIdle(0); // as a drain does every 10 ms when listening is over
+            door.closeIdle(0); // as a drain does every 10 ms when listening is over
             return null;
         });
         there.await();
@@ -111,7 +111,7 @@
 
     /** Its request is on its way when the listener closes: it connected in the last moment. */
     @Test
-    void whoConnectedInTheLastMomentIsNotClosedAtOnce() throws Exception {
+    void drainKeepsAConnectionOpenedJustBeforeListeningStops() throws Exception {
         FrontDoor door = start();
         CountDownLatch there = new CountDownLatch(1);
         CountDownLatch connected = new CountDownLatch(1);
@@ -119,11 +119,11 @@
             there.countDown();
             connected.await();
             door.stopListening();
-            door.endIdle(FrontDoor.JUST_CAME_NS); // as a drain does in one turn
+            door.closeIdle(FrontDoor.RECENT_CONNECTION_NANOS); // as a drain does in one turn
             return null;
         });
         there.await();
-        Peer last = rig.client();
+        TestPeer last = rig.client();
         connected.countDown();
         closing.sync();
         assertEquals(404, last.write(ODD).read().status());
@@ -131,7 +131,7 @@
 
     /** A process told to end while it started never listens: who then connected would be reset. */
     @Test
-    void whoIsToldToEndBeforeItListensNeverDoes() throws Exception {
+    void drainBeforeOpenPreventsListening() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             FrontDoor door = rig.prepare(taken.getLocalPort());
             door.drain();
@@ -142,7 +142,7 @@
 
     /** SIGTERM in the dry run: it ends by itself, and well in time. */
     @Test
-    void aDrainDuringTheDryRunEnds() throws Exception {
+    void drainDuringWarmUpCompletes() throws Exception {
         FrontDoor door = rig.deadlineMs(1_000).prepare(0);
         CountDownLatch over = door.warmUp();
         door.drain();
@@ -154,15 +154,15 @@
 
     /** SIGKILL's clock runs from SIGTERM, whether or not the loop has heard of it. */
     @Test
-    void aDrainThatTheLoopHearsOfLateStillAnswersInTime() throws Exception {
+    void drainOnALateLoopStillAnswersInTime() throws Exception {
         rig.deadlineMs(400);
         FrontDoor door = start();
-        Peer client = rig.client().write(Rig.request("look", "a", 30_000, ""));
-        rig.keep(Peer.accept(backend)).read();
-        holdLoop("b");
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
+        rig.keep(TestPeer.accept(backend)).read();
+        pauseLoop("b");
         Thread drain = new Thread(door::drain);
         drain.start();
-        module.release();
+        module.resume();
         drain.join();
         assertEquals(0, door.activeRequestCount(), "answered when the drain was over");
         assertEquals(502, client.read().status(), "as the module decides");
@@ -170,19 +170,19 @@
 
     /** A client that sends on behind its open request: at the drain's end all that was taken is answered, and nothing sent. */
     @Test
-    void whatWaitsBehindAnOpenRequestAtADrainsEndIsAnsweredToo() throws Exception {
+    void drainAnswersPipelinedRequestsBehindAnOpenOne() throws Exception {
         rig.deadlineMs(300);
         FrontDoor door = start();
-        Peer client = rig.client();
+        TestPeer client = rig.client();
         for (String txn : List.of("a", "b", "c")) {
-            client.write(Rig.request("buy", txn, 30_000, "x"));
+            client.write(FrontDoorFixture.request("buy", txn, 30_000, "x"));
         }
-        Peer server = rig.keep(Peer.accept(backend));
+        TestPeer server = rig.keep(TestPeer.accept(backend));
         server.read();
         door.drain();
         assertEquals(502, client.read().status(), "as the module decides");
         assertEquals(429, client.read().status());
-        Peer.Message last = client.read();
+        TestPeer.Message last = client.read();
         assertEquals(429, last.status());
         assertEquals("close", last.header("Connection"));
         assertEquals(0, door.activeRequestCount());
@@ -193,74 +193,75 @@
 
     /** A crowd comes before it, so that its turn to be read is after theirs to be taken: each makes room by who looks idle. */
     @Test
-    void aRequestUnreadOnAConnectionThatMakesRoomIsAnswered() throws Exception {
+    void evictionAnswersAnUnreadRequest() throws Exception {
         rig.sockets(80);
         start();
-        Peer idle = rig.client(); // has said nothing yet: the first that has to go
+        TestPeer idle = rig.client(); // has said nothing yet: the first that has to go
         assertEquals(404, rig.client().write(ODD).read().status()); // by then the first is taken, too
-        holdLoop("b");
+        pauseLoop("b");
         for (int i = 0; i < 30; i++) {
             rig.client();
         }
         idle.write(ODD);
-        module.release();
+        module.resume();
         assertEquals(404, idle.read().status());
     }
 
     // ---- Lists and backends' connections ----------------------------------------------------------------
 
     /** Two backends, and a connection to the first that stands free. */
-    private Peer freeConnection(ServerSocket second) throws Exception {
-        rig.start(module.module(), Rig.entry("s-1", backend.getLocalPort(), "SERVING"),
-                Rig.entry("s-2", second.getLocalPort(), "SERVING"));
-        Peer client = rig.client().write(Rig.request("look", "1", 30_000, ""));
-        Peer server = rig.keep(Peer.accept(backend));
+    private TestPeer idleBackendConnection(ServerSocket second) throws Exception {
+        rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"),
+                FrontDoorFixture.entry("s-2", second.getLocalPort(), "SERVING"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "1", 30_000, ""));
+        TestPeer server = rig.keep(TestPeer.accept(backend));
         server.read();
         server.answer("200 OK", "", "one");
         assertEquals("one", client.read().body());
         // Whoever looks for a connection anywhere ends the rests that are over.
-        module.arrival = request -> module.actions.send(request.id(), Endpoint.idOf("s-2"), 0);
+        module.onArrival = request -> module.actions.send(request.id(), Endpoint.idOf("s-2"), 0);
         TimeUnit.MILLISECONDS.sleep(20); // at least so long; more does no harm
-        client.write(Rig.request("look", "2", 30_000, ""));
-        try (Peer other = Peer.accept(second)) {
+        client.write(FrontDoorFixture.request("look", "2", 30_000, ""));
+        try (TestPeer other = TestPeer.accept(second)) {
             other.read();
             other.answer("200 OK", "", "two");
             assertEquals("two", client.read().body());
         }
         for (int i = 0; i < 2; i++) {
-            HeldModule.next(module.answers);
-            HeldModule.next(module.arrivals);
+            PausingGateway.next(module.answers);
+            PausingGateway.next(module.arrivals);
         }
-        module.arrival = request -> { };
+        module.onArrival = request -> { };
         return server;
     }
 
     /** The list that closes the backend was written before the send, and lies unread on a loop that is late. */
     @Test
-    void aListThatHasComeIsHeardBeforeASend() throws Exception {
-        Peer server = freeConnection(rig.backend());
-        rig.client().write(Rig.request("buy", "a", 30_000, "x"));
-        Gateway.Request kept = HeldModule.next(module.arrivals);
-        module.afterHold = () -> module.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
-        holdLoop("b");
-        rig.watch.answer("200 OK", "", Rig.list(8, false, Rig.entry("s-1", backend.getLocalPort(), "DRAINING")));
-        module.release();
-        assertEquals(Gateway.Outcome.NEVER_SENT, HeldModule.next(module.answers).outcome());
+    void unreadEndpointUpdateIsAppliedBeforeASend() throws Exception {
+        TestPeer server = idleBackendConnection(rig.backend());
+        rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        Gateway.Request kept = PausingGateway.next(module.arrivals);
+        module.afterPause = () -> module.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
+        pauseLoop("b");
+        rig.watch.answer("200 OK", "",
+                FrontDoorFixture.list(8, false, FrontDoorFixture.entry("s-1", backend.getLocalPort(), "DRAINING")));
+        module.resume();
+        assertEquals(Gateway.Outcome.NEVER_SENT, PausingGateway.next(module.answers).outcome());
         assertTrue(server.ended(), "nothing came");
     }
 
     /** Closed by the backend in the turn in which it is chosen: a request written to it would be lost, and may have run. */
     @Test
-    void aConnectionThatHasEndedUnreadIsNotUsed() throws Exception {
-        Peer server = freeConnection(rig.backend());
-        Peer client = rig.client().write(Rig.request("buy", "c", 30_000, "x"));
-        Gateway.Request kept = HeldModule.next(module.arrivals);
-        module.afterHold = () -> module.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
-        holdLoop("d");
+    void backendConnectionWithAnUnreadCloseIsNotUsed() throws Exception {
+        TestPeer server = idleBackendConnection(rig.backend());
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "c", 30_000, "x"));
+        Gateway.Request kept = PausingGateway.next(module.arrivals);
+        module.afterPause = () -> module.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
+        pauseLoop("d");
         server.shut();
-        module.release();
-        try (Peer fresh = Peer.accept(backend)) {
-            assertEquals(Rig.txn("c"), fresh.read().header("X-Txn"));
+        module.resume();
+        try (TestPeer fresh = TestPeer.accept(backend)) {
+            assertEquals(FrontDoorFixture.txn("c"), fresh.read().header("X-Txn"));
             fresh.answer("200 OK", "", "three");
             assertEquals("three", client.read().body());
         }
@@ -270,15 +271,16 @@
 
     /** A second copy would run beside the first, however long that is open. */
     @Test
-    void anIdIsKnownForAsLongAsItsFirstCopyIsOpen() throws Exception {
+    void requestIdStaysUsedWhileItsFirstRequestIsOpen() throws Exception {
         rig.deadlineMs(200);
         start();
-        Peer client = rig.client().write(Rig.request("buy", "a", 30_000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             for (int i = 0; i < 3; i++) {
                 TimeUnit.MILLISECONDS.sleep(250); // longer than the settings' longest deadline
-                assertEquals(400, rig.client().write(Rig.request("buy", "a", 30_000, "x")).read().status());
+                assertEquals(400, rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x")).read()
+                        .status());
             }
             server.answer("200 OK", "", "sold");
             assertEquals("sold", client.read().body());
--- a/front-door/src/test/java/nettletrail/door/RoughDayTest.java
+++ b/front-door/src/test/java/nettletrail/door/FailureRecoveryTest.java
@@ -22,38 +22,38 @@
 
 /** What made the rough days rough, with the project's own module behind the sockets. */
 @Timeout(60)
-class RoughDayTest {
+class FailureRecoveryTest {
     @TempDir
     private Path folder;
-    private Rig rig;
+    private FrontDoorFixture rig;
 
     @BeforeEach
-    void make() throws IOException {
-        rig = new Rig(folder);
+    void setUp() throws IOException {
+        rig = new FrontDoorFixture(folder);
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         rig.close();
     }
 
     /** Rationed as cold it would get less than one request at first, and then for the whole ramp nothing. */
     @Test
-    void aBackendThatRefusedOneConnectionIsNotTakenForARestartedOne() throws Exception {
+    void oneRefusedConnectionDoesNotStartSlowStart() throws Exception {
         ServerSocket first = rig.backend();
         int port = first.getLocalPort();
-        rig.start(Rig.entry("s-1", port, "SERVING"));
+        rig.start(FrontDoorFixture.entry("s-1", port, "SERVING"));
         first.close();
-        Peer client = rig.client();
-        assertEquals(429, client.write(Rig.request("look", "a", 3000, "")).read().status());
+        TestPeer client = rig.client();
+        assertEquals(429, client.write(FrontDoorFixture.request("look", "a", 3000, "")).read().status());
         try (ServerSocket again = new ServerSocket(port, 50, InetAddress.getLoopbackAddress())) {
-            client.write(Rig.request("look", "b", 3000, ""));
-            try (Peer backend = Peer.accept(again)) {
+            client.write(FrontDoorFixture.request("look", "b", 3000, ""));
+            try (TestPeer backend = TestPeer.accept(again)) {
                 for (String id : new String[] {"b", "c", "d", "e"}) {
                     backend.read();
                     backend.answer("200 OK", "", id);
                     assertEquals(id, client.read().body());
-                    client.write(Rig.request("look", id + id, 3000, ""));
+                    client.write(FrontDoorFixture.request("look", id + id, 3000, ""));
                 }
             }
         }
@@ -61,17 +61,17 @@
 
     /** The first list allows twelve attempts out at once; here all twelve stay silent for longer than their aim. */
     @Test
-    void attemptsThatStaySilentDoNotKeepAllOthersOut() throws Exception {
+    void unansweredAttemptsDoNotBlockNewRequests() throws Exception {
         ServerSocket backend = rig.backend();
-        rig.start(Rig.entry("s-1", backend.getLocalPort(), "SERVING"));
+        rig.start(FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
         for (int i = 0; i < 12; i++) {
-            rig.client().write(Rig.request("look", "a" + Integer.toHexString(i), 9000, ""));
-            rig.keep(Peer.accept(backend)).read();
+            rig.client().write(FrontDoorFixture.request("look", "a" + Integer.toHexString(i), 9000, ""));
+            rig.keep(TestPeer.accept(backend)).read();
         }
         Thread.sleep(1_200);
-        Peer client = rig.client().write(Rig.request("look", "c", 9000, ""));
-        try (Peer next = Peer.accept(backend)) {
-            assertEquals(Rig.txn("c"), next.read().header("X-Txn"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "c", 9000, ""));
+        try (TestPeer next = TestPeer.accept(backend)) {
+            assertEquals(FrontDoorFixture.txn("c"), next.read().header("X-Txn"));
             next.answer("200 OK", "", "served");
             assertEquals("served", client.read().body());
         }
@@ -79,7 +79,7 @@
 
     /** What is run there must be what clients will use; a request that it got wrong would warm the refusals only. */
     @Test
-    void theDryRunIsServedAndEnds() throws Exception {
+    void warmUpServesRequestsAndFinishes() throws Exception {
         FrontDoorConfig config = rig.config();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
@@ -95,18 +95,18 @@
 
     /** A restarted one that could be reached before took requests that it answered late or not at all. */
     @Test
-    void nobodyCanComeBeforeTheDryRunIsOverAndNoBackendHearsOfIt() throws Exception {
+    void listensOnlyAfterWarmUpAndWarmUpContactsNoBackend() throws Exception {
         ServerSocket backend = rig.backend();
         int port;
         try (ServerSocket free = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        FrontDoor door = rig.prepare(port, Rig.entry("s-1", backend.getLocalPort(), "SERVING"));
+        FrontDoor door = rig.prepare(port, FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
         CountDownLatch over = door.warmUp();
-        assertThrows(ConnectException.class, () -> Peer.connect(address));
+        assertThrows(ConnectException.class, () -> TestPeer.connect(address));
         over.await();
-        assertThrows(ConnectException.class, () -> Peer.connect(address));
+        assertThrows(ConnectException.class, () -> TestPeer.connect(address));
         door.open();
         while (rig.client().write("GET /-/ready HTTP/1.1\r\nHost: gw\r\n\r\n").read().status() != 200) {
             Thread.sleep(20);
@@ -123,24 +123,25 @@
      * whatever deadlines the settings name. Longer ones than the protocol's 3 s don't move SIGKILL.
      */
     @Test
-    void theDrainLastsAsLongAsTheLastRequestAndEndsBeforeTheKill() throws Exception {
+    void drainCoversTheLongestDeadlineAndEndsBeforeSigkill() throws Exception {
         for (int deadlineMs : new int[] {400, 1_000, 3_000, 9_000, 0}) {
-            try (Rig each = new Rig(folder).deadlineMs(deadlineMs)) {
+            try (FrontDoorFixture each = new FrontDoorFixture(folder).deadlineMs(deadlineMs)) {
                 FrontDoor door = each.prepare(0);
                 int longestMs = deadlineMs == 0 ? 3_000 : Math.min(3_000, deadlineMs);
-                assertTrue(door.mostDrainMs() >= FrontDoor.ACCEPT_AFTER_TERM_MS + longestMs + 50, "deadline " + deadlineMs);
-                assertTrue(door.mostDrainMs() <= longestMs + KILL_AFTER_MS - 50, "deadline " + deadlineMs);
+                assertTrue(door.maxDrainMs() >= FrontDoor.ACCEPT_AFTER_TERM_MS + longestMs + 50, "deadline "
+                        + deadlineMs);
+                assertTrue(door.maxDrainMs() <= longestMs + KILL_AFTER_MS - 50, "deadline " + deadlineMs);
             }
         }
     }
 
     /** Whatever it still waits for: a connection that ends with no answer loses the request. */
     @Test
-    void whatIsOpenAtTheEndOfADrainIsAnswered() throws Exception {
+    void requestOpenAtTheEndOfADrainIsAnswered() throws Exception {
         ServerSocket backend = rig.backend();
-        FrontDoor door = rig.start(Rig.entry("s-1", backend.getLocalPort(), "SERVING"));
-        Peer client = rig.client().write(Rig.request("look", "a", 9_000, ""));
-        rig.keep(Peer.accept(backend)).read();
+        FrontDoor door = rig.start(FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 9_000, ""));
+        rig.keep(TestPeer.accept(backend)).read();
         door.drain();
         assertEquals(0, door.activeRequestCount());
         int status = client.read().status();
@@ -149,7 +150,7 @@
 
     /** What it can't listen on is told when it opens, in a line. */
     @Test
-    void anAddressThatIsTakenIsToldWhenItOpens() throws Exception {
+    void openFailsOnAnAddressInUse() throws Exception {
         try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             FrontDoor door = rig.prepare(other.getLocalPort());
             assertTrue(assertThrows(IllegalArgumentException.class, door::open).getMessage().startsWith("EDGE_LISTEN: can't listen on "));
@@ -158,32 +159,32 @@
 
     /** What a backend, or a balancer before it, drops without a word is told only by the next request, which is lost. */
     @Test
-    void connectionsAreNotUsedAtAnAgeAtWhichTheyWereSeenToBreak() throws Exception {
+    void idleConnectionsAreNotReusedAtAnAgeAtWhichTheyBroke() throws Exception {
         ServerSocket listening = rig.backend();
-        rig.start(Rig.entry("s-1", listening.getLocalPort(), "SERVING"));
-        Peer client = rig.client();
+        rig.start(FrontDoorFixture.entry("s-1", listening.getLocalPort(), "SERVING"));
+        TestPeer client = rig.client();
         for (int i = 0; i < 3; i++) {
-            client.write(Rig.request("buy", "a" + i, 3000, "x"));
-            try (Peer backend = Peer.accept(listening)) {
+            client.write(FrontDoorFixture.request("buy", "a" + i, 3000, "x"));
+            try (TestPeer backend = TestPeer.accept(listening)) {
                 backend.read();
                 backend.answer("200 OK", "", "seen");
                 assertEquals("seen", client.read().body());
                 Thread.sleep(300);
-                client.write(Rig.request("buy", "b" + i, 3000, "x"));
+                client.write(FrontDoorFixture.request("buy", "b" + i, 3000, "x"));
                 backend.read();
                 backend.reset();
                 assertEquals(502, client.read().status());
             }
         }
-        client.write(Rig.request("buy", "c", 3000, "x"));
-        try (Peer old = Peer.accept(listening)) {
+        client.write(FrontDoorFixture.request("buy", "c", 3000, "x"));
+        try (TestPeer old = TestPeer.accept(listening)) {
             old.read();
             old.answer("200 OK", "", "seen");
             client.read();
             Thread.sleep(300);
-            client.write(Rig.request("buy", "d", 3000, "x"));
-            try (Peer fresh = Peer.accept(listening)) {
-                assertEquals(Rig.txn("d"), fresh.read().header("X-Txn"));
+            client.write(FrontDoorFixture.request("buy", "d", 3000, "x"));
+            try (TestPeer fresh = TestPeer.accept(listening)) {
+                assertEquals(FrontDoorFixture.txn("d"), fresh.read().header("X-Txn"));
                 fresh.answer("200 OK", "", "served");
                 assertEquals("served", client.read().body());
             }
--- a/front-door/src/test/java/nettletrail/door/ConfigTest.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorConfigTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ConfigTest {
+class FrontDoorConfigTest {
     @TempDir
     private Path folder;
 
@@ -27,7 +27,7 @@
 
     @Test
     void nestedSettingsAreReadAsTheSimulatorsAre() throws Exception {
-        try (Rig rig = new Rig(folder)) {
+        try (FrontDoorFixture rig = new FrontDoorFixture(folder)) {
             FrontDoorConfig config = rig.config();
             assertEquals(0xf0000000000000ffL, config.seed());
             assertEquals(List.of("look", "buy"), config.settings().names("Services"));
@@ -41,7 +41,7 @@
 
     @Test
     void eachVariableIsNeededAndEachFaultIsOneLine() throws Exception {
-        try (Rig rig = new Rig(folder)) {
+        try (FrontDoorFixture rig = new FrontDoorFixture(folder)) {
             Map<String, String> good = rig.env();
             for (String name : good.keySet()) {
                 Map<String, String> env = new HashMap<>(good);
--- a/front-door/src/test/java/nettletrail/door/Rig.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorFixture.java
@@ -18,7 +18,7 @@
 import nettletrail.decision.Gateway;
 
 /** A front door on loopback sockets, with discovery and backends that the test plays. */
-final class Rig implements AutoCloseable {
+final class FrontDoorFixture implements AutoCloseable {
     static final String SETTINGS = """
             {"Balancers":1,"Ceilings":{"ConnIdle":150000000000,"ConnectTimeout":%d,"MaxAttempts":4},
              "Dcs":["a","b"],"Discovery":"push","FamilyInfo":{"Metering":1000000000,"MostUnits":6},"Flavors":["m1","m2"],
@@ -39,30 +39,30 @@
     private int listenPort;
     private FrontDoor door;
     /** The watch that the front door keeps, once started. */
-    Peer watch;
+    TestPeer watch;
 
-    Rig(Path folder) throws IOException {
+    FrontDoorFixture(Path folder) throws IOException {
         this.folder = folder;
     }
 
-    Rig connectTimeoutMs(long ms) {
+    FrontDoorFixture connectTimeoutMs(long ms) {
         connectTimeoutMs = ms;
         return this;
     }
 
     /** The longest of the classes; 0 for settings that name none. */
-    Rig deadlineMs(int ms) {
+    FrontDoorFixture deadlineMs(int ms) {
         deadlineMs = ms;
         return this;
     }
 
-    Rig sockets(int most) {
+    FrontDoorFixture sockets(int most) {
         sockets = most;
         return this;
     }
 
     /** The agent that the file names; the variable goes on naming the first. */
-    Rig agent(int port) {
+    FrontDoorFixture agent(int port) {
         agentPort = port;
         return this;
     }
@@ -117,7 +117,7 @@
     FrontDoor start(Dispatcher.GatewayFactory module, String... entries) throws Exception {
         known = String.join(",", entries);
         door = FrontDoor.start(config(), module);
-        watch = Peer.accept(discovery);
+        watch = TestPeer.accept(discovery);
         open.add(watch);
         watch.read();
         watch.answer("200 OK", "", list(7, true, entries));
@@ -125,8 +125,8 @@
         return door;
     }
 
-    Peer client() throws IOException {
-        Peer client = Peer.connect(door.address());
+    TestPeer client() throws IOException {
+        TestPeer client = TestPeer.connect(door.address());
         open.add(client);
         return client;
     }
@@ -135,7 +135,7 @@
      * The door has read all that this client has written: neither side's kernel holds any of it back, as Linux tells. What a
      * kernel still held would come before the client's end.
      */
-    void allRead(Peer client) throws IOException, InterruptedException {
+    void allRead(TestPeer client) throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (heldBack(client.port())) {
             assertTrue(System.nanoTime() < until, "the door has not read all in 20 s");
@@ -158,7 +158,7 @@
     }
 
     /** Closed at the end. */
-    Peer keep(Peer peer) {
+    TestPeer keep(TestPeer peer) {
         open.add(peer);
         return peer;
     }
@@ -187,7 +187,7 @@
     }
 
     /** A module that leaves the front door's own doing to be seen. */
-    abstract static class Scripted implements Gateway {
+    abstract static class ScriptedGateway implements Gateway {
         Gateway.Actions actions;
 
         @Override
@@ -205,7 +205,7 @@
         @Override
         public void onTimer(long now, int token) { }
 
-        Dispatcher.GatewayFactory module() {
+        Dispatcher.GatewayFactory factory() {
             return (settings, now, asked) -> {
                 actions = asked;
                 return this;
--- a/front-door/src/test/java/nettletrail/door/FrontDoorFormTest.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorFormTest.java
@@ -53,7 +53,7 @@
     }
 
     /** The head as it came, and of a text the word that it begins with: mostly the header at fault. */
-    private void add(String what, Peer.Message came) {
+    private void add(String what, TestPeer.Message came) {
         lines.add("== " + what);
         boolean text = came.head().contains("text/plain");
         String head = text ? came.head().replaceAll("(content-length: )\\d+", "$1N")
@@ -66,8 +66,8 @@
 
     @Test
     void messagesHaveTheirHeads() throws Exception {
-        try (Rig rig = new Rig(folder); ServerSocket server = rig.backend()) {
-            Rig.Scripted module = new Rig.Scripted() {
+        try (FrontDoorFixture rig = new FrontDoorFixture(folder); ServerSocket server = rig.backend()) {
+            FrontDoorFixture.ScriptedGateway module = new FrontDoorFixture.ScriptedGateway() {
                 private final List<Backend> told = new ArrayList<>();
 
                 @Override
@@ -100,15 +100,15 @@
                 }
             };
             rig.connectTimeoutMs(5_000);
-            rig.start(module.module(), Rig.entry("s-1", server.getLocalPort(), "SERVING"),
-                    Rig.entry("s-2", 1, "DRAINING"), Rig.entry("s-3", 1, "DELETED"));
+            rig.start(module.factory(), FrontDoorFixture.entry("s-1", server.getLocalPort(), "SERVING"),
+                    FrontDoorFixture.entry("s-2", 1, "DRAINING"), FrontDoorFixture.entry("s-3", 1, "DELETED"));
             own(rig);
             backends(rig, server);
         }
         verify("front-door-messages.txt");
     }
 
-    private void own(Rig rig) throws Exception {
+    private void own(FrontDoorFixture rig) throws Exception {
         String status = "GET %s HTTP/1.1\r\nHost: gw\r\n\r\n";
         for (String page : List.of("/-/ready", "/-/", "/-/live", "/-/counts", "/", "/apix")) {
             add("GET " + page, rig.client().write(status.formatted(page)).read());
@@ -116,9 +116,9 @@
         add("closing", rig.client().write("GET /-/ready HTTP/1.1\r\nHost: gw\r\nConnection: close\r\n\r\n").read());
         add("continue", rig.client().write("POST /api/x HTTP/1.1\r\nHost: gw\r\nContent-Length: 1\r\n"
                 + "Expect: 100-continue\r\n\r\n").read());
-        add("refused", rig.client().write(Rig.request("buy", "a", 10_000, "x")).read());
-        add("failed", rig.client().write(Rig.request("buy", "b", 30_000, "x")).read());
-        String good = Rig.request("buy", "c", 3_000, "x");
+        add("refused", rig.client().write(FrontDoorFixture.request("buy", "a", 10_000, "x")).read());
+        add("failed", rig.client().write(FrontDoorFixture.request("buy", "b", 30_000, "x")).read());
+        String good = FrontDoorFixture.request("buy", "c", 3_000, "x");
         Matcher header = Pattern.compile("(?m)^(Host|X-[A-Za-z-]+): .*\r\n").matcher(good);
         while (header.find()) {
             add("without " + header.group(1), rig.client().write(good.replace(header.group(), "")).read());
@@ -133,16 +133,16 @@
         add("too large", rig.client().write(good.replace("Length: 1", "Length: 65537")).read());
     }
 
-    private void backends(Rig rig, ServerSocket server) throws Exception {
+    private void backends(FrontDoorFixture rig, ServerSocket server) throws Exception {
         String used = "X-Quota-Used: 17\r\nX-Units-Charged: 1.5\r\nX-Pressure: cpu_share=0.5,pending=3\r\n";
-        Peer client = rig.client().write(Rig.request("look", "d", 3_000, ""));
-        Peer backend = rig.keep(Peer.accept(server));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "d", 3_000, ""));
+        TestPeer backend = rig.keep(TestPeer.accept(server));
         add("to a backend", backend.read());
         backend.answer("200 OK", "Content-Type: text/x\r\n" + used, "done");
         add("served", client.read());
         lines.add(outcomes.poll(10, TimeUnit.SECONDS));
         for (String answer : List.of("500 Oh", "503 Oh", "503 Oh\r\nX-Turned-Away: 1", "504 Oh\r\nX-Turned-Away: 1")) {
-            client.write(Rig.request("buy", "e" + lines.size(), 3_000, "x"));
+            client.write(FrontDoorFixture.request("buy", "e" + lines.size(), 3_000, "x"));
             add("to a backend", backend.read());
             backend.answer(answer, used, "");
             add(answer.replace("\r\n", ", "), client.read());
@@ -152,14 +152,15 @@
 
     @Test
     void discoveryIsAskedInItsForm() throws Exception {
-        try (Rig rig = new Rig(folder)) {
-            rig.start(Rig.entry("s-1", 1, "SERVING")); // reads two calls and has answered the first
+        try (FrontDoorFixture rig = new FrontDoorFixture(folder)) {
+            rig.start(FrontDoorFixture.entry("s-1", 1, "SERVING")); // reads two calls and has answered the first
         }
-        try (Rig rig = new Rig(folder)) {
+        try (FrontDoorFixture rig = new FrontDoorFixture(folder)) {
             FrontDoor door = FrontDoor.start(rig.config(), FrontDoor.GATEWAY_FACTORY);
-            try (Peer agent = Peer.accept(rig.discovery)) {
+            try (TestPeer agent = TestPeer.accept(rig.discovery)) {
                 add("whole list", agent.read());
-                agent.answer("200 OK", "", Rig.list(41, true, Rig.entry("s-1", 1, "SERVING")));
+                agent.answer("200 OK", "",
+                        FrontDoorFixture.list(41, true, FrontDoorFixture.entry("s-1", 1, "SERVING")));
                 add("changes", agent.read());
             } finally {
                 door.stop();
@@ -169,7 +170,7 @@
     }
 
     private Map<String, String> env(String file) throws Exception {
-        try (Rig rig = new Rig(folder)) {
+        try (FrontDoorFixture rig = new FrontDoorFixture(folder)) {
             Map<String, String> env = new HashMap<>(rig.env());
             env.replaceAll((name, value) -> name.equals("EDGE_DISCOVERY") ? "127.0.0.1:9" : value);
             Files.writeString(Path.of(env.get("EDGE_CONFIG")), file);
@@ -186,7 +187,7 @@
                     config.knownEndpoints(), reader.settings(1), reader.gatewayIndex(), reader.aperture(FrontDoorExtensions.NONE.aperture()),
                     reader.loadReportFields(), reader.maxUnitsPerRequest(), reader.maxDeadlineNanos(), reader.names("Services"),
                     reader.names("TiersOfService"),
-                    FrontDoorConfig.discoveryNow(env));
+                    FrontDoorConfig.currentDiscoveryAddress(env));
         } catch (FrontDoorConfig.InvalidConfigException unusable) {
             return List.of("unusable");
         }
--- a/front-door/src/test/java/nettletrail/door/FrontDoorTest.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorTest.java
@@ -35,11 +35,11 @@
 class FrontDoorTest {
     @TempDir
     private Path folder;
-    private Rig rig;
+    private FrontDoorFixture rig;
 
     @BeforeEach
     void make() throws IOException {
-        rig = new Rig(folder);
+        rig = new FrontDoorFixture(folder);
     }
 
     /** Leaks show when the collector has run and the next buffers are made. */
@@ -61,11 +61,11 @@
     }
 
     private static String serving(ServerSocket backend, String name) {
-        return Rig.entry(name, backend.getLocalPort(), "SERVING");
+        return FrontDoorFixture.entry(name, backend.getLocalPort(), "SERVING");
     }
 
     /** Sends every request to the first backend of the list, once, and fails it if that fails. */
-    private static class Once extends Rig.Scripted {
+    private static class Once extends FrontDoorFixture.ScriptedGateway {
         final BlockingQueue<Gateway.AttemptReport> answers = new LinkedBlockingQueue<>();
         final BlockingQueue<Long> departures = new LinkedBlockingQueue<>();
         final BlockingQueue<List<Gateway.Backend>> lists = new LinkedBlockingQueue<>();
@@ -99,7 +99,7 @@
         }
 
         Gateway.AttemptReport answer() throws InterruptedException {
-            Gateway.AttemptReport answer = answers.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            Gateway.AttemptReport answer = answers.poll(TestPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertNotNull(answer);
             return answer;
         }
@@ -109,21 +109,21 @@
     void aRequestAndItsAnswerPassUnchanged() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "9b1f", 3000, "two shoes"));
-        try (Peer server = Peer.accept(backend)) {
-            Peer.Message got = server.read();
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "9b1f", 3000, "two shoes"));
+        try (TestPeer server = TestPeer.accept(backend)) {
+            TestPeer.Message got = server.read();
             assertEquals("POST /api/x?y=1 HTTP/1.1", got.start());
-            assertEquals(Rig.txn("9b1f"), got.header("X-Txn"));
+            assertEquals(FrontDoorFixture.txn("9b1f"), got.header("X-Txn"));
             assertEquals("two shoes", got.body());
             int left = Integer.parseInt(got.header("X-Remaining-Ms"));
             assertTrue(left > 0 && left < 3000, "left " + left);
             server.answer("200 OK", "", "sold");
-            Peer.Message answer = client.read();
+            TestPeer.Message answer = client.read();
             assertEquals(200, answer.status());
             assertEquals("sold", answer.body());
 
             // The connection is kept, and the next request goes over it.
-            client.write(Rig.request("look", "9b20", 3000, ""));
+            client.write(FrontDoorFixture.request("look", "9b20", 3000, ""));
             got = server.read();
             assertEquals("GET /api/x?y=1 HTTP/1.1", got.start());
             server.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
@@ -135,13 +135,13 @@
     void theModuleHearsTheHeadersInItsOwnUnits() throws Exception {
         ServerSocket backend = rig.backend();
         Once module = new Once();
-        rig.start(module.module(), serving(backend, "s-1"));
+        rig.start(module.factory(), serving(backend, "s-1"));
         Gateway.Backend listed = module.lists.take().get(0);
         assertEquals(1, listed.zone());
         assertEquals(1, listed.machineType());
         assertEquals(3, listed.cell());
-        Peer client = rig.client().write(Rig.request("buy", "a", 3000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 3000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.answer("200 OK", "X-Quota-Used: 86\r\nX-Units-Charged: 3\r\nX-Pressure: cpu_share=0.61,pending=2\r\n", "");
             assertEquals(200, client.read().status());
@@ -158,7 +158,7 @@
             assertEquals(2, request.units());
             assertTrue(request.timeoutNanos() > 2_500_000_000L && request.timeoutNanos() < 3_000_000_000L);
 
-            client.write(Rig.request("buy", "b", 3000, "x"));
+            client.write(FrontDoorFixture.request("buy", "b", 3000, "x"));
             server.read();
             server.answer("500 Oh", "", "");
             assertEquals(502, client.read().status());
@@ -169,7 +169,7 @@
             assertNull(told.load());
             assertEquals(0, told.attempt());
 
-            client.write(Rig.request("buy", "c", 3000, "x"));
+            client.write(FrontDoorFixture.request("buy", "c", 3000, "x"));
             server.read();
             server.answer("503 Full", "X-Turned-Away: 1\r\nX-Quota-Used: no number\r\n", "");
             client.read();
@@ -178,7 +178,7 @@
             assertEquals(-1, told.quotaUsedPercent());
 
             // Without that word it may have run: a refusal would invite the client to run it twice.
-            client.write(Rig.request("buy", "d", 3000, "x"));
+            client.write(FrontDoorFixture.request("buy", "d", 3000, "x"));
             server.read();
             server.answer("503 Oh", "", "");
             client.read();
@@ -190,8 +190,9 @@
     @Test
     void zonesThatTheSettingsDoNotNameAreNotOneZone() throws Exception {
         Once module = new Once();
-        rig.start(module.module(), Rig.entry("s-1", 1, "SERVING").replace("\"zone\":\"b\"", "\"zone\":\"x\""),
-                Rig.entry("s-2", 2, "SERVING").replace("\"zone\":\"b\"", "\"zone\":\"y\""));
+        rig.start(module.factory(), FrontDoorFixture.entry("s-1", 1, "SERVING").replace("\"zone\":\"b\"",
+                "\"zone\":\"x\""),
+                FrontDoorFixture.entry("s-2", 2, "SERVING").replace("\"zone\":\"b\"", "\"zone\":\"y\""));
         List<Gateway.Backend> listed = module.lists.take();
         assertTrue(listed.get(0).zone() < 0 && listed.get(1).zone() < 0);
         assertNotEquals(listed.get(0).zone(), listed.get(1).zone());
@@ -200,12 +201,13 @@
     @Test
     void whatCannotBeReadIsNoRefusalAndReachesNobody() throws Exception {
         Once module = new Once();
-        rig.start(module.module(), serving(rig.backend(), "s-1"));
-        String good = Rig.request("buy", "a", 3000, "x");
+        rig.start(module.factory(), serving(rig.backend(), "s-1"));
+        String good = FrontDoorFixture.request("buy", "a", 3000, "x");
         for (String bad : List.of(good.replace("X-Lane: buy", "X-Lane: steal"), good.replace("X-Plan: team", "X-Plan: none"),
                 good.replace("00000000b4d65521", "b4d65521"), good.replace("00000000b4d65521", "-0000000b4d65521"),
                 good.replace("3000", "soon"), good.replace("3000", "-1"), good.replace("units=2", "units=-2"),
-                good.replace("spread=1", "spread=9"), good.replace("X-Txn: " + Rig.txn("a") + "\r\n", ""), good.replace(Rig.txn("a"), "a"),
+                good.replace("spread=1", "spread=9"), good.replace("X-Txn: " + FrontDoorFixture.txn("a") + "\r\n", ""),
+                        good.replace(FrontDoorFixture.txn("a"), "a"),
                 good.replace("X-Quota", "X-Other"), good.replace("POST", "PUT"),
                 good.replace("00000000b4d65521", "+000000000000001"), good.replace("00000000b4d65521", "0000000200000000"),
                 good.replace("3000", "3e3"), good.replace("3000", "1.5"), good.replace("units=2", "units=NaN"),
@@ -216,7 +218,7 @@
         }
         assertEquals(404, rig.client().write("GET /else HTTP/1.1\r\nHost: gw\r\n\r\n").read().status());
         assertEquals(413, rig.client().write(good.replace("Content-Length: 1", "Content-Length: 65537")).read().status());
-        Peer noise = rig.client().write("\u0001\u0002 ?\r\n\r\n");
+        TestPeer noise = rig.client().write("\u0001\u0002 ?\r\n\r\n");
         assertEquals(400, noise.read().status());
         assertTrue(noise.ended());
         assertTrue(module.arrivals.isEmpty());
@@ -225,18 +227,19 @@
     @Test
     void aBodyWhoseEndIsInDoubtEndsTheConnection() throws Exception {
         Once module = new Once();
-        rig.start(module.module(), serving(rig.backend(), "s-1"));
-        String good = Rig.request("buy", "a", 3000, "x");
+        rig.start(module.factory(), serving(rig.backend(), "s-1"));
+        String good = FrontDoorFixture.request("buy", "a", 3000, "x");
         String length = "Content-Length: 1\r\n";
-        String hidden = "\r\n0\r\n\r\n" + Rig.request("buy", "b", 3000, "y");
+        String hidden = "\r\n0\r\n\r\n" + FrontDoorFixture.request("buy", "b", 3000, "y");
         for (String bad : List.of(good.replace(length, length + "Transfer-Encoding: chunked\r\n") + hidden,
                 good.replace(length, "Transfer-Encoding: chunked\r\n" + length) + hidden,
                 good.replace(length, "Transfer-Encoding: xchunked\r\n"), good.replace(length, length + "Content-Length: 2\r\n"),
                 good.replace(length, length + "no colon here\r\n"), good.replace(length, length + "nocolon\r\n"),
                 good.replace(length, "Content-Length: -1\r\n"), good.replace(length, "Content-Length: +1\r\n"),
                 good.replace(length, "Content-Length: 99999999999999999999\r\n"),
-                Rig.request("look", "a", 3000, "").replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"))) {
-            Peer client = rig.client().write(bad);
+                FrontDoorFixture.request("look", "a", 3000, "")
+                        .replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"))) {
+            TestPeer client = rig.client().write(bad);
             assertTrue(client.read().status() >= 400, bad);
             assertTrue(client.ended(), bad);
         }
@@ -247,7 +250,8 @@
     @Test
     void aBodyOfAnySizeIsAnsweredByItsHead() throws Exception {
         rig.start();
-        Peer client = rig.client().write(Rig.request("buy", "a", 3000, "x").replace("Length: 1", "Length: 60000000")
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 3000, "x")
+                .replace("Length: 1", "Length: 60000000")
                 + "x".repeat(100_000));
         assertEquals(413, client.read().status());
         assertTrue(client.ended());
@@ -257,14 +261,14 @@
     void afterAClosingAnswerNothingMoreIsTaken() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
-        String last = Rig.request("buy", "a", 3000, "x").replace("X-Lane", "Connection: close\r\nX-Lane");
-        Peer client = rig.client().write(last);
-        try (Peer server = Peer.accept(backend)) {
+        rig.start(module.factory(), serving(backend, "s-1"));
+        String last = FrontDoorFixture.request("buy", "a", 3000, "x").replace("X-Lane", "Connection: close\r\nX-Lane");
+        TestPeer client = rig.client().write(last);
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.answer("200 OK", "", "sold");
             assertEquals("sold", client.read().body());
-            client.write(Rig.request("buy", "b", 3000, "x"));
+            client.write(FrontDoorFixture.request("buy", "b", 3000, "x"));
             assertTrue(client.ended());
         }
         assertEquals(1, module.arrivals.size());
@@ -274,21 +278,21 @@
     void theIdOfAnotherRequestIsNotTakenAgain() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "a", 3000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 3000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
-            assertEquals(400, rig.client().write(Rig.request("look", "a", 3000, "")).read().status());
+            assertEquals(400, rig.client().write(FrontDoorFixture.request("look", "a", 3000, "")).read().status());
             server.answer("200 OK", "", "sold");
             assertEquals("sold", client.read().body());
-            assertEquals(400, rig.client().write(Rig.request("buy", "a", 3000, "x")).read().status());
+            assertEquals(400, rig.client().write(FrontDoorFixture.request("buy", "a", 3000, "x")).read().status());
         }
     }
 
     @Test
     void whoSaysNothingOrStopsHalfwayIsClosed() throws Exception {
         rig.start();
-        Peer silent = rig.client();
-        Peer half = rig.client().write("GET /api HTTP/1.1\r\nX-Txn");
+        TestPeer silent = rig.client();
+        TestPeer half = rig.client().write("GET /api HTTP/1.1\r\nX-Txn");
         assertEquals(408, half.read().status());
         assertTrue(half.ended());
         assertTrue(silent.ended());
@@ -300,16 +304,17 @@
         rig.start(serving(backend, "s-1"));
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 200; i++) {
-            many.append(Rig.request("look", Integer.toString(i), 30_000, "").replace("X-Lane: look", "X-Lane: none"));
+            many.append(FrontDoorFixture.request("look", Integer.toString(i), 30_000, "")
+                    .replace("X-Lane: look", "X-Lane: none"));
         }
-        Peer client = rig.client().write(Rig.request("look", "a", 30_000, "") + many);
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, "") + many);
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.answer("200 OK", "", "seen");
             assertEquals("seen", client.read().body());
         }
         for (int i = 0; i < 200; i++) {
-            Peer.Message answer = client.read();
+            TestPeer.Message answer = client.read();
             assertEquals(400, answer.status());
             assertEquals(null, answer.header("Connection"));
         }
@@ -320,19 +325,19 @@
     void afterABreakAnUnsafeRequestIsNeverRefused() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "a", 3000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 3000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.reset();
             assertEquals(502, client.read().status());
         }
-        client.write(Rig.request("look", "b", 3000, ""));
-        try (Peer server = Peer.accept(backend)) {
+        client.write(FrontDoorFixture.request("look", "b", 3000, ""));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.reset();
         }
-        try (Peer again = Peer.accept(backend)) {
-            assertEquals(Rig.txn("b"), again.read().header("X-Txn"));
+        try (TestPeer again = TestPeer.accept(backend)) {
+            assertEquals(FrontDoorFixture.txn("b"), again.read().header("X-Txn"));
             again.answer("200 OK", "", "seen");
             assertEquals("seen", client.read().body());
         }
@@ -342,9 +347,9 @@
     void aRefusedConnectionProvesThatNothingRan() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
+        rig.start(module.factory(), serving(backend, "s-1"));
         backend.close();
-        rig.client().write(Rig.request("buy", "a", 3000, "x"));
+        rig.client().write(FrontDoorFixture.request("buy", "a", 3000, "x"));
         assertEquals(Gateway.Outcome.CONNECT_FAILED, module.answer().outcome());
     }
 
@@ -352,9 +357,9 @@
     void anAnswerLargerThanTheProtocolKnowsIsPassedOn() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "a", 9000, "x"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 9000, "x"));
         String body = "0123456789abcdef".repeat(25_000);
-        try (Peer server = Peer.accept(backend)) {
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.answer("200 OK", "", body);
             assertTrue(body.equals(client.read().body()));
@@ -365,13 +370,13 @@
     void anAnswerThatIsNotWholeServesNobody() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
+        rig.start(module.factory(), serving(backend, "s-1"));
         int id = 0;
         for (String part : List.of("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
                 "HTTP/1.1 200 OK\r\n\r\nno end but the connection's", "HTTP/1.1 200 OK\r\nContent-Le", "noise\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 600000\r\n\r\n" + "x".repeat(1_000))) {
-            Peer client = rig.client().write(Rig.request("buy", "" + id++, 3000, "x"));
-            try (Peer server = Peer.accept(backend)) {
+            TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "" + id++, 3000, "x"));
+            try (TestPeer server = TestPeer.accept(backend)) {
                 server.read();
                 server.write(part);
             }
@@ -386,7 +391,7 @@
     void aSpoiltAnswerHasRunAndEndsItsAttemptAtOnce() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
+        rig.start(module.factory(), serving(backend, "s-1"));
         int id = 0;
         for (String spoilt : List.of("noise\r\n\r\n", "ICY 200 OK\r\nContent-Length: 1\r\n\r\nx",
                 "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\nx", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
@@ -395,9 +400,9 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\nzz\r\nx\r\n0\r\n\r\n",
                 "HTTP/1.1 200 OK\r\n\r\nno end", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\nx",
                 "HTTP/1.1 200 OK\r\nnocolon\r\nContent-Length: 1\r\n\r\nx", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx")) {
-            Peer client = rig.client().write(Rig.request("buy", "" + id++, 30_000, "x"));
+            TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "" + id++, 30_000, "x"));
             // The connection stays open: only the front door can tell that there is nothing to wait for.
-            try (Peer server = Peer.accept(backend)) {
+            try (TestPeer server = TestPeer.accept(backend)) {
                 server.read();
                 server.write(spoilt);
                 assertEquals(502, client.read().status(), spoilt);
@@ -412,9 +417,9 @@
     void aLargeAnswerThatGoesOnIsWaitedForAndATrickleIsNot() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "a", 30_000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        rig.start(module.factory(), serving(backend, "s-1"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.write("HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n");
             for (int i = 0; i < 20; i++) {
@@ -424,8 +429,8 @@
             assertEquals(40_000, client.read().body().length());
             assertEquals(Gateway.Outcome.OK, module.answer().outcome());
         }
-        client = rig.client().write(Rig.request("buy", "b", 30_000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        client = rig.client().write(FrontDoorFixture.request("buy", "b", 30_000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.write("HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n");
             Thread trickle = new Thread(() -> {
@@ -450,15 +455,15 @@
     void whoAlwaysWaitsForARestGetsASpareConnection() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client();
-        client.write(Rig.request("look", "a", 3000, ""));
-        Peer first = rig.keep(Peer.accept(backend));
+        TestPeer client = rig.client();
+        client.write(FrontDoorFixture.request("look", "a", 3000, ""));
+        TestPeer first = rig.keep(TestPeer.accept(backend));
         java.util.concurrent.atomic.AtomicInteger connections = new java.util.concurrent.atomic.AtomicInteger(1);
         serve(first);
         Thread accepting = new Thread(() -> {
             try {
                 while (true) {
-                    serve(rig.keep(Peer.accept(backend)));
+                    serve(rig.keep(TestPeer.accept(backend)));
                     connections.incrementAndGet();
                 }
             } catch (IOException e) {
@@ -468,20 +473,20 @@
         accepting.start();
         assertEquals("mine", client.read().body());
         for (int i = 0; i < 5; i++) {
-            client.write(Rig.request("look", "b" + i, 3000, ""));
+            client.write(FrontDoorFixture.request("look", "b" + i, 3000, ""));
             assertEquals("mine", client.read().body());
         }
         assertEquals(1, connections.get(), "a few waits are no reason");
         for (int i = 0; i < 200 && connections.get() == 1; i++) {
-            client.write(Rig.request("look", "c" + Integer.toHexString(i), 3000, ""));
+            client.write(FrontDoorFixture.request("look", "c" + Integer.toHexString(i), 3000, ""));
             assertEquals("mine", client.read().body());
         }
         assertTrue(connections.get() > 1, "still one connection");
         backend.close();
-        accepting.join(Peer.PATIENCE_MS);
+        accepting.join(TestPeer.TIMEOUT_MS);
     }
 
-    private static void serve(Peer connection) {
+    private static void serve(TestPeer connection) {
         Thread serving = new Thread(() -> {
             try {
                 while (true) {
@@ -501,16 +506,17 @@
     void whatComesSoonAfterAnAnswerAnswersNobody() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("look", "a", 3000, "") + Rig.request("look", "b", 3000, ""));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 3000, "")
+                + FrontDoorFixture.request("look", "b", 3000, ""));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.answer("200 OK", "", "mine");
             server.answer("200 OK", "", "another");
             assertEquals("mine", client.read().body());
             assertTrue(server.ended());
         }
-        try (Peer server = Peer.accept(backend)) {
-            assertEquals(Rig.txn("b"), server.read().header("X-Txn"));
+        try (TestPeer server = TestPeer.accept(backend)) {
+            assertEquals(FrontDoorFixture.txn("b"), server.read().header("X-Txn"));
             server.answer("200 OK", "", "its own");
             assertEquals("its own", client.read().body());
         }
@@ -524,15 +530,16 @@
     void aConnectionRestsLongerThanSecondAnswersTake() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("look", "a", 30_000, ""));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             for (int i = 1; i <= 6; i++) { // with more a spare connection is made
-                client.write(Rig.request("look", "b" + Integer.toHexString(i), 30_000, ""));
+                client.write(FrontDoorFixture.request("look", "b" + Integer.toHexString(i), 30_000, ""));
                 long answered = System.nanoTime();
                 server.answer("200 OK", "", "mine");
                 assertEquals("mine", client.read().body());
-                assertEquals(Rig.txn("b" + Integer.toHexString(i)), server.read().header("X-Txn"), "on the same connection");
+                assertEquals(FrontDoorFixture.txn("b" + Integer.toHexString(i)), server.read().header("X-Txn"),
+                        "on the same connection");
                 long rested = System.nanoTime() - answered;
                 assertTrue(rested > 9_000_000L, rested + " ns");
             }
@@ -543,11 +550,11 @@
     void figuresThatMakeNoSenseCountAsNone() throws Exception {
         ServerSocket backend = rig.backend();
         Once module = new Once();
-        rig.start(module.module(), serving(backend, "s-1"));
+        rig.start(module.factory(), serving(backend, "s-1"));
         int id = 0;
         for (String bad : List.of("x", "-1", "nan", "1e9", "99999999999999999999", "")) {
-            Peer client = rig.client().write(Rig.request("buy", "" + id++, 3000, "x"));
-            try (Peer server = Peer.accept(backend)) {
+            TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "" + id++, 3000, "x"));
+            try (TestPeer server = TestPeer.accept(backend)) {
                 server.read();
                 server.answer("200 OK", "Connection: close\r\nX-Quota-Used: " + bad + "\r\nX-Units-Charged: " + bad
                         + "\r\nX-Pressure: cpu_share=" + bad + "\r\n", "");
@@ -564,17 +571,17 @@
     void whatFollowsAnAnswerGoesToNobody() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("look", "a", 3000, ""));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 3000, ""));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.answer("200 OK", "", "mineHTTP/1.1 200 OK\r\nContent-Length: 6".substring(0, 4));
             server.write("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nanothe");
             assertEquals("mine", client.read().body());
             assertTrue(server.ended());
         }
-        client.write(Rig.request("look", "b", 3000, ""));
-        try (Peer server = Peer.accept(backend)) {
-            assertEquals(Rig.txn("b"), server.read().header("X-Txn"));
+        client.write(FrontDoorFixture.request("look", "b", 3000, ""));
+        try (TestPeer server = TestPeer.accept(backend)) {
+            assertEquals(FrontDoorFixture.txn("b"), server.read().header("X-Txn"));
             // Behind the answer in one piece, and cut in its middle: it must not wait there for the next request.
             server.write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmineHTTP/1.1 200 OK\r\nContent-Le");
             assertEquals("mine", client.read().body());
@@ -586,17 +593,17 @@
     void anAttemptWhoseTimeIsUpIsClosedAndTold() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "a", 200, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        rig.start(module.factory(), serving(backend, "s-1"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 200, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             assertEquals(502, client.read().status());
             assertEquals(Gateway.Outcome.TIMED_OUT, module.answer().outcome());
             assertTrue(server.ended());
         }
         module.timeoutNs = 50_000_000;
-        client.write(Rig.request("buy", "b", 30_000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        client.write(FrontDoorFixture.request("buy", "b", 30_000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             assertEquals(502, client.read().status());
             assertEquals(Gateway.Outcome.TIMED_OUT, module.answer().outcome());
@@ -607,7 +614,7 @@
     @Test
     void aRequestThatTheModuleForgetsFailsInTime() throws Exception {
         BlockingQueue<Long> departures = new LinkedBlockingQueue<>();
-        rig.start(new Rig.Scripted() {
+        rig.start(new FrontDoorFixture.ScriptedGateway() {
             @Override
             public void onRequest(long now, Request request) { }
 
@@ -615,21 +622,21 @@
             public void onRequestCancelled(long now, long requestId) {
                 departures.add(requestId);
             }
-        }.module());
-        assertEquals(504, rig.client().write(Rig.request("buy", "a", 100, "x")).read().status());
-        assertNotNull(departures.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        }.factory());
+        assertEquals(504, rig.client().write(FrontDoorFixture.request("buy", "a", 100, "x")).read().status());
+        assertNotNull(departures.poll(TestPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     @Test
     void aClientThatLeavesIsToldAndItsAttemptIsStillAnswered() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "a", 30_000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        rig.start(module.factory(), serving(backend, "s-1"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             client.close();
-            assertNotNull(module.departures.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertNotNull(module.departures.poll(TestPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             server.answer("200 OK", "", "late");
             Gateway.AttemptReport told = module.answer();
             assertEquals(Gateway.Outcome.OK, told.outcome());
@@ -642,9 +649,9 @@
     void aClientThatLeftDoesNotHoldItsAttemptForEver() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "a", 400, "x"));
-        try (Peer silent = Peer.accept(backend)) {
+        rig.start(module.factory(), serving(backend, "s-1"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 400, "x"));
+        try (TestPeer silent = TestPeer.accept(backend)) {
             silent.read();
             client.close();
             assertEquals(Gateway.Outcome.TIMED_OUT, module.answer().outcome());
@@ -654,7 +661,7 @@
 
     @Test
     void aThrowFailsItsRequestAndNothingElse() throws Exception {
-        rig.start(new Rig.Scripted() {
+        rig.start(new FrontDoorFixture.ScriptedGateway() {
             @Override
             public void onRequest(long now, Request request) {
                 if (request.timeoutNanos() > 20_000_000_000L) {
@@ -665,11 +672,11 @@
                 }
                 actions.reject(request.id(), 1_500_000_000L);
             }
-        }.module());
-        Peer client = rig.client();
-        assertEquals(502, client.write(Rig.request("buy", "a", 30_000, "x")).read().status());
-        assertEquals(502, client.write(Rig.request("buy", "c", 10_000, "x")).read().status());
-        Peer.Message refused = client.write(Rig.request("buy", "b", 3_000, "x")).read();
+        }.factory());
+        TestPeer client = rig.client();
+        assertEquals(502, client.write(FrontDoorFixture.request("buy", "a", 30_000, "x")).read().status());
+        assertEquals(502, client.write(FrontDoorFixture.request("buy", "c", 10_000, "x")).read().status());
+        TestPeer.Message refused = client.write(FrontDoorFixture.request("buy", "b", 3_000, "x")).read();
         assertEquals(429, refused.status());
         assertEquals("1.5", refused.header("Retry-After"));
     }
@@ -679,14 +686,15 @@
         rig.connectTimeoutMs(15_000);
         Once module = new Once();
         ServerSocket full = rig.backend(1);
-        rig.start(module.module(), serving(full, "s-1"));
+        rig.start(module.factory(), serving(full, "s-1"));
         // With its backlog taken, a further connection to it does not come up.
         try (Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
             assertTrue(first.isConnected() && second.isConnected());
-            Peer client = rig.client().write(Rig.request("buy", "a", 30_000, "x"));
-            assertNotNull(module.arrivals.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
-            rig.watch.answer("200 OK", "", Rig.list(8, false, Rig.entry("s-1", full.getLocalPort(), "DRAINING")));
+            TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+            assertNotNull(module.arrivals.poll(TestPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            rig.watch.answer("200 OK", "",
+                    FrontDoorFixture.list(8, false, FrontDoorFixture.entry("s-1", full.getLocalPort(), "DRAINING")));
             Gateway.AttemptReport told = module.answer();
             assertEquals(Gateway.Outcome.NEVER_SENT, told.outcome());
             assertEquals(502, client.read().status());
@@ -696,23 +704,24 @@
     @Test
     void theWatchGoesOnThroughFaults() throws Exception {
         Once module = new Once();
-        rig.start(module.module(), Rig.entry("s-1", 1, "SERVING"), Rig.entry("s-2", 2, "SERVING"));
+        rig.start(module.factory(), FrontDoorFixture.entry("s-1", 1, "SERVING"),
+                FrontDoorFixture.entry("s-2", 2, "SERVING"));
         long first = module.lists.take().get(0).id();
         module.lists.take();
-        rig.watch.answer("200 OK", "", Rig.list(8, false, Rig.entry("s-1", 1, "DRAINING")));
+        rig.watch.answer("200 OK", "", FrontDoorFixture.list(8, false, FrontDoorFixture.entry("s-1", 1, "DRAINING")));
         Gateway.Backend change = module.lists.take().get(0);
         assertEquals(first, change.id());
         assertEquals(Gateway.DiscoveryState.DRAINING, change.state());
         assertTrue(rig.watch.read().start().contains("index=8&wait="));
         rig.watch.reset();
-        try (Peer again = Peer.accept(rig.discovery)) {
+        try (TestPeer again = TestPeer.accept(rig.discovery)) {
             assertTrue(again.read().start().contains("index=8&wait="));
             again.answer("200 OK", "", "no json");
             assertTrue(again.ended());
         }
-        try (Peer again = Peer.accept(rig.discovery)) {
+        try (TestPeer again = TestPeer.accept(rig.discovery)) {
             assertEquals("GET /api/targets HTTP/1.1", again.read().start());
-            again.answer("200 OK", "", Rig.list(9, true));
+            again.answer("200 OK", "", FrontDoorFixture.list(9, true));
             assertTrue(module.lists.take().isEmpty());
             assertTrue(again.read().start().contains("index=9&wait="));
         }
@@ -724,26 +733,26 @@
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         FrontDoor.onHangup(() -> heard.add("HUP"));
         sun.misc.Signal.raise(new sun.misc.Signal("HUP"));
-        assertNotNull(heard.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertNotNull(heard.poll(TestPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     @Test
     void aNewConfigurationMovesTheWatchAndABadOneChangesNothing() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        FrontDoor door = rig.start(module.module(), serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("buy", "a", 30_000, "x"));
-        try (Peer server = Peer.accept(backend); ServerSocket agent = rig.backend()) {
+        FrontDoor door = rig.start(module.factory(), serving(backend, "s-1"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        try (TestPeer server = TestPeer.accept(backend); ServerSocket agent = rig.backend()) {
             server.read();
             door.reload(rig.agent(-1).env());
             door.reload(Map.of("EDGE_CONFIG", "none"));
-            rig.watch.answer("200 OK", "", Rig.list(8, false));
+            rig.watch.answer("200 OK", "", FrontDoorFixture.list(8, false));
             assertTrue(rig.watch.read().start().contains("index=8"));
             door.reload(rig.agent(agent.getLocalPort()).env());
             assertTrue(rig.watch.ended());
-            try (Peer moved = Peer.accept(agent)) {
+            try (TestPeer moved = TestPeer.accept(agent)) {
                 assertEquals("GET /api/targets HTTP/1.1", moved.read().start());
-                moved.answer("200 OK", "", Rig.list(2, true, serving(backend, "s-2")));
+                moved.answer("200 OK", "", FrontDoorFixture.list(2, true, serving(backend, "s-2")));
                 assertTrue(moved.read().start().contains("index=2&wait="));
                 server.answer("200 OK", "", "sold");
                 assertEquals("sold", client.read().body());
@@ -755,17 +764,17 @@
     void aNameThatTheWholeListLacksGetsNothingMore() throws Exception {
         Once module = new Once();
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
-        rig.watch.answer("200 OK", "", Rig.list(8, true));
+        rig.start(module.factory(), serving(backend, "s-1"));
+        rig.watch.answer("200 OK", "", FrontDoorFixture.list(8, true));
         rig.watch.read();
-        assertEquals(502, rig.client().write(Rig.request("buy", "a", 3000, "x")).read().status());
+        assertEquals(502, rig.client().write(FrontDoorFixture.request("buy", "a", 3000, "x")).read().status());
         assertEquals(Gateway.Outcome.NEVER_SENT, module.answer().outcome());
     }
 
     /** A selector lets go of a closed socket at its next turn: until then the kernel still takes connections. */
     private static void awaitRefused(InetSocketAddress address) {
         while (true) {
-            try (Peer late = Peer.connect(address)) {
+            try (TestPeer late = TestPeer.connect(address)) {
                 if (late.itself()) {
                     return;
                 }
@@ -781,10 +790,10 @@
         ServerSocket backend = rig.backend();
         FrontDoor door = rig.start(serving(backend, "s-1"));
         assertEquals(200, rig.client().write("GET /-/ready HTTP/1.1\r\nHost: gw\r\n\r\n").read().status());
-        Peer idle = rig.client();
+        TestPeer idle = rig.client();
         assertEquals(404, idle.write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n").read().status());
-        Peer client = rig.client().write(Rig.request("buy", "a", 30_000, "x"));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             Thread drain = new Thread(door::drain);
             drain.start();
@@ -792,11 +801,11 @@
             // Nothing new is taken, and what is held goes on.
             awaitRefused(door.address());
             server.answer("200 OK", "", "sold");
-            Peer.Message answer = client.read();
+            TestPeer.Message answer = client.read();
             assertEquals("sold", answer.body());
             assertEquals("close", answer.header("Connection"));
             assertTrue(client.ended());
-            drain.join(Peer.PATIENCE_MS);
+            drain.join(TestPeer.TIMEOUT_MS);
             assertFalse(drain.isAlive());
         }
     }
@@ -805,7 +814,7 @@
     void overTheCapTheConnectionLongestIdleMakesRoom() throws Exception {
         rig.sockets(68); // ten for clients
         rig.start(serving(rig.backend(), "s-1"));
-        Peer first = rig.client();
+        TestPeer first = rig.client();
         assertEquals(404, first.write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n").read().status());
         for (int i = 0; i < 10; i++) {
             assertEquals(404, rig.client().write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n").read().status());
@@ -817,13 +826,13 @@
     void whoAskedOnceAndKeepsItsConnectionMakesRoomBeforeAllAreTaken() throws Exception {
         rig.sockets(128); // forty for clients
         rig.start(serving(rig.backend(), "s-1"));
-        List<Peer> kept = new ArrayList<>();
+        List<TestPeer> kept = new ArrayList<>();
         for (int i = 0; i < 32; i++) {
             kept.add(rig.client().write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n"));
             assertEquals(404, kept.get(i).read().status());
         }
         Thread.sleep(400);
-        Peer next = rig.client().write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n");
+        TestPeer next = rig.client().write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n");
         assertEquals(404, next.read().status());
         // One that is still open would answer.
         assertTrue(kept.get(0).write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n").ended());
@@ -836,7 +845,7 @@
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch crowd = new CountDownLatch(1);
         FrontDoor[] door = new FrontDoor[1];
-        Rig.Scripted module = new Rig.Scripted() {
+        FrontDoorFixture.ScriptedGateway module = new FrontDoorFixture.ScriptedGateway() {
             @Override
             public void onRequest(long now, Request request) {
                 busy.countDown();
@@ -850,15 +859,15 @@
             }
         };
         rig.sockets(68); // ten for clients
-        door[0] = rig.start(module.module(), serving(rig.backend(), "s-1"));
-        rig.client().write(Rig.request("look", "a", 9000, ""));
+        door[0] = rig.start(module.factory(), serving(rig.backend(), "s-1"));
+        rig.client().write(FrontDoorFixture.request("look", "a", 9000, ""));
         busy.await();
-        Peer last = null;
+        TestPeer last = null;
         for (int i = 0; i < 40; i++) {
             last = rig.client();
         }
         crowd.countDown();
-        assertEquals(429, last.write(Rig.request("look", "b", 9000, "")).read().status());
+        assertEquals(429, last.write(FrontDoorFixture.request("look", "b", 9000, "")).read().status());
         assertEquals(1, open.take());
         assertTrue(open.take() <= 10);
     }
@@ -867,12 +876,13 @@
     void requestsInOnePieceAreAnsweredInTurn() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        Peer client = rig.client().write(Rig.request("look", "a", 3000, "") + Rig.request("look", "b", 3000, ""));
-        try (Peer server = Peer.accept(backend)) {
-            assertEquals(Rig.txn("a"), server.read().header("X-Txn"));
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 3000, "")
+                + FrontDoorFixture.request("look", "b", 3000, ""));
+        try (TestPeer server = TestPeer.accept(backend)) {
+            assertEquals(FrontDoorFixture.txn("a"), server.read().header("X-Txn"));
             server.answer("200 OK", "", "one");
             assertEquals("one", client.read().body());
-            assertEquals(Rig.txn("b"), server.read().header("X-Txn"));
+            assertEquals(FrontDoorFixture.txn("b"), server.read().header("X-Txn"));
             server.answer("200 OK", "", "two");
             assertEquals("two", client.read().body());
         }
@@ -883,24 +893,26 @@
     void requestsWithAndWithoutABodyComeThroughHoweverTheyAreCut() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        String chunked = Rig.request("buy", "c", 3000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
+        String chunked = FrontDoorFixture.request("buy", "c", 3000, "").replace("Content-Length: 0",
+                "Transfer-Encoding: chunked")
                 + "2\r\nab\r\n3\r\ncde\r\n0\r\n\r\n";
-        String bare = Rig.request("look", "a", 3000, "");
-        String all = bare + Rig.request("buy", "b", 3000, "two") + chunked
-                + Rig.request("buy", "d", 3000, "") + bare.replace(Rig.txn("a"), Rig.txn("e"));
-        Peer client = rig.client();
+        String bare = FrontDoorFixture.request("look", "a", 3000, "");
+        String all = bare + FrontDoorFixture.request("buy", "b", 3000, "two") + chunked
+                + FrontDoorFixture.request("buy", "d", 3000, "")
+                        + bare.replace(FrontDoorFixture.txn("a"), FrontDoorFixture.txn("e"));
+        TestPeer client = rig.client();
         String[] bodies = {"", "two", "abcde", "", ""};
         for (int i = 0; i < all.length(); i++) {
             client.write(all.substring(i, i + 1));
         }
-        try (Peer server = Peer.accept(backend)) {
+        try (TestPeer server = TestPeer.accept(backend)) {
             for (int i = 0; i < bodies.length; i++) {
-                Peer.Message got = server.read();
-                assertEquals(Rig.txn(Integer.toHexString(10 + i)), got.header("X-Txn"));
+                TestPeer.Message got = server.read();
+                assertEquals(FrontDoorFixture.txn(Integer.toHexString(10 + i)), got.header("X-Txn"));
                 assertEquals(bodies[i], got.body());
                 assertEquals(got.start().startsWith("GET") ? null : "" + bodies[i].length(), got.header("Content-Length"));
                 server.answer("200 OK", "Content-Type: text/x-" + i + "\r\n", "answer " + i);
-                Peer.Message answer = client.read();
+                TestPeer.Message answer = client.read();
                 assertEquals("answer " + i, answer.body());
                 assertEquals("text/x-" + i, answer.header("Content-Type"));
             }
@@ -911,11 +923,12 @@
     void whoAsksFirstWhetherToSendItsBodyIsToldToGoOn() throws Exception {
         ServerSocket backend = rig.backend();
         rig.start(serving(backend, "s-1"));
-        String request = Rig.request("buy", "a", 3000, "body").replace("X-Lane", "Expect: 100-continue\r\nX-Lane");
-        Peer client = rig.client().write(request.substring(0, request.length() - 4));
+        String request = FrontDoorFixture.request("buy", "a", 3000, "body")
+                .replace("X-Lane", "Expect: 100-continue\r\nX-Lane");
+        TestPeer client = rig.client().write(request.substring(0, request.length() - 4));
         assertEquals(100, client.read().status());
         client.write("body");
-        try (Peer server = Peer.accept(backend)) {
+        try (TestPeer server = TestPeer.accept(backend)) {
             assertEquals("body", server.read().body());
             server.answer("200 OK", "", "");
             assertEquals(200, client.read().status());
@@ -928,17 +941,17 @@
         rig.connectTimeoutMs(15_000);
         Once module = new Once();
         ServerSocket full = rig.backend(1);
-        rig.start(module.module(), serving(full, "s-1"));
+        rig.start(module.factory(), serving(full, "s-1"));
         try (Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
             assertTrue(first.isConnected() && second.isConnected());
-            Peer client = rig.client();
-            client.write(Rig.request("look", "a", 30_000, ""));
-            assertNotNull(module.arrivals.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS));
+            TestPeer client = rig.client();
+            client.write(FrontDoorFixture.request("look", "a", 30_000, ""));
+            assertNotNull(module.arrivals.poll(TestPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS));
             long sent = System.nanoTime();
-            Peer.accept(full).close();
-            Peer.accept(full).close();
-            try (Peer server = Peer.accept(full)) {
+            TestPeer.accept(full).close();
+            TestPeer.accept(full).close();
+            try (TestPeer server = TestPeer.accept(full)) {
                 long handshake = System.nanoTime() - sent; // the kernel asks again after about a second
                 server.read();
                 server.answer("200 OK", "", "");
@@ -975,12 +988,13 @@
             }
         };
         ServerSocket backend = rig.backend();
-        rig.start(module.module(), serving(backend, "s-1"));
+        rig.start(module.factory(), serving(backend, "s-1"));
         long asked = System.nanoTime();
-        Peer client = rig.client().write(Rig.request("look", "a", 30_000, ""));
-        try (Peer server = Peer.accept(backend)) {
+        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
+        try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
-            Peer other = rig.client().write(Rig.request("look", "b", 30_000, "").replace("units=2", "units=1"));
+            TestPeer other = rig.client().write(FrontDoorFixture.request("look", "b", 30_000, "")
+                    .replace("units=2", "units=1"));
             busy.await();
             server.answer("200 OK", "", "");
             assertEquals(200, client.read().status());
@@ -1007,9 +1021,9 @@
                     });
         });
         String odd = "GET /x HTTP/1.1\r\nHost: gw\r\n\r\n";
-        Peer idle = rig.client();
+        TestPeer idle = rig.client();
         assertEquals(404, idle.write(odd).read().status());
-        rig.client().write(Rig.request("look", "b", 3_000, ""));
+        rig.client().write(FrontDoorFixture.request("look", "b", 3_000, ""));
         assertTrue(busy.await(10, TimeUnit.SECONDS));
         assertEquals(404, idle.write(odd).read().status());
     }
--- a/front-door/src/test/java/nettletrail/door/HeldModule.java
+++ b/front-door/src/test/java/nettletrail/door/PausingGateway.java
@@ -13,16 +13,16 @@
  * A module that does what a test says, and keeps the event loop at an instant that the test chooses. A request of one
  * unit is the one that it stands still at; all others it keeps, sends or answers as told.
  */
-class HeldModule extends Rig.Scripted {
+class PausingGateway extends FrontDoorFixture.ScriptedGateway {
     final BlockingQueue<Gateway.Request> arrivals = new LinkedBlockingQueue<>();
     final BlockingQueue<Gateway.AttemptReport> answers = new LinkedBlockingQueue<>();
     final BlockingQueue<Long> departures = new LinkedBlockingQueue<>();
-    private final CountDownLatch held = new CountDownLatch(1);
-    private final CountDownLatch go = new CountDownLatch(1);
+    private final CountDownLatch paused = new CountDownLatch(1);
+    private final CountDownLatch resumed = new CountDownLatch(1);
     /** All called on the loop. */
-    volatile Consumer<Gateway.Request> arrival = this::send;
-    volatile Consumer<Gateway.AttemptReport> answer = told -> { };
-    volatile Runnable afterHold = () -> { };
+    volatile Consumer<Gateway.Request> onArrival = this::send;
+    volatile Consumer<Gateway.AttemptReport> onAnswer = told -> { };
+    volatile Runnable afterPause = () -> { };
     /** The loop is late by so much at least when it goes on. */
     volatile long lateMs = 500;
     long backend;
@@ -31,36 +31,37 @@
         actions.send(request.id(), backend, 0);
     }
 
-    /** On the loop: stands still until {@link #release}, then does what is to follow. */
-    void hold() {
+    /** On the loop: stands still until {@link #resume}, then does what is to follow. */
+    void pause() {
         long since = System.nanoTime();
-        held.countDown();
+        paused.countDown();
         try {
-            go.await();
+            resumed.await();
             Thread.sleep(Math.max(0, lateMs - (System.nanoTime() - since) / 1_000_000));
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
-        afterHold.run();
+        afterPause.run();
     }
 
-    void awaitHeld() throws InterruptedException {
-        assertNotNull(held.await(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS) ? held : null, "the loop does not stand still");
+    void awaitPaused() throws InterruptedException {
+        assertNotNull(paused.await(TestPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS) ? paused : null,
+                "the loop does not stand still");
     }
 
-    void release() {
-        go.countDown();
+    void resume() {
+        resumed.countDown();
     }
 
     static <T> T next(BlockingQueue<T> of) throws InterruptedException {
-        T next = of.poll(Peer.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        T next = of.poll(TestPeer.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertNotNull(next);
         return next;
     }
 
     /** A request at which the loop stands still. */
-    static String holding(String txn) {
-        return Rig.request("look", txn, 30_000, "").replace("units=2", "units=1");
+    static String pausingRequest(String txn) {
+        return FrontDoorFixture.request("look", txn, 30_000, "").replace("units=2", "units=1");
     }
 
     @Override
@@ -71,18 +72,18 @@
     @Override
     public void onRequest(long now, Request request) {
         if (request.units() == 1) {
-            hold();
+            pause();
             actions.fail(request.id());
             return;
         }
-        arrival.accept(request);
+        onArrival.accept(request);
         arrivals.add(request);
     }
 
     @Override
     public void onAttemptEnd(long now, AttemptReport told) {
         answers.add(told);
-        answer.accept(told);
+        onAnswer.accept(told);
         if (!told.requestEnded()) {
             actions.fail(told.requestId()); // nothing, where the test has ended it
         }
