--- a/front-door/src/test/java/nettletrail/door/FloodTest.java
+++ b/front-door/src/test/java/nettletrail/door/PipelinedFloodTest.java
@@ -23,48 +23,48 @@
  * whatever is kept of it is bounded, and that such a client leaves is seen.
  */
 @Timeout(60)
-class FloodTest {
+class PipelinedFloodTest {
     /** Behind the open one; the rest is refused without a word to the module. */
     private static final int KEPT = 64;
     private static final int OWED = 4_096;
     @TempDir
     private Path folder;
-    private Rig rig;
-    private final HeldModule module = new HeldModule();
+    private FrontDoorFixture rig;
+    private final PausingGateway module = new PausingGateway();
     private ServerSocket backend;
     private FrontDoor door;
-    private Peer client;
+    private TestPeer client;
     private Gateway.Request open;
 
     @BeforeEach
-    void make() throws Exception {
-        rig = new Rig(folder);
+    void setUp() throws Exception {
+        rig = new FrontDoorFixture(folder);
         backend = rig.backend();
-        door = rig.start(module.module(), Rig.entry("s-1", backend.getLocalPort(), "SERVING"));
-        module.arrival = request -> { };
-        client = rig.client().write(Rig.request("look", "a", 30_000, ""));
-        open = HeldModule.next(module.arrivals);
-        module.arrival = request -> module.actions.reject(request.id(), 0);
+        door = rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        module.onArrival = request -> { };
+        client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
+        open = PausingGateway.next(module.arrivals);
+        module.onArrival = request -> module.actions.reject(request.id(), 0);
     }
 
     @AfterEach
-    void end() throws Exception {
-        module.release();
+    void tearDown() throws Exception {
+        module.resume();
         rig.close();
     }
 
     private static String flood(int requests, String body) {
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < requests; i++) {
-            many.append(Rig.request("buy", Integer.toHexString(i + 16), 30_000, body));
+            many.append(FrontDoorFixture.request("buy", Integer.toHexString(i + 16), 30_000, body));
         }
         return many.toString();
     }
 
     private void answerOpen() throws IOException {
         door.loop().execute(() -> module.send(open));
-        try (Peer server = Peer.accept(backend)) {
-            assertEquals(Rig.txn("a"), server.read().header("X-Txn"));
+        try (TestPeer server = TestPeer.accept(backend)) {
+            assertEquals(FrontDoorFixture.txn("a"), server.read().header("X-Txn"));
             server.answer("200 OK", "", "seen");
         }
         assertEquals("seen", client.read().body());
@@ -72,12 +72,12 @@
 
     /** 1 MB behind the open request: each of them is answered, and the connection goes on. */
     @Test
-    void allThatIsReadBehindAnOpenRequestIsAnswered() throws Exception {
+    void everyPipelinedRequestIsAnswered() throws Exception {
         int requests = 3_500;
         client.write(flood(requests, "x"));
         answerOpen();
         for (int i = 0; i < requests; i++) {
-            Peer.Message answer = client.read();
+            TestPeer.Message answer = client.read();
             assertEquals(429, answer.status());
             assertNull(answer.header("Connection"));
         }
@@ -88,7 +88,7 @@
 
     /** Several MB: what can't be read as requests any more is read all the same, and the connection ends with its last answer. */
     @Test
-    void whoSendsWithoutEndGetsItsAnswersAndThenTheEnd() throws Exception {
+    void endlessPipelineIsAnsweredUpToTheLimitThenClosed() throws Exception {
         client.write(flood(12_000, "x"));
         answerOpen();
         for (int i = 1; i < KEPT + OWED; i++) {
@@ -101,7 +101,7 @@
 
     /** Of bodies no more is kept than 128 KB, and of those refused nothing. */
     @Test
-    void whatIsKeptIsBoundedInBytes() throws Exception {
+    void queuedBodiesAreBoundedInBytes() throws Exception {
         int requests = 40;
         client.write(flood(requests, "x".repeat(60_000)));
         answerOpen();
@@ -114,8 +114,8 @@
 
     /** Never a word that the same request may be sent again where it may have run; and what is no request is told so. */
     @Test
-    void whatIsRefusedBehindOthersIsCheckedAllTheSame() throws Exception {
-        client.write(flood(KEPT, "x") + Rig.request("look", "a", 30_000, "")
+    void rejectedPipelinedRequestsAreStillValidated() throws Exception {
+        client.write(flood(KEPT, "x") + FrontDoorFixture.request("look", "a", 30_000, "")
                 + "GET /x HTTP/1.1\r\nHost: gw\r\n\r\nGET /-/ready HTTP/1.1\r\nHost: gw\r\n\r\nnonsense\r\n\r\n");
         answerOpen();
         for (int i = 0; i < KEPT; i++) {
@@ -124,7 +124,7 @@
         assertEquals(400, client.read().status(), "the open one's id");
         assertEquals(404, client.read().status());
         assertEquals(200, client.read().status());
-        Peer.Message last = client.read();
+        TestPeer.Message last = client.read();
         assertEquals(400, last.status());
         assertEquals("close", last.header("Connection"));
         assertTrue(client.ended());
@@ -136,12 +136,12 @@
     void thatItLeavesIsSeen(int requests) throws Exception {
         client.write(flood(requests, "x"));
         rig.allRead(client);
-        module.afterHold = () -> module.send(open);
-        rig.client().write(HeldModule.holding("b"));
-        module.awaitHeld();
+        module.afterPause = () -> module.send(open);
+        rig.client().write(PausingGateway.pausingRequest("b"));
+        module.awaitPaused();
         client.close();
-        module.release();
-        Gateway.AttemptReport told = HeldModule.next(module.answers);
+        module.resume();
+        Gateway.AttemptReport told = PausingGateway.next(module.answers);
         assertEquals(Gateway.Outcome.NEVER_SENT, told.outcome());
         assertTrue(told.requestEnded());
         assertTrue(module.arrivals.isEmpty());
@@ -153,7 +153,7 @@
     /** Nothing is asked for: the end alone tells, as soon as it has come through. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void thatItLeavesIsToldAtOnce(boolean reset) throws Exception {
+    void disconnectIsReportedImmediately(boolean reset) throws Exception {
         client.write(flood(12_000, "x"));
         rig.allRead(client);
         long since = System.nanoTime();
@@ -162,7 +162,7 @@
         } else {
             client.close();
         }
-        assertEquals(open.id(), HeldModule.next(module.departures));
+        assertEquals(open.id(), PausingGateway.next(module.departures));
         long tookMs = (System.nanoTime() - since) / 1_000_000;
         assertTrue(tookMs < 100, "took " + tookMs + " ms");
         assertEquals(0, door.activeRequestCount());
--- a/front-door/src/test/java/nettletrail/door/Peer.java
+++ b/front-door/src/test/java/nettletrail/door/TestPeer.java
@@ -10,9 +10,9 @@
 import java.nio.charset.StandardCharsets;
 
 /** One end of a connection, played by a test: it writes what it is told to and reads one message at a time. */
-final class Peer implements Closeable {
+final class TestPeer implements Closeable {
     /** A hang fails the test; no test waits for it to pass. */
-    static final int PATIENCE_MS = 10_000;
+    static final int TIMEOUT_MS = 10_000;
 
     /** What came: the first line with the headers, and the body. */
     record Message(String head, String body) {
@@ -38,33 +38,33 @@
     private final Socket socket;
     private final InputStream in;
 
-    Peer(Socket socket) throws IOException {
+    TestPeer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static Peer connect(InetSocketAddress to) throws IOException {
-        return new Peer(new Socket(to.getAddress(), to.getPort()));
+    static TestPeer connect(InetSocketAddress to) throws IOException {
+        return new TestPeer(new Socket(to.getAddress(), to.getPort()));
     }
 
     int port() {
         return socket.getLocalPort();
     }
 
-    static Peer accept(ServerSocket listening) throws IOException {
-        listening.setSoTimeout(PATIENCE_MS);
-        return new Peer(listening.accept());
+    static TestPeer accept(ServerSocket listening) throws IOException {
+        listening.setSoTimeout(TIMEOUT_MS);
+        return new TestPeer(listening.accept());
     }
 
-    Peer write(String text) throws IOException {
+    TestPeer write(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
 
     /** Answers with this status line's end, headers (each ending its line) and body. */
-    Peer answer(String status, String headers, String body) throws IOException {
+    TestPeer answer(String status, String headers, String body) throws IOException {
         return write("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n" + headers + "\r\n" + body);
     }
 
--- a/front-door/src/test/java/nettletrail/sim/WireHostTest.java
+++ b/front-door/src/test/java/nettletrail/sim/SimulatorAdapterTest.java
@@ -18,7 +18,7 @@
 import nettletrail.decision.InvalidInputException;
 import org.junit.jupiter.api.Test;
 
-class WireHostTest {
+class SimulatorAdapterTest {
     private static final String SETTINGS = """
             Balancers=1
             Unheard.Of=7
@@ -59,7 +59,7 @@
 
     private static byte[] run(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new WireHost(new ByteArrayInputStream(input), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input), out).run();
         return out.toByteArray();
     }
 
