--- a/front-door/src/main/java/nettletrail/core/Authorizer.java
+++ b/front-door/src/main/java/nettletrail/core/Authorizer.java
@@ -6,72 +6,73 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * Whether a request may come in at all by what it brings to prove it, asked before the bound and the module hear of it, and
- * again before each further attempt. A request that must wait for the word holds nothing meanwhile. On the event loop only.
+ * Decides by its credentials whether a request may be processed. Asked before the limiter and the decision module see
+ * the request, and again before each retry. A request that waits for the decision holds no quota meanwhile. Used on the
+ * event loop only.
  */
 public interface Authorizer {
-    /** All may. */
+    /** Allows every request. */
     Authorizer NONE = new Authorizer() { };
 
-    /** Makes one; it begins its work at once. */
+    /** Creates an authorizer, which starts at once. */
     interface Factory {
         /**
-         * @param name this front door's, unique in the installation
-         * @param clock the loop's
-         * @throws IllegalArgumentException if it can't with these settings; the message names the key
+         * @param name the front door's name, unique in the installation
+         * @param clock the event loop's clock
+         * @throws IllegalArgumentException if the settings are unusable; the message names the key
          */
         Authorizer create(String name, EventLoop loop, EventLoopClock clock, GatewaySettingsReader reader,
                 Gateway.Settings settings);
     }
 
-    /** What is said of a request. */
+    /** The decision on a request. */
     sealed interface Decision { }
 
-    /** It may go. */
+    /** The request may proceed. */
     record Allowed() implements Decision { }
 
-    /** One word more follows through {@link AuthorizationCallback}, not before this call has returned. */
+    /** The decision follows through {@link AuthorizationCallback}, after this call has returned. */
     record Pending() implements Decision { }
 
     /**
-     * It may not; nothing of it was sent on.
+     * The request is denied; nothing of it was forwarded.
      *
-     * @param status of the answer, 4xx or 503
-     * @param challenge value of {@code WWW-Authenticate}, "" for none
-     * @param message one line for whoever reads the answer; names no secrets
-     * @param retryAfterNanos after which trying again may help; 0 for no word
+     * @param status HTTP status of the response, 4xx or 503
+     * @param challenge value of the {@code WWW-Authenticate} header, "" for none
+     * @param message one line for the reader of the response; contains no secrets
+     * @param retryAfterNanos delay in ns after which a retry may succeed; 0 if unknown
      */
     record Denial(int status, String challenge, String message, long retryAfterNanos) implements Decision { }
 
-    /** Hears the word on a request that waits: once, unless it was {@link #requestEnded}. */
+    /** Receives the decision on a pending request: exactly once, unless {@link #requestEnded} was called for it. */
     interface AuthorizationCallback {
         void allowed();
 
         void denied(Denial denial);
     }
 
-    /** Hears of requests that may no longer go. */
+    /** Receives revocations: requests that may no longer proceed. */
     interface RevocationListener {
-        /** Those that were not sent on yet are to be turned away. */
+        /** Denies the affected requests that have no attempt open. */
         void revoked(Predicate<InboundRequest> affected, Denial denial);
     }
 
     /**
-     * May it go?
+     * Decides whether a request may proceed.
      *
-     * @param id unique among those that wait
-     * @param remainingNanos until the request's time is up
+     * @param id unique among the pending requests
+     * @param remainingNanos ns until the request's deadline
      */
     default Decision authorize(long id, InboundRequest request, long remainingNanos, AuthorizationCallback callback) {
         return new Allowed();
     }
 
-    /** A request that waits has ended otherwise. */
+    /** A pending request has ended in another way: no decision is needed any more. */
     default void requestEnded(long id, InboundRequest request) { }
 
-    /** Before the first ask. */
+    /** Called once, before the first {@link #authorize}. */
     default void setRevocationListener(RevocationListener listener) { }
 
-    /** Ends its work; on the event loop or off it. */
+    /** Stops the authorizer. Any thread. */
     default void close() { }
 }
--- a/front-door/src/main/java/nettletrail/core/BackendAttempt.java
+++ b/front-door/src/main/java/nettletrail/core/BackendAttempt.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import nettletrail.decision.Gateway.Outcome;
 
-/** A request on its way to one backend, as its carrier sees it. Used on the event loop only. */
+/** One attempt of a request at one backend, as seen by the transport. Used on the event loop only. */
 public abstract class BackendAttempt {
     private final long backendId;
 
@@ -11,54 +11,54 @@
         this.backendId = backendId;
     }
 
-    /** Where it goes. */
+    /** Id of the backend that the attempt is sent to. */
     public final long backendId() {
         return backendId;
     }
 
-    /** What is to be sent. Its body is the request's: what is written of it must be retained. */
+    /** The request to send. Its body belongs to the request: retain what is written of it. */
     public abstract InboundRequest request();
 
-    /** Who gets the request's final answer. */
+    /** The client that receives the request's final response. */
     public abstract RequestClient client();
 
-    /** Whole ms that this front still waits for the answer; at least 1. */
+    /** Whole ms that the frontend still waits for the response; at least 1. */
     public abstract long remainingMs();
 
-    /** ns until the request's time is up; below 0 if it is. */
+    /** ns until the request's deadline; negative once it has passed. */
     public abstract long remainingNanos();
 
     /**
-     * Asked just before its first byte may go out. What has come by now that tells against it (its client left, the
-     * list changed) is heard before this returns, so that the carrier looks at its own list after this.
+     * Called just before the first byte is sent. Reads pending input first (a client's disconnect, an endpoint update),
+     * so that the transport must check its own endpoints after this call.
      *
-     * @return false if its request has ended: it must not be sent
+     * @return false if the request has ended: the attempt must not be sent
      */
     public boolean isWanted() {
         return true;
     }
 
     /**
-     * It is being written now: its time counts from here, not from when a connection was looked for. Called once at
-     * most; where it isn't, the time counts from the start.
+     * The attempt is being written: its latency is measured from here, not from the search for a connection. Called at
+     * most once; without the call, latency is measured from the start.
      */
     public abstract void sendStarted();
 
     /**
-     * It ended. Called once at most, and not after it was abandoned.
+     * The attempt ended. Called at most once, and not after it was cancelled.
      *
-     * @param report what the answer told beside its body, {@link BackendReport#NONE} if there is none
-     * @param body of a good answer; the caller's
+     * @param report the response's metadata, {@link BackendReport#NONE} if there is none
+     * @param body of a successful response; owned by the caller
      */
     public abstract void ended(Outcome outcome, BackendReport report, ByteBuf body, String contentType);
 
     /**
-     * It ended, and the request with it, in place of {@link #ended}: whoever carried it has given the client its
-     * answer, whichever that was, so that neither is there another attempt nor is the client told anything.
+     * Called in place of {@link #ended} when the transport has already given the client a response: the request ends
+     * too, without a retry and without another response.
      */
     public abstract void endedWithRequest(Outcome outcome, BackendReport report);
 
-    /** It ended without an answer. */
+    /** The attempt ended without a response. */
     public final void ended(Outcome outcome) {
         ended(outcome, BackendReport.NONE, null, null);
     }
--- a/front-door/src/main/java/nettletrail/core/BackendReport.java
+++ b/front-door/src/main/java/nettletrail/core/BackendReport.java
@@ -7,11 +7,11 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * What a backend's answer tells beside its body.
+ * The metadata in the headers of a backend's response.
  *
- * @param quotaUsedPercent metered use of the customer in percent, -1 if not told
- * @param unitsCharged true units of a good answer, 0 if not told
- * @param load the backend's load, or null
+ * @param quotaUsedPercent metered use of the customer's quota in percent, -1 if absent
+ * @param unitsCharged units that a successful response actually cost, 0 if absent
+ * @param load the backend's load, or null if absent
  */
 public record BackendReport(int quotaUsedPercent, double unitsCharged, Gateway.LoadReport load) {
     public static final AsciiString QUOTA_USED = AsciiString.cached("X-Quota-Used");
@@ -19,13 +19,13 @@
     public static final AsciiString PRESSURE = AsciiString.cached("X-Pressure");
     public static final BackendReport NONE = new BackendReport(-1, 0, null);
 
-    /** Reads the headers of answers: figures that no backend can mean count as not told. */
+    /** Reads the headers of responses; implausible values count as absent. */
     public static final class Reader {
-        /** True units may exceed the largest guess, but not by more than this. */
+        /** The actual units may exceed the largest estimate, by at most this factor. */
         private static final double MAX_CHARGE_FACTOR = 4;
-        /** A report of more is none. */
+        /** Larger load values count as absent. */
         private static final double MAX_LOAD = 100_000;
-        /** Percent of a quota; more than this no backend can have counted. */
+        /** Largest plausible use of a quota in percent. */
         private static final long MAX_USED_PERCENT = 10_000;
 
         private final List<String> loadFields;
@@ -37,16 +37,16 @@
                     : Double.MAX_VALUE;
         }
 
-        /** Made of an answer's headers, asked for by name; a header that is absent is null. */
+        /** Reads a report from a response's headers, looked up by name; an absent header is null. */
         public BackendReport read(Function<CharSequence, String> headers) {
-            // Percent as it is: the header is already less the 1 that the simulator's wire adds.
+            // The percentage as it is: the header doesn't include the 1 that the simulator's wire format adds.
             long used = HeaderPairs.wholeNumber(headers.apply(QUOTA_USED));
             double charged = HeaderPairs.number(headers.apply(UNITS_CHARGED));
             return new BackendReport(used <= MAX_USED_PERCENT ? (int) used : -1,
                     charged > 0 && charged <= maxUnitsCharged ? charged : 0, load(headers.apply(PRESSURE)));
         }
 
-        /** The header names its values as the settings do, in whatever order. */
+        /** The header names its values as the settings do, in any order. */
         private Gateway.LoadReport load(String text) {
             if (loadFields.isEmpty() || text == null) {
                 return null;
--- a/front-door/src/main/java/nettletrail/core/Dispatcher.java
+++ b/front-door/src/main/java/nettletrail/core/Dispatcher.java
@@ -13,27 +13,27 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * Each live request and its attempts, and the only place that touches the decision module: it turns what happens
- * on sockets and clocks into the module's events, and the module's actions into answers, attempts and timers.
- * All of it runs on the one event loop.
+ * Tracks every active request and its attempts. It is the only class that calls the decision module: it turns socket
+ * and timer events into the module's events, and the module's actions into responses, attempts and timers. Runs on one
+ * event loop.
  */
 public final class Dispatcher implements Gateway.Actions, Endpoint.Listener {
     private static final long NANOS_PER_MS = 1_000_000L;
-    /** For the way back to the client, who counts from when it sent the request. */
+    /** Time reserved for the response's way back: the client measures its deadline from when it sent the request. */
     private static final long RETURN_TRIP_NANOS = 12 * NANOS_PER_MS;
     /**
-     * What has come may lie unread for so long before it is looked for: lists before a send, and whether a client has left
-     * before its request is taken up. A quarter of the 0.1 s after which no attempt may begin for a client that left; before
-     * an attempt's first byte its own client is looked at in any case.
+     * Longest time that input may have been unread before it is polled for: endpoint updates before a send, and a
+     * client's disconnect before its request is accepted. A quarter of the 0.1 s after which no attempt may begin for a
+     * disconnected client; the client of an attempt is always polled before the attempt's first byte.
      */
     private static final long MAX_UNREAD_NANOS = 25 * NANOS_PER_MS;
 
-    /** How a decision module is made. */
+    /** Creates the decision module. */
     public interface GatewayFactory {
         Gateway create(Gateway.Settings settings, long now, Gateway.Actions actions);
     }
 
-    /** A request from its arrival until its final answer is given and its last attempt has ended. */
+    /** A request from its arrival until its final response is given and its last attempt has ended. */
     public final class ActiveRequest {
         private final long id;
         private final InboundRequest inbound;
@@ -45,11 +45,11 @@
         private int openAttempts;
         private DispatchedAttempt lastAttempt;
         private boolean ended;
-        /** Whether the bound has taken its units, and it has come to no backend yet. */
+        /** Whether the limiter holds units for the request, and no backend can have received it yet. */
         private boolean unitsHeld;
-        /** An attempt ended so that a backend may have run it. */
+        /** Whether an attempt ended in such a way that a backend may have executed the request. */
         private boolean mayHaveRun;
-        /** It waits for leave to come in: neither bound nor module has heard of it. */
+        /** Whether the authorizer's decision is pending: neither the limiter nor the module has seen the request. */
         private boolean awaitingAuthorization;
 
         private ActiveRequest(long id, InboundRequest inbound, RequestClient client, AttemptTransport transport,
@@ -62,12 +62,12 @@
             deadlineTimer = loop.schedule(new DeadlineTimer(this), deadline - now, TimeUnit.NANOSECONDS);
         }
 
-        /** Whether its final answer is given, or nobody waits for it. */
+        /** Whether the final response has been given, or the client no longer waits for one. */
         public boolean isEnded() {
             return ended;
         }
 
-        /** The client has gone away: it is owed nothing more. */
+        /** The client has disconnected: no response is sent any more. */
         public void clientDisconnected() {
             if (!ended && awaitingAuthorization) {
                 authorizer.requestEnded(id, inbound);
@@ -75,9 +75,9 @@
             } else if (!ended) {
                 markEnded(this);
                 submit(new UncommonEvent("departure", this, () -> gateway.onRequestCancelled(now(), id)));
-                // Without a carriage it is just being started, and its carrier will hear that it is not wanted.
+                // While null the attempt is just being started, and its transport learns through isWanted to stop.
                 if (lastAttempt != null && lastAttempt.started != null && lastAttempt.started.isUnsent()) {
-                    timeOut(lastAttempt); // nobody waits for it: it shall not cost a backend work
+                    timeOut(lastAttempt); // no client waits for it: spare the backend the work
                 }
             }
         }
@@ -85,13 +85,13 @@
 
     private record UsedId(String requestId, long expiresAtNanos, long id) { }
 
-    // The events of every request are classes: the first compiler, which is all that the platform leaves to a front door,
-    // makes a lambda that captures something by a call into the JVM and several through method handles.
+    // Events that every request causes are classes, not lambdas: the C1 compiler, the only one that the platform leaves
+    // to a front door, creates a capturing lambda by a call into the JVM and several through method handles.
 
-    /** Something for the module to hear of. */
+    /** An event for the decision module. */
     private abstract static class Event {
         private final String description;
-        /** Which it concerns, or null. */
+        /** The request that the event concerns, or null. */
         private final ActiveRequest request;
 
         Event(String description, ActiveRequest request) {
@@ -102,7 +102,7 @@
         abstract void deliver();
     }
 
-    /** One of those that are not each request's. */
+    /** An event that not every request causes. */
     private static final class UncommonEvent extends Event {
         private final Runnable run;
 
@@ -201,7 +201,7 @@
             if (isLoopLate()) {
                 discoveryPoll.run();
             }
-            // Always: for how long the loop was at something else before it first read its clock, it can't tell.
+            // Always poll the client: the loop can't tell how long it was busy before it first read its clock.
             if (!activeRequest.ended && !activeRequest.client.readPending()) {
                 activeRequest.clientDisconnected();
             }
@@ -228,7 +228,7 @@
                 timeoutTimer.cancel(false);
             }
             if (outcome != Gateway.Outcome.NEVER_SENT && outcome != Gateway.Outcome.CONNECT_FAILED) {
-                activeRequest.unitsHeld = false; // first: the end below may be the last of the request
+                activeRequest.unitsHeld = false; // first: markEnded below may remove the request
             }
             activeRequest.mayHaveRun |= outcome.mayHaveRun;
             activeRequest.openAttempts--;
@@ -263,27 +263,27 @@
     private final Gateway gateway;
     private final List<String> zones;
     private final List<String> machineTypes;
-    /** No client of the deployment waits longer. */
+    /** The longest time in ns that any client of the deployment waits. */
     private final long maxDeadlineNanos;
     private final LongObjectHashMap<ActiveRequest> activeRequests = new LongObjectHashMap<>();
-    /** Ids that clients gave, each until its request's time is up: later copies would run a second time. */
+    /** Client-chosen ids, each kept until its request's deadline: a later copy would be executed a second time. */
     private final HashSet<String> usedIds = new HashSet<>();
     private final ArrayDeque<UsedId> usedIdsByExpiry = new ArrayDeque<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
-    /** Added to the monotonic clock: the module's clock starts at Unix time and never goes back. */
+    /** Offset from the monotonic clock to the module's clock, which starts at Unix time and never goes back. */
     private final long clockOffsetNanos = System.currentTimeMillis() * NANOS_PER_MS - System.nanoTime();
     private boolean processingEvent;
-    /** The process is about to end: nothing is taken on or sent any more. */
+    /** The process is about to exit: no request is accepted and no attempt is sent any more. */
     private boolean shuttingDown;
     private Runnable discoveryPoll = () -> { };
     private long lastId;
 
     /**
-     * @param loop on which all of this runs
-     * @param clock the loop's, so that its lateness isn't told as a backend's
-     * @param limiter held beside the module's own
-     * @param transports all that attempts are ever carried by
-     * @param settings read by the same reader
+     * @param loop the event loop that everything here runs on
+     * @param clock the loop's clock, so that the loop's delay is not counted as a backend's
+     * @param limiter applied in addition to the module's limits
+     * @param transports every transport that requests may use
+     * @param settings the settings read by the same reader
      */
     public Dispatcher(EventLoop loop, EventLoopClock clock, RequestLimiter limiter, List<AttemptTransport> transports,
             GatewaySettingsReader reader,
@@ -291,7 +291,7 @@
         this(loop, clock, Authorizer.NONE, limiter, transports, reader, settings, factory);
     }
 
-    /** The same where not all may come in. */
+    /** The same with an authorizer. */
     public Dispatcher(EventLoop loop, EventLoopClock clock, Authorizer authorizer, RequestLimiter limiter,
             List<AttemptTransport> transports,
             GatewaySettingsReader reader, Gateway.Settings settings, GatewayFactory factory) {
@@ -307,9 +307,9 @@
         authorizer.setRevocationListener(this::revoke);
     }
 
-    // ---- What happens -----------------------------------------------------------------------------------
+    // ---- Events -----------------------------------------------------------------------------------------
 
-    /** Whether no other request came with this one's id while that could still be open anywhere. */
+    /** Whether no other request with this id has arrived that could still be active anywhere. */
     public boolean isUnusedId(String requestId) {
         long now = now();
         for (UsedId first = usedIdsByExpiry.peekFirst(); first != null && first.expiresAtNanos() < now;
@@ -325,13 +325,14 @@
     }
 
     /**
-     * Takes a request on, and its body with it; its final answer goes to the client, perhaps before this returns.
+     * Accepts a request and takes ownership of its body. The client receives the final response, perhaps before this
+     * returns.
      *
-     * @param transport what its attempts are carried by; one of those given at the start
+     * @param transport sends the request's attempts; one of those given to the constructor
      */
     public ActiveRequest accept(InboundRequest inbound, RequestClient client, AttemptTransport transport) {
         long now = now();
-        // The id is counted here: what clients send as theirs need not be a number, nor unique.
+        // The id is a local counter: a client's id need not be a number, nor unique.
         ActiveRequest request = new ActiveRequest(++lastId, inbound, client, transport, now);
         activeRequests.put(request.id, request);
         usedIds.add(inbound.requestId());
@@ -361,7 +362,7 @@
         return request;
     }
 
-    /** It waits for leave to come in. */
+    /** Waits for the decision on a request that has not been admitted yet. */
     private final class InitialAuthorization implements Authorizer.AuthorizationCallback {
         private final ActiveRequest request;
 
@@ -398,7 +399,10 @@
         submit(new ArrivalEvent(request, now, gatewayRequest));
     }
 
-    /** Those of them that nothing was sent on of; what is out ends as it ends, and asks again before it is sent again. */
+    /**
+     * Denies the affected requests that have no open attempt. An open attempt continues, and a retry is authorized
+     * anew.
+     */
     private void revoke(java.util.function.Predicate<InboundRequest> affected, Authorizer.Denial denial) {
         for (ActiveRequest each : new ArrayList<>(activeRequests.values())) {
             if (!each.ended && !each.awaitingAuthorization && each.openAttempts == 0 && affected.test(each.inbound)) {
@@ -408,7 +412,7 @@
         }
     }
 
-    /** One that may have run already is not told that it hasn't. */
+    /** A request that may have been executed fails with 502: a denial would claim that it wasn't. */
     private void endRevoked(ActiveRequest request, Authorizer.Denial denial) {
         markEnded(request);
         if (request.mayHaveRun) {
@@ -418,7 +422,7 @@
         }
     }
 
-    /** A further attempt that waits for leave to be made. */
+    /** Waits for the decision on a retry. */
     private final class RetryAuthorization implements Authorizer.AuthorizationCallback,
             AttemptTransport.StartedAttempt {
         private final DispatchedAttempt attempt;
@@ -429,7 +433,7 @@
 
         @Override
         public void allowed() {
-            attempt.started = null; // being started: it no longer waits here
+            attempt.started = null; // being started: no longer cancelled through this object
             attempt.started = attempt.activeRequest.transport.start(attempt);
         }
 
@@ -453,7 +457,7 @@
         }
     }
 
-    /** What came before is no leave for a further attempt: credentials may have been withdrawn since. */
+    /** Authorizes a retry anew, as credentials may have been revoked since the previous attempt. */
     private void authorizeRetry(DispatchedAttempt attempt) {
         RetryAuthorization authorization = new RetryAuthorization(attempt);
         attempt.started = authorization;
@@ -475,10 +479,10 @@
                     indexOrHash(machineTypes, entry.type()),
                     entry.group(), entry.state(), entry.weight(), entry.startedAtMs() * NANOS_PER_MS));
         }
-        // The carriers first, or what the module sends to a new backend would find no address; what ends by it
-        // is told after the list, or the module would send it to the same backend again.
+        // The transports first, or an attempt that the module sends to a new backend would find no address. Attempts
+        // that end because of the update are reported after it, or the module would retry them at the same backend.
         if (processingEvent) {
-            // Heard by a look before a send: that carrier must know it now, the module after what it is at.
+            // Read by a poll before a send: the transport must know the update now, the module after its current event.
             events.addLast(new UncommonEvent("list", null, () -> gateway.onBackends(now(), whole, backends)));
             transports.forEach(transport -> transport.endpointsUpdated(whole, entries));
             return;
@@ -489,18 +493,20 @@
         }));
     }
 
-    /** A name that the settings don't know is still not another such name: no two of them are one zone. */
+    /**
+     * The index of a name, or a negative hash if the settings lack it: two unknown zones must not count as one zone.
+     */
     private static int indexOrHash(List<String> names, String name) {
         int index = names.indexOf(name);
         return index >= 0 ? index : name.hashCode() | Integer.MIN_VALUE;
     }
 
-    /** What takes in a list that has come and was not read yet; asked for before a send on a loop that is late. */
+    /** Sets the action that reads a pending endpoint update; it runs before a send when the loop is late. */
     public void setDiscoveryPoll(Runnable poll) {
         discoveryPoll = poll;
     }
 
-    /** Whether what came may have lain unread for so long that it is looked for before anything is sent. */
+    /** Whether input may have been unread for so long that it must be polled for before anything is sent. */
     public boolean isLoopLate() {
         return clock.maxUnreadNanos() > MAX_UNREAD_NANOS;
     }
@@ -510,7 +516,10 @@
         submit(new UncommonEvent("list failure", null, () -> gateway.onDiscoveryFailure(now())));
     }
 
-    /** Its time is up: attempts are closed and told, and if the module leaves it at that, it has failed. */
+    /**
+     * Ends a request at its deadline: cancels and reports its attempt, and fails the request unless the module has
+     * answered it.
+     */
     private void deadlineExceeded(ActiveRequest request) {
         if (request.awaitingAuthorization) {
             authorizer.requestEnded(request.id, request.inbound);
@@ -533,8 +542,8 @@
     }
 
     /**
-     * The process is about to end: each open request is answered as if its time were up, and what still comes is refused
-     * at once. On the loop.
+     * Called before the process exits, on the loop: answers each active request as if its deadline had passed, and
+     * rejects every later one.
      */
     public void expireAll() {
         shuttingDown = true;
@@ -551,14 +560,14 @@
         }
     }
 
-    /** Requests taken on and not answered, or with an attempt still out. */
+    /** Number of requests that have no final response yet or still have an open attempt. */
     public int activeRequestCount() {
         return activeRequests.size();
     }
 
     /**
-     * Hands the module one event at a time: what its actions bring about at once waits until it has returned.
-     * A throw fails the request that it concerns, never the process.
+     * Delivers one event at a time to the module: events that its actions cause wait until it has returned. An
+     * exception fails the request that the event concerns, never the process.
      */
     private void submit(Event event) {
         if (processingEvent) {
@@ -580,8 +589,8 @@
         try {
             event.deliver();
         } catch (RuntimeException | Error e) {
-            // An Error too: Netty throws one when its buffers are used up, and events must still go on.
-            Log.line("fault at " + event.description, e);
+            // Errors too: Netty throws one when its buffers are exhausted, and later events must still be processed.
+            Log.line("exception while handling " + event.description, e);
             ActiveRequest request = event.request;
             if (request != null && !request.ended) {
                 markEnded(request);
@@ -594,7 +603,7 @@
         return clock.now() + clockOffsetNanos;
     }
 
-    /** The request has its final answer; from here on nothing is sent to its client. */
+    /** Marks a request as answered; from here on nothing is sent to its client. */
     private void markEnded(ActiveRequest request) {
         request.ended = true;
         removeIfDone(request);
@@ -602,7 +611,7 @@
 
     private void removeIfDone(ActiveRequest request) {
         if (request.ended && request.openAttempts == 0 && activeRequests.remove(request.id) != null) {
-            // Not before: an attempt that is still out for a client that left may be at a silent backend.
+            // Not earlier: the deadline must still end an attempt at a silent backend after its client disconnected.
             request.deadlineTimer.cancel(false);
             request.inbound.body().release();
             if (request.unitsHeld) {
@@ -611,14 +620,15 @@
         }
     }
 
-    // ---- What the module asks for -----------------------------------------------------------------------
+    // ---- Actions of the decision module -----------------------------------------------------------------
 
     @Override
     public void send(long requestId, long backendId, long timeoutNanos) {
         ActiveRequest request = activeRequests.get(requestId);
         long now = now();
         if (request == null || request.ended || shuttingDown) {
-            // Its client left, a fault ended it, or nobody will hear the answer: a send now would run for nobody.
+            // The client disconnected, an exception ended the request, or the process exits: no one would receive the
+            // response.
             boolean over = request == null || request.ended;
             Gateway.AttemptReport answer = new Gateway.AttemptReport(requestId, 0, backendId,
                     Gateway.Outcome.NEVER_SENT,
@@ -630,7 +640,7 @@
         DispatchedAttempt attempt = new DispatchedAttempt(request, backendId, now);
         request.openAttempts++;
         request.lastAttempt = attempt;
-        // The request's own timer ends the attempt at the deadline; a shorter time needs one of its own.
+        // The request's timer ends the attempt at the deadline; a shorter timeout needs a timer of its own.
         if (timeoutNanos > 0 && now + timeoutNanos < request.deadline) {
             attempt.timeoutTimer = loop.schedule(() -> timeOut(attempt), timeoutNanos, TimeUnit.NANOSECONDS);
         }
@@ -665,7 +675,7 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    /** Nothing to do: the watch runs from the start to the end, whoever asks. */
+    /** Nothing to do: the discovery watch always runs. */
     @Override
     public void subscribeBackends() { }
 
--- a/front-door/src/main/java/nettletrail/core/DoorCalls.java
+++ b/front-door/src/main/java/nettletrail/core/DoorCalls.java
@@ -4,40 +4,41 @@
 import nettletrail.core.Membership.MemberIncarnation;
 
 /**
- * Calls between front doors, sealed under the members' key; for subsystems that agree on something with other doors. A call
- * ends in just one answer or one failure; a failure says nothing of whether it was heard. All on the front door's loop.
+ * Remote calls between front doors, encrypted with the members' key, for subsystems that coordinate with other doors. A
+ * call ends in exactly one response or one failure; after a failure the call may or may not have been handled. Runs on
+ * the front door's event loop.
  */
 public interface DoorCalls {
-    /** Reaches nobody. */
+    /** Every call fails. */
     DoorCalls NONE = new DoorCalls() { };
 
-    /** Hears what came of a call: one of the two, once. */
+    /** Receives the result of a call: one of the two methods is called, once. */
     interface ResponseCallback {
         void completed(byte[] body);
 
-        /** No answer in its time, or it couldn't be sent; it may have been heard all the same. */
+        /** The call timed out or couldn't be sent; it may have been handled all the same. */
         void failed();
     }
 
-    /** Answers calls. */
+    /** Handles calls. */
     interface CallHandler {
         /**
-         * @param from who calls, authentic
-         * @param answer takes the answer once, at any time; a late one is dropped
+         * @param from the authenticated caller
+         * @param answer accepts the response once, at any time; one after the caller's timeout is dropped
          */
         void handle(MemberIncarnation from, byte[] body, Consumer<byte[]> answer);
     }
 
     /**
-     * Calls this life of a door; another life of its name doesn't answer in its place.
+     * Calls this incarnation of a front door; another incarnation of the same name does not answer in its place.
      *
-     * @param channel which subsystem answers
+     * @param channel name of the subsystem that handles the call
      * @param body at most 1 MiB
      */
     default void call(MemberIncarnation to, String channel, byte[] body, long timeoutNanos, ResponseCallback answer) {
         answer.failed();
     }
 
-    /** Who answers on a channel from now on. */
+    /** Registers the handler of a channel's calls. */
     default void registerHandler(String channel, CallHandler handler) { }
 }
--- a/front-door/src/main/java/nettletrail/core/EventLoopClock.java
+++ b/front-door/src/main/java/nettletrail/core/EventLoopClock.java
@@ -4,28 +4,29 @@
 import io.netty.util.IntSupplier;
 
 /**
- * Since when an event loop has been at what it does now, so that its own lateness is not taken for a backend's: an
- * answer that came while the loop was busy is read late. Made the loop's {@link SelectStrategy}, through which it hears
- * of each of its rounds; its choices are those of Netty's own. Used on that loop only. One that no loop was made with
- * knows of no lateness.
+ * Measures how late an event loop reads its input, so that the loop's own delay is not counted as a backend's: a
+ * response that arrives while the loop is busy is read late. It is installed as the loop's {@link SelectStrategy},
+ * which is called once a round, and selects as Netty's default does. Used on that loop only. A clock that is not
+ * installed in a loop reports no delay.
  *
- * <p>What it can't see: an answer that came while the process was stopped as a whole and the loop asleep. That looks
- * like a slow answer.
+ * <p>Limit: a response that arrives while the whole process is stopped and the loop is asleep looks like a slow
+ * response.
  */
 public final class EventLoopClock implements SelectStrategy {
     /**
-     * ns between listening and the first work after which the loop had slept, and what it then does has just come; or
-     * this part of the round before, if that is more: what comes so soon after a long one was most likely there already.
+     * The loop counts as having slept, and its input as just arrived, if at least this time in ns passes between select
+     * and the first work, or the previous round's length divided by {@link #MIN_SLEEP_DIVISOR} if that is longer: input
+     * that is found so soon after a long round was most likely there already.
      */
     private static final long MIN_SLEEP_NANOS = 200_000;
     private static final long MIN_SLEEP_DIVISOR = 10;
 
     private boolean installed;
-    /** Whether nothing has been noted since it last listened. */
+    /** Whether no work has been timed since the last select. */
     private boolean workPending;
     private long selectStartedAt;
     private long workStartedAt;
-    /** When the round before this one began its work, if that is known. */
+    /** When the previous round began its work; valid if {@link #previousRoundKnown}. */
     private long previousWorkStartedAt;
     private boolean previousRoundKnown;
 
@@ -39,7 +40,7 @@
         return hasTasks ? selectNow.get() : SelectStrategy.SELECT;
     }
 
-    /** {@link System#nanoTime}. The first call in a round also notes when its work began. */
+    /** {@link System#nanoTime}. The first call in a round also records when its work began. */
     long now() {
         long now = System.nanoTime();
         if (workPending) {
@@ -50,8 +51,8 @@
     }
 
     /**
-     * For how long at most, ns, what came may have lain unread: since the loop last slept or, on one that does not get to
-     * sleep, since the round before this one began. 0 where no loop was made with this clock.
+     * Upper bound in ns on the time that input may have been waiting unread: since the loop last slept or, on a loop
+     * that does not get to sleep, since the previous round began. 0 if the clock is not installed in a loop.
      */
     long maxUnreadNanos() {
         long now = now();
@@ -67,10 +68,11 @@
     }
 
     /**
-     * When that came which is dealt with now, as far as can be told: all that came before the loop last slept has been
-     * dealt with. What came while it was busy came at any time of that; the middle is told, half of that time off at most.
+     * Estimates when the input that is processed now arrived. Everything that came before the loop last slept has been
+     * processed. Input that came while the loop was busy may have come at any time of that; the middle is returned,
+     * which is wrong by at most half of it.
      *
-     * @param since what it answers: it came after that
+     * @param since when the request was sent: the input came after that
      * @return between since and now, as {@link System#nanoTime}
      */
     long arrivedAt(long since) {
--- a/front-door/src/main/java/nettletrail/core/FrontDoorExtensions.java
+++ b/front-door/src/main/java/nettletrail/core/FrontDoorExtensions.java
@@ -4,25 +4,29 @@
 import nettletrail.decision.ApertureSettings;
 
 /**
- * What a process has beside the platform's front door.
+ * Optional parts that a process adds to the front door.
  *
- * @param aperture which backends are used, where the configuration doesn't say otherwise
+ * @param frontends further listeners that accept requests
+ * @param limiter limits requests in addition to the gateway's own quotas
+ * @param authorizer checks the credentials of requests
+ * @param membership knows the other front doors
+ * @param aperture which backends are used unless the configuration says otherwise
  */
 public record FrontDoorExtensions(List<Frontend.Factory> frontends, RequestLimiter.Factory limiter,
         Authorizer.Factory authorizer, Membership.Factory membership,
         ApertureSettings aperture) {
-    /** Nothing. */
+    /** No extensions. */
     public static final FrontDoorExtensions NONE = new FrontDoorExtensions(List.of(), (name, loop, reader, settings) ->
             RequestLimiter.NONE,
             (name, loop, clock, reader, settings) -> Authorizer.NONE, (name, loop, reader, settings) -> Membership.NONE,
             ApertureSettings.DEFAULT);
 
-    /** Those, and nobody asked for credentials. */
+    /** Extensions without an authorizer. */
     public FrontDoorExtensions(List<Frontend.Factory> frontends, RequestLimiter.Factory limiter) {
         this(frontends, limiter, NONE.authorizer());
     }
 
-    /** Those, and no other front doors known. */
+    /** Extensions without a membership. */
     public FrontDoorExtensions(List<Frontend.Factory> frontends, RequestLimiter.Factory limiter,
             Authorizer.Factory authorizer) {
         this(frontends, limiter, authorizer, NONE.membership(), NONE.aperture());
--- a/front-door/src/main/java/nettletrail/core/Frontend.java
+++ b/front-door/src/main/java/nettletrail/core/Frontend.java
@@ -6,32 +6,32 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * A further way in for requests, beside the socket front door and in the same process: it takes them on through the
- * same {@link Dispatcher}, so that the rules hold over all fronts together. All but {@link #open} and {@link #close}
- * is called on the event loop.
+ * A further listener for requests, in the same process as the HTTP front door. It accepts requests through the same
+ * {@link Dispatcher}, so that limits hold over all frontends together. All but {@link #open} and {@link #close} is
+ * called on the event loop.
  */
 public interface Frontend {
-    /** Makes one; nothing is opened yet. */
+    /** Creates a frontend without opening it. */
     interface Factory {
         Frontend create(EventLoopGroup group, GatewaySettingsReader reader, Gateway.Settings settings);
     }
 
-    /** What attempts of its requests are carried by. */
+    /** The transport of its requests' attempts. */
     AttemptTransport attemptTransport();
 
     /**
-     * Begins to listen. Called off the event loop, before the front door is ready.
+     * Starts listening. Called off the event loop, before the front door is ready.
      *
-     * @throws IOException if an address can't be listened on; the message names the key
+     * @throws IOException if an address can't be bound; the message names the settings key
      */
     void open(Dispatcher dispatcher) throws IOException;
 
-    /** Takes nothing new from callers that heed it; what is open goes on. */
+    /** Asks callers to send nothing new; open requests continue. */
     void drain();
 
-    /** After {@link #drain}: whether all that was asked is answered. */
+    /** After {@link #drain}: whether every request has been answered. */
     boolean drained();
 
-    /** Ends at once. */
+    /** Closes at once. */
     void close();
 }
--- a/front-door/src/main/java/nettletrail/core/HeaderLookup.java
+++ b/front-door/src/main/java/nettletrail/core/HeaderLookup.java
@@ -4,8 +4,8 @@
 import java.util.function.Function;
 
 /**
- * A message's headers by name; one that is absent is null. A class, not a method reference: see the events of
- * {@link Dispatcher}.
+ * Looks up a message's headers by name; an absent header is null. A class, not a method reference, for the reason given
+ * at the events of {@link Dispatcher}.
  */
 public record HeaderLookup(HttpHeaders headers) implements Function<CharSequence, String> {
     @Override
--- a/front-door/src/main/java/nettletrail/core/HeaderPairs.java
+++ b/front-door/src/main/java/nettletrail/core/HeaderPairs.java
@@ -1,16 +1,16 @@
 package nettletrail.core;
 
 /**
- * Reads headers of the form {@code units=2,spread=3} and the numbers in them. Only digits with at most one point
- * are a number: the standard library's parsers also take "NaN", "1e3", "0x1p3" and "5d".
+ * Parses headers of the form {@code units=2,spread=3} and their numbers. A number consists of digits and at most one
+ * point: the standard library's parsers also accept "NaN", "1e3", "0x1p3" and "5d".
  */
 final class HeaderPairs {
-    /** More digits than any sane value has. */
+    /** Longest accepted number, in characters; more than any valid value needs. */
     private static final int MAX_DIGITS = 12;
 
     private HeaderPairs() { }
 
-    /** The text under this name, or null; the first, if it is there twice. */
+    /** The value of this name, or null; the first one if the name is repeated. */
     static String value(String text, String name) {
         int start = valueStart(text, name, 0);
         if (start < 0) {
@@ -20,13 +20,15 @@
         return text.substring(start, comma < 0 ? text.length() : comma);
     }
 
-    /** Whether the name is there more than once, so that two readers could take two values. */
+    /** Whether the name occurs more than once, in which case two parsers could read different values. */
     static boolean isDuplicated(String text, String name) {
         int start = valueStart(text, name, 0);
         return start >= 0 && valueStart(text, name, start) >= 0;
     }
 
-    /** Where the value under this name starts, looked for from a pair's start or within a value on; -1 if it isn't there. */
+    /**
+     * Index at which the value of this name starts, searched from a pair's start or from within a value; -1 if absent.
+     */
     private static int valueStart(String text, String name, int from) {
         int at = from;
         while (at < text.length()) {
@@ -44,17 +46,17 @@
         return -1;
     }
 
-    /** The number under this name; NaN if it is not there or is no number. */
+    /** The number of this name; NaN if absent or not a number. */
     static double number(String text, String name) {
         return number(value(text, name));
     }
 
-    /** The number that the text is, 0 or more; NaN if it is absent or is none. */
+    /** Parses a number of 0 or more; NaN if the text is null or not a number. */
     static double number(String text) {
         if (text == null || text.length() > MAX_DIGITS) {
             return Double.NaN;
         }
-        // Exact: both the digits and the power of ten are below 2^53, and a division rounds once, as a parser does.
+        // Exact: the digits and the power of ten are both below 2^53, and the division rounds once, as a parser does.
         long digits = 0;
         long scale = 0;
         for (int i = 0; i < text.length(); i++) {
@@ -72,7 +74,7 @@
         return none ? Double.NaN : scale > 1 ? (double) digits / scale : digits;
     }
 
-    /** The whole number that the text is, 0 or more; -1 if it is absent or is none. */
+    /** Parses a whole number of 0 or more; -1 if the text is null or not a whole number. */
     static long wholeNumber(String text) {
         double number = number(text);
         return Double.isNaN(number) || text.indexOf('.') >= 0 ? -1 : (long) number;
--- a/front-door/src/main/java/nettletrail/core/InboundRequest.java
+++ b/front-door/src/main/java/nettletrail/core/InboundRequest.java
@@ -4,24 +4,24 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * What a client sent, checked.
+ * A client's request after validation.
  *
  * @param uri path and query, unchanged
- * @param requestId the id that the client gave it
- * @param requestClass position in the settings' classes
- * @param plan position in the settings' plans
- * @param customerDoorCount front doors that the customer's requests come in through; at least 1
- * @param remainingMs how long the client waits, from when it sent this
- * @param body sent on with every attempt; the request's from {@link Dispatcher#accept} on, which releases it when
- *     the request is over
- * @param maxHoldNanos how long the module may hold it before it says where it goes, in ns; {@link Long#MAX_VALUE} for
- * as     long as the client waits
- * @param authorization the client's credentials as it sent them, or null; sent on to nobody
+ * @param requestId the id that the client chose, from {@code X-Txn}
+ * @param requestClass index into the settings' request classes
+ * @param plan index into the settings' plans
+ * @param customerDoorCount number of front doors that receive the customer's requests; at least 1
+ * @param remainingMs ms that the client still waits
+ * @param body sent with every attempt; owned by the request from {@link Dispatcher#accept} on, and released when the
+ *     request has ended
+ * @param maxHoldNanos longest time in ns that the decision module may hold the request before it chooses a backend or
+ *     rejects it; {@link Long#MAX_VALUE} for as long as the client waits
+ * @param authorization the client's credentials as sent, or null; never forwarded
  */
 public record InboundRequest(HttpMethod method, String uri, String requestId, int requestClass, int plan, long customer,
         double units, int customerDoorCount, long remainingMs, ByteBuf body, long maxHoldNanos, String authorization) {
 
-    /** One without credentials. */
+    /** A request without credentials. */
     public InboundRequest(HttpMethod method, String uri, String requestId, int requestClass, int plan, long customer,
             double units,
             int customerDoorCount, long remainingMs, ByteBuf body, long maxHoldNanos) {
@@ -29,13 +29,13 @@
                 maxHoldNanos, null);
     }
 
-    /** Without its credentials: it may come into a log. */
+    /** Leaves the credentials out, as the text may be logged. */
     @Override
     public String toString() {
         return "Arrival[" + requestId + "]";
     }
 
-    /** The same for a front that has to say within a budget where it goes. */
+    /** The same request, for a frontend that must choose a backend within a time budget in ns. */
     public InboundRequest withMaxHold(long maxHoldNanos) {
         return new InboundRequest(method, uri, requestId, requestClass, plan, customer, units, customerDoorCount,
                 remainingMs, body,
--- a/front-door/src/main/java/nettletrail/core/Log.java
+++ b/front-door/src/main/java/nettletrail/core/Log.java
@@ -6,13 +6,14 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** The front door's log: a line for each noteworthy event, on standard error. */
+/** The front door's log: one line per event, on standard error. */
 public final class Log {
     private Log() { }
 
     /**
-     * What libraries log goes here too. The standard formatter reads the file of time zones at its first line: with no
-     * descriptor left, just when an accept fails and Netty says so, that throws an Error, and it ended the event loop.
+     * Routes the libraries' log records here. The standard formatter reads the time zone file for its first line. With
+     * no file descriptor left, which is when an accept fails and Netty logs it, that threw an Error and ended the event
+     * loop.
      */
     public static void install() {
         LogManager.getLogManager().reset();
--- a/front-door/src/main/java/nettletrail/core/Membership.java
+++ b/front-door/src/main/java/nettletrail/core/Membership.java
@@ -7,32 +7,32 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * Which other front doors there are, as far as this one can know. Two questions with two answers, and whoever asks names
- * which: {@link Listener#presumedFailed} comes within seconds and may be wrong (a pause, a cut), good for routing and
- * hints; {@link Listener#removedByMajority} comes once a majority of the last agreed view has agreed on a view without
- * that life, and is what anybody may act on in its place. A minority never hears the second. All on the front door's
- * event loop.
+ * The other front doors, as far as this one can know them. There are two levels of failure detection, and a caller
+ * chooses one: {@link Listener#presumedFailed} comes within seconds and may be wrong (a pause, a network partition),
+ * which is good enough for routing and hints; {@link Listener#removedByMajority} comes once a majority of the last
+ * agreed view has agreed on a view without that incarnation, and only then may another act in its place. A minority
+ * never sees the second. Runs on the front door's event loop.
  *
- * <p>Nothing here may loosen a ceiling: fewer members seen than there are must let no more through in sum.
+ * <p>Nothing here may relax a rate limit: seeing fewer members than exist must not admit more requests in total.
  */
 public interface Membership {
-    /** This front door knows of nobody. */
+    /** Knows no other front door. */
     Membership NONE = new Membership() { };
 
-    /** Makes one; it begins its work at once. */
+    /** Creates a membership, which starts at once. */
     interface Factory {
         /**
-         * @param name this front door's, unique in the installation
-         * @param loop the front door's, on which listeners are told
-         * @throws IllegalArgumentException if it can't with these settings; the message names the key
+         * @param name the front door's name, unique in the installation
+         * @param loop the front door's event loop, on which listeners are called
+         * @throws IllegalArgumentException if the settings are unusable; the message names the key
          */
         Membership create(String name, EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings);
     }
 
     /**
-     * One life of a front door's name: a process, or its time between two agreed views that it wasn't in.
+     * One incarnation of a front door: a process, or its time between two agreed views that lack it.
      *
-     * @param number higher than that of any life of this name before
+     * @param number higher than in any earlier incarnation of this name
      */
     record MemberIncarnation(String name, long number) implements Comparable<MemberIncarnation> {
         @Override
@@ -48,75 +48,75 @@
     }
 
     /**
-     * A set of lives that a majority of the one before it has agreed on.
+     * A set of incarnations that a majority of the previous view has agreed on.
      *
-     * @param number higher than that of any agreed before; 0 for none yet
-     * @param incarnations in their order
+     * @param number higher than that of any earlier view; 0 for none yet
+     * @param incarnations sorted
      */
     record View(long number, List<MemberIncarnation> incarnations) {
-        /** None was agreed yet. */
+        /** No view has been agreed yet. */
         public static final View NONE = new View(0, List.of());
 
         public View {
             incarnations = List.copyOf(incarnations);
         }
 
-        /** Whether it holds this life. */
+        /** Whether the view contains this incarnation. */
         public boolean contains(MemberIncarnation life) {
             return incarnations.contains(life);
         }
 
-        /** How many of its lives must agree on what follows. */
+        /** Number of incarnations that must agree on the next view. */
         public int majority() {
             return incarnations.size() / 2 + 1;
         }
     }
 
-    /** Hears of members; each may be called again for the same life. */
+    /** Receives membership events; each may be repeated for the same incarnation. */
     interface Listener {
-        /** There is a life that wasn't known. */
+        /** A new incarnation was seen. */
         default void joined(MemberIncarnation who) { }
 
-        /** It is accused and may still answer. */
+        /** It was accused of having failed, and may still refute that. */
         default void suspected(MemberIncarnation who) { }
 
-        /** Likely gone: quick, may be wrong. */
+        /** Presumed to have failed: quick, may be wrong. */
         default void presumedFailed(MemberIncarnation who) { }
 
-        /** Surely gone as far as anybody may act for it: agreed by a majority. */
+        /** Removed from the view by a majority: others may act in its place. */
         default void removedByMajority(MemberIncarnation who) { }
 
-        /** One that was suspect or likely gone is there. */
+        /** A suspected or presumed failed incarnation is alive. */
         default void recovered(MemberIncarnation who) { }
 
-        /** It said that it leaves. */
+        /** It announced that it leaves. */
         default void left(MemberIncarnation who) { }
 
-        /** A view was agreed that this front door is in, or it is in none any more ({@link View#NONE}). */
+        /** A view with this front door was agreed, or it is in no view any more ({@link View#NONE}). */
         default void viewChanged(View now) { }
     }
 
-    /** This front door's own life now; null where there are no members. */
+    /** This front door's current incarnation; null without a membership. */
     default MemberIncarnation self() {
         return null;
     }
 
-    /** From now on it is told; first of all that is known already. */
+    /** Adds a listener; it first receives what is already known. */
     default void addListener(Listener listener) { }
 
-    /** Calls to them. */
+    /** Remote calls to the members. */
     default DoorCalls doorCalls() {
         return DoorCalls.NONE;
     }
 
-    /** What is known, as JSON values, given to this on the front door's loop, soon. */
+    /** Passes the membership state as JSON values to the consumer, soon, on the front door's loop. */
     default void status(Consumer<Object> to) {
         to.accept(List.of());
     }
 
-    /** This front door ends: it says so to the others. Off the event loop; returns when it is said. */
+    /** Announces to the others that this front door leaves. Called off the event loop; returns once it is announced. */
     default void leave() { }
 
-    /** Ends its work; on the event loop or off it. */
+    /** Stops the membership. Any thread. */
     default void close() { }
 }
--- a/front-door/src/main/java/nettletrail/core/PendingInput.java
+++ b/front-door/src/main/java/nettletrail/core/PendingInput.java
@@ -4,25 +4,25 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * What has come on a socket and lies unread. An event loop that is late knows what came before its last round only: a
- * connection that looks idle may hold a request, one whose request waits may have been closed by its client, a list that
- * looks current may be superseded. So whatever can't be taken back (a close, the first byte of an attempt) is preceded by
- * a look at the sockets whose word counts. What is left is the instant between two adjacent system calls, which no
- * process can close.
+ * Reads input that has arrived on a socket and is still unread. A late event loop has seen only what came before its
+ * last round: a connection that looks idle may hold a request, a waiting request's client may have disconnected, a list
+ * of endpoints may be outdated. Therefore each irrevocable step (a close, the first byte of an attempt) is preceded by
+ * a read of the sockets that it depends on. The remaining race is between two adjacent system calls, which no process
+ * can close.
  */
 public final class PendingInput {
     /**
-     * Reads of one look, each of which takes a MB at most: more than a kernel holds back on both sides, so that an end is
-     * found behind however much was sent, and a peer that goes on sending does not keep the loop for ever.
+     * Reads per call, each of at most 1 MB: more than the kernel buffers on both sides, so that a close is found behind
+     * any amount of data, and bounded, so that a peer that keeps sending can't hold the loop forever.
      */
     private static final int MAX_READS = 16;
 
     private PendingInput() { }
 
     /**
-     * Reads all that has come, as the loop would in its turns: bytes go down the pipeline, an end closes the channel, both
-     * before this returns. On the channel's loop, and not while its own reading is on the stack. Nothing on a channel that is
-     * no socket, is closed, or is not to be read.
+     * Reads all pending input as the loop would: bytes go through the pipeline and an end of stream closes the channel,
+     * both before this returns. Call it on the channel's loop, and not from within one of the channel's own reads. Does
+     * nothing on a channel that is no socket, is closed, or has auto-read turned off.
      */
     public static void readAll(Channel channel) {
         if (channel.isActive() && channel.config().isAutoRead()
@@ -32,7 +32,7 @@
             do {
                 socket.read();
             } while (channel.isActive() && channel.config().isAutoRead() && ++readCount < MAX_READS
-                    && allocHandle.lastBytesRead() > 0); // until there is nothing: an end lies behind the last bytes
+                    && allocHandle.lastBytesRead() > 0); // the end of stream lies behind the last bytes
         }
     }
 }
--- a/front-door/src/main/java/nettletrail/core/RequestClient.java
+++ b/front-door/src/main/java/nettletrail/core/RequestClient.java
@@ -2,15 +2,18 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Where a request's one final answer goes: just one of the three is called, once, on the event loop. */
+/**
+ * Receives a request's final response: exactly one of {@link #served}, {@link #rejected}, {@link #denied} and {@link
+ * #failed} is called, once, on the event loop.
+ */
 public interface RequestClient {
-    /** Served. The body is the caller's; what is kept of it must be retained. */
+    /** A successful response. The body is owned by the caller; retain what is kept of it. */
     void served(ByteBuf body, String contentType);
 
-    /** Declined, and trying again is harmless. 0 ns: no word on when to come again. */
+    /** Rejected; a retry is safe. The delay before a retry is in ns; 0 if unknown. */
     void rejected(long retryAfterNanos);
 
-    /** May not come in; nothing of it was sent on. In place of the three. */
+    /** Denied by the authorizer; nothing of the request was forwarded. */
     default void denied(Authorizer.Denial denial) {
         if (denial.status() == 503) {
             rejected(denial.retryAfterNanos());
@@ -19,11 +22,11 @@
         }
     }
 
-    /** Takes in what has come from it and was not read yet; false if it has left. */
+    /** Reads the client's pending input; false if the client has disconnected. */
     default boolean readPending() {
         return true;
     }
 
-    /** Failed, nothing promised about its effect: 502, or 504 if its time is up. */
+    /** Failed, and may or may not have taken effect: 502, or 504 after the deadline. */
     void failed(int status);
 }
--- a/front-door/src/main/java/nettletrail/core/RequestLimiter.java
+++ b/front-door/src/main/java/nettletrail/core/RequestLimiter.java
@@ -5,44 +5,44 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * A bound on what may be let in beside those that the module holds: it can turn a request away before the module hears of
- * it, and loosens nothing. Called on the event loop only; answers at once, without a call to anyone.
+ * A rate limit in addition to the decision module's quotas: it can reject a request before the module sees it, and
+ * relaxes none of the module's limits. Called on the event loop only; never blocks and makes no remote call.
  */
 public interface RequestLimiter {
-    /** Turns nobody away. */
+    /** Rejects nothing. */
     RequestLimiter NONE = new RequestLimiter() { };
 
-    /** Makes one; it begins its work at once. */
+    /** Creates a limiter, which starts at once. */
     interface Factory {
         /**
-         * @param name this front door's, unique in the installation
-         * @throws IllegalArgumentException if it can't with these settings; the message names the key
+         * @param name the front door's name, unique in the installation
+         * @throws IllegalArgumentException if the settings are unusable; the message names the key
          */
         RequestLimiter create(String name, EventLoop loop, GatewaySettingsReader reader, Gateway.Settings settings);
     }
 
-    /** Whether the request may be let in; if so its units are taken. */
+    /** Takes the request's units if the limit allows; false if the request must be rejected. */
     default boolean tryAcquire(InboundRequest request) {
         return true;
     }
 
-    /** For a request just turned away: ns after which one like it may be let in; 0 for no word. */
+    /** For a request just rejected: ns after which a retry may be accepted; 0 if unknown. */
     default long retryAfterNanos(InboundRequest request) {
         return 0;
     }
 
-    /** A request that was let in has ended, and nothing of it can have come whole to a backend. */
+    /** Returns the units of an accepted request that ended and cannot have reached a backend completely. */
     default void release(InboundRequest request) { }
 
-    /** The true units of one that was let in. */
+    /** The units that an accepted request actually cost, as reported by the backend. */
     default void unitsCharged(InboundRequest request, double units) { }
 
-    /** The meter's word for the request's customer, in percent of its plan's rate, over all front doors. */
+    /** Metered use of the request's customer over all front doors, in percent of its plan's rate. */
     default void quotaUsed(InboundRequest request, int usedPercent) { }
 
-    /** Which other front doors there are, before the first request. */
+    /** Gives access to the other front doors; called before the first request. */
     default void setMembership(Membership membership) { }
 
-    /** Ends its work; on the event loop or off it. */
+    /** Stops the limiter. Any thread. */
     default void close() { }
 }
--- a/front-door/src/main/java/nettletrail/core/RequestValidator.java
+++ b/front-door/src/main/java/nettletrail/core/RequestValidator.java
@@ -9,9 +9,9 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * What a request must look like to be taken on, whichever front it comes through. All that it names is held against
- * the settings before the module hears of it: one request with absurd units would move the module's means and with
- * them every customer's quota.
+ * Validates requests from every frontend. All values are checked against the settings before the decision module sees
+ * the request: a single request with absurd units would shift the module's averages and with them every customer's
+ * quota.
  */
 public final class RequestValidator {
     public static final AsciiString TXN = AsciiString.cached("X-Txn");
@@ -39,17 +39,17 @@
                 : largestPlanCapacity(settings.plans());
     }
 
-    /** Where the settings don't tell the largest request, one that no plan's store could hold is none. */
+    /** Without a largest request in the settings, units above the largest plan's capacity are invalid. */
     private static double largestPlanCapacity(List<Gateway.Plan> plans) {
         return plans.stream().mapToDouble(plan -> Math.max(plan.burstUnits(), plan.maxConcurrency())).max().orElse(1);
     }
 
     /**
-     * The request as the module is told it, or null if it is malformed.
+     * Returns the validated request, or null if it is malformed.
      *
-     * @param headers by name; a header that is absent is null
-     * @param body goes into the arrival as it is, not retained
-     * @param receivedAtNanos {@link System#nanoTime} of when it came
+     * @param headers by name; an absent header is null
+     * @param body put into the request as it is, not retained
+     * @param receivedAtNanos {@link System#nanoTime} of the request's arrival
      */
     public InboundRequest validate(HttpMethod method, String uri, Function<CharSequence, String> headers, ByteBuf body,
             long receivedAtNanos) {
@@ -81,8 +81,8 @@
     }
 
     /**
-     * What is wrong with a request that {@link #validate} would not take: the header, what it must be and what to do.
-     * Values of headers are not repeated: they are the client's, and the text goes into logs and answers.
+     * Describes the error of a request that {@link #validate} rejects: the header and what it must be. Header values
+     * are not repeated: they come from the client, and the text goes into logs and responses.
      */
     public String describeFault(HttpMethod method, Function<CharSequence, String> headers) {
         if (!isRequestId(headers.apply(TXN))) {
@@ -115,23 +115,26 @@
         return name + (headers.apply(name) == null ? " is missing: it " : ": it ") + rule;
     }
 
-    /** Whether it must not run twice. */
+    /** Whether the request must not be executed twice. */
     public boolean isNotRepeatable(InboundRequest request) {
         return settings.classes().get(request.requestClass()).idempotency() != Gateway.Idempotency.IDEMPOTENT;
     }
 
-    /** The method follows from the class: another is malformed, for it would say which may be sent again. */
+    /**
+     * The method that a class requires. Any other is malformed, since the method tells whether a request may be
+     * retried.
+     */
     public HttpMethod requiredMethod(int requestClass) {
         boolean repeatable = settings.classes().get(requestClass).idempotency() == Gateway.Idempotency.IDEMPOTENT;
         return repeatable ? HttpMethod.GET : HttpMethod.POST;
     }
 
-    /** The class that a request names, or -1. */
+    /** Index of the class that a request names, or -1. */
     public int requestClassOf(Function<CharSequence, String> headers) {
         return classes.indexOf(headers.apply(LANE));
     }
 
-    /** Whether the text is an id as clients give them. */
+    /** Whether the text is a valid request id: 16 hex digits. */
     public static boolean isRequestId(String text) {
         if (text == null || text.length() != ID_DIGITS) {
             return false;
@@ -144,7 +147,7 @@
         return true;
     }
 
-    /** Below 0 if it is no hex digit; digits of other scripts are none. */
+    /** The value of an ASCII hex digit; negative for any other character, also for digits of other scripts. */
     private static int hexDigit(char each) {
         if (each >= '0' && each <= '9') {
             return each - '0';
@@ -153,7 +156,7 @@
         return letter >= 'a' && letter <= 'f' && each < 0x80 ? letter - 'a' + 10 : -1;
     }
 
-    /** The number that 16 hex digits are, or below 0: a sign is no digit. */
+    /** Parses 16 hex digits; negative if the text is anything else, also with a sign. */
     private static long parseHex(String text) {
         if (text == null || text.length() != ID_DIGITS) {
             return -1;
--- a/front-door/src/main/java/nettletrail/core/SecretFile.java
+++ b/front-door/src/main/java/nettletrail/core/SecretFile.java
@@ -11,7 +11,7 @@
 import java.util.Arrays;
 import java.util.Set;
 
-/** Secrets in files that only this user may read. */
+/** Reads secrets from files that only the current user may access. */
 public final class SecretFile {
     private static final int MAX_BYTES = 4_096;
     private static final Set<PosixFilePermission> FORBIDDEN_PERMISSIONS = Set.of(PosixFilePermission.GROUP_READ,
@@ -20,9 +20,9 @@
     private SecretFile() { }
 
     /**
-     * The secret in the file without the end of its line, read anew each time; the caller's to blank.
+     * Reads the secret without its line end, anew on each call. The caller must clear the array after use.
      *
-     * @throws IOException if it can't be read or others may read it; the message doesn't tell what is in it
+     * @throws IOException if the file can't be read or others may access it; the message doesn't contain the secret
      */
     public static char[] read(String file) throws IOException {
         Path path = Path.of(file);
--- a/front-door/src/main/java/nettletrail/core/SettingsSection.java
+++ b/front-door/src/main/java/nettletrail/core/SettingsSection.java
@@ -7,24 +7,24 @@
 import java.util.function.Consumer;
 
 /**
- * One section of the operator file: its keys, each with type, range, default and a line of help. A subsystem's
- * settings are a record made of the values that {@link #read} returns. Knows nothing of files or of TOML.
+ * One section of the operator file: its keys, each with type, range, default and a help line. A subsystem builds its
+ * settings record from the values that {@link #read} returns. Independent of files and of TOML.
  */
 public final class SettingsSection {
 
-    /** What a key holds. */
+    /** Type of a key's value. */
     public enum Kind { BOOLEAN, INTEGER, STRING, ADDRESS }
 
     /**
      * One key.
      *
-     * @param min of a whole number; of a text, its fewest characters; else unused
-     * @param max the same upwards
-     * @param defaultValue the value where the file has none
-     * @param help one line for operators, with the unit
+     * @param min smallest whole number, or fewest characters of a text; otherwise unused
+     * @param max largest whole number, or most characters of a text; otherwise unused
+     * @param defaultValue the value if the file has none
+     * @param help help line for operators, with the unit
      */
     public record Key(String name, Kind kind, long min, long max, Object defaultValue, String help) {
-        /** The range in words. */
+        /** The allowed values in words. */
         public String range() {
             return switch (kind) {
                 case BOOLEAN -> "true or false";
@@ -36,9 +36,9 @@
     }
 
     /**
-     * What is wrong with a value.
+     * An invalid key or value.
      *
-     * @param key the key's name, without the section's
+     * @param key the key's name, without the section's name
      * @param message the rule that the value breaks, and what to do
      */
     public record Fault(String key, String message) { }
@@ -64,7 +64,7 @@
         return add(new Key(key, Kind.STRING, min, max, defaultValue, help));
     }
 
-    /** {@code IP:PORT}, or an empty text for none. */
+    /** Adds a key for {@code IP:PORT}, or an empty text for none. */
     public SettingsSection address(String key, String defaultValue, String help) {
         return add(new Key(key, Kind.ADDRESS, 0, 0, defaultValue, help));
     }
@@ -87,10 +87,10 @@
     }
 
     /**
-     * The section's values, defaults where it gives none or a wrong one.
+     * Returns the section's values, with defaults for absent and invalid ones.
      *
-     * @param configured by key; numbers as {@link Long}, texts as {@link String}, flags as {@link Boolean}
-     * @param faults hears of each key that is not known or whose value breaks its rule
+     * @param configured values by key; numbers as {@link Long}, texts as {@link String}, flags as {@link Boolean}
+     * @param faults receives each unknown key and each value that breaks its rule
      */
     public Values read(Map<String, Object> configured, Consumer<Fault> faults) {
         Map<String, Object> values = new LinkedHashMap<>();
@@ -123,7 +123,7 @@
         };
     }
 
-    /** Checked values, by key. */
+    /** Validated values by key. */
     public record Values(Map<String, Object> values) {
         public Values {
             values = Map.copyOf(values);
--- a/front-door/src/main/java/nettletrail/core/package-info.java
+++ b/front-door/src/main/java/nettletrail/core/package-info.java
@@ -1,2 +1,5 @@
-/** Live requests and their attempts, for every front: the rules' bookkeeping, and the seams to what carries attempts and to who gets answers. Runs on one event loop. */
+/**
+ * Request handling that all frontends share: active requests and their attempts, and the interfaces to transports,
+ * clients, limiter, authorizer and membership. Runs on one event loop.
+ */
 package nettletrail.core;
--- a/front-door/src/main/java/nettletrail/door/FrontDoor.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoor.java
@@ -44,39 +44,40 @@
 import nettletrail.http.ClientHandler;
 import nettletrail.upstream.BackendPool;
 
-/** One front door: its parts, its start, when it is ready and how it ends. */
+/** One front door: creates its parts, starts, reports readiness, evicts connections and drains. */
 public final class FrontDoor implements ClientHandler.Owner, Endpoint.Listener {
-    /** New connections go on coming for so long after SIGTERM. */
+    /** New connections are accepted for this long after SIGTERM. */
     static final long ACCEPT_AFTER_TERM_MS = 500;
-    /** No client waits longer, by the protocol; {@link #maxDeadlineMs} may be less. */
+    /** The protocol's longest client deadline; {@link #maxDeadlineMs} may be shorter. */
     static final long MAX_DEADLINE_MS = 3_000;
     /**
-     * Kept at the end of a drain for the last answers' way out: what is open then is answered as if its time were up.
-     * With the above it ends 0.05 s before SIGKILL may come, 0.7 s and the settings' longest deadline after SIGTERM.
+     * Reserved at the end of a drain for sending the last responses: requests that are still open then are answered as
+     * if their deadline had passed. With the times above, a drain ends 0.05 s before the earliest SIGKILL, which comes
+     * 0.7 s and the settings' longest deadline after SIGTERM.
      */
     private static final long FINAL_RESPONSES_MS = 150;
-    /** Who connected so lately may have a request on its way: its connection is not closed as idle in a drain. */
+    /** A connection as recent as this may have a request in flight: a drain does not close it as idle. */
     static final long RECENT_CONNECTION_NANOS = 100_000_000L;
-    /** Without discovery, the list that the configuration holds has to do after this time. */
+    /** After this time without discovery, the front door becomes ready with the configuration's list of backends. */
     private static final long MAX_DISCOVERY_WAIT_MS = 1_000;
     private static final long SWEEP_MS = 200;
-    /** A connection with no request open is closed after so long; with the sweep's period, well inside 3 s. */
+    /** A connection without an open request is closed after this time; with the sweep's period, well within 3 s. */
     private static final long MAX_IDLE_NANOS = 2_000_000_000L;
     /**
-     * Over a quarter of the descriptors, a connection that has stood for so long makes room for a new one. Clients may
-     * hold a third of them for requests, and many ask once and keep theirs: with all of these standing for 2 s, who
-     * comes next could not connect at all. It guards as well against silent crowds, long before the cap. Harm: a pool
-     * of clients larger than that opens some connections anew.
+     * Once clients use a quarter of the descriptors, a connection idle for this long is evicted for a new one. Clients
+     * may use a third of the descriptors for requests, and many send one request and keep the connection: with all of
+     * these idle for 2 s, the next client could not connect at all. This also protects against many silent connections
+     * long before the maximum. Drawback: a larger pool of clients has to reopen some connections.
      */
     private static final long MIN_EVICTION_IDLE_NANOS = 300_000_000L;
-    /** Descriptors that are neither clients' nor backends': files of the JVM, the selector, discovery. */
+    /** Descriptors reserved for other uses than clients and backends: files of the JVM, the selector, discovery. */
     private static final int RESERVED_SOCKETS = 48;
-    /** Bytes of one read of a client's connection. */
+    /** Smallest receive buffer of a client connection. */
     private static final int MIN_READ_BYTES = 2 << 10;
     private static final int MAX_READ_BYTES = 64 << 10;
-    /** Of one connection; as many as Netty's own. */
+    /** Reads of one connection per turn of the loop; Netty's default. */
     private static final int MAX_READS_PER_TURN = 16;
-    /** Connections that the kernel may have accepted and that are not taken yet. */
+    /** Length of the kernel's accept queue. */
     private static final int LISTEN_BACKLOG = 1024;
 
     private final EventLoopClock clock = new EventLoopClock();
@@ -96,19 +97,19 @@
     private final List<Frontend> frontends = new ArrayList<>();
     private final Set<ClientHandler> clients = new LinkedHashSet<>();
     private final CountDownLatch drained = new CountDownLatch(1);
-    /** Null until others can connect. */
+    /** The listening socket; null until clients can connect. */
     private volatile Channel serverChannel;
-    /** Client connections so far. */
+    /** Number of client connections accepted so far. */
     private long acceptedCount;
-    /** At so many listening ends, 0 before its end began. */
+    /** Accepted connections at which listening ends; 0 until it starts to end. */
     private long acceptLimit;
     private boolean discoveryReady;
     private volatile boolean draining;
 
-    /** The project's own. */
+    /** Creates this project's decision module. */
     public static final Dispatcher.GatewayFactory GATEWAY_FACTORY = GatewayDecider::new;
 
-    /** No lambda: one that isn't in the archive of classes costs each start more. */
+    /** A class, not a lambda: a lambda that is missing from the class archive makes each start slower. */
     private static final class ApertureGatewayFactory implements Dispatcher.GatewayFactory {
         private final Dispatcher.GatewayFactory factory;
         private final int index;
@@ -154,13 +155,16 @@
         dispatcher.setDiscoveryPoll(discovery::readPending);
     }
 
-    /** Of the list that the configuration holds, or below 0: what is newer is less than the whole list. */
+    /**
+     * Version of the configuration's list of backends; negative if it has none, so that discovery is asked for a whole
+     * list.
+     */
     private static long knownVersion(Map<?, ?> known) {
         boolean whole = known.get("endpoints") instanceof List<?> entries && !entries.isEmpty();
         return whole && known.get("index") instanceof Number n ? n.longValue() : -1;
     }
 
-    /** Serves until SIGTERM. Exits with 2 and one line on standard error if it can't start. */
+    /** Serves until SIGTERM. Exits with status 2 and one line on standard error if it can't start. */
     public static void serve(Map<String, String> env, FrontDoorExtensions extensions) throws InterruptedException {
         Log.install();
         FrontDoor door;
@@ -175,7 +179,7 @@
         onHangup(() -> prepared.reload(env));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             prepared.drain();
-            // Out of a hook the exit status would be the signal's.
+            // Returning from the hook would exit with the signal's status.
             Runtime.getRuntime().halt(0);
         }, "drain"));
         try {
@@ -183,29 +187,32 @@
             prepared.open();
         } catch (IllegalArgumentException e) {
             System.err.println("nettletrail: " + e.getMessage());
-            Runtime.getRuntime().halt(2); // by exit, the hook would make it 0
+            Runtime.getRuntime().halt(2); // System.exit would run the hook, which sets the status to 0
         }
     }
 
-    /** By itself a JVM ends on SIGHUP, with all that it holds; the standard library has no other way to hear it. */
+    /**
+     * Handles SIGHUP, which otherwise ends the JVM with all its requests; the standard library has no other way to
+     * receive it.
+     */
     static void onHangup(Runnable reload) {
         sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reload.run());
     }
 
-    /** Takes in where the replaced configuration puts discovery; one that can't be used changes nothing. */
+    /** Applies the discovery address of the replaced configuration; an unusable configuration changes nothing. */
     void reload(Map<String, String> env) {
         try {
             InetSocketAddress agent = FrontDoorConfig.currentDiscoveryAddress(env);
             loop.execute(() -> discovery.switchAgent(agent));
         } catch (FrontDoorConfig.InvalidConfigException e) {
-            Log.line("SIGHUP: " + e.getMessage() + "; the old configuration stays");
+            Log.line("SIGHUP: " + e.getMessage() + "; keeping the current configuration");
         }
     }
 
     /**
-     * Starts one in this process; it isn't ready before it has heard from discovery.
+     * Starts a front door in this process; it becomes ready once discovery has answered or after 1 s.
      *
-     * @throws IllegalArgumentException if it can't, with a line that says why
+     * @throws IllegalArgumentException if it can't start; the message is one line with the reason
      */
     public static FrontDoor start(FrontDoorConfig config, Dispatcher.GatewayFactory factory,
             Frontend.Factory... extensions)
@@ -213,7 +220,7 @@
         return start(config, factory, new FrontDoorExtensions(List.of(extensions), FrontDoorExtensions.NONE.limiter()));
     }
 
-    /** The same with all that an operator file may turn on. */
+    /** The same with all extensions of an operator file. */
     public static FrontDoor start(FrontDoorConfig config, Dispatcher.GatewayFactory factory,
             FrontDoorExtensions extensions)
             throws InterruptedException {
@@ -222,7 +229,7 @@
         return door;
     }
 
-    /** The same, but nobody can come yet: that is for {@link #open}. */
+    /** The same, but without listening yet: see {@link #open}. */
     static FrontDoor prepare(FrontDoorConfig config, Dispatcher.GatewayFactory factory, FrontDoorExtensions extensions)
             throws InterruptedException {
         FrontDoor door = new FrontDoor(config, factory, extensions);
@@ -242,9 +249,9 @@
     }
 
     /**
-     * From here on others can connect, on all fronts. Any thread but the loop.
+     * Starts listening on all frontends. Any thread but the loop.
      *
-     * @throws IllegalArgumentException if it can't listen, with a line that says why; it is stopped then
+     * @throws IllegalArgumentException if it can't listen, after stopping; the message is one line with the reason
      */
     void open() throws InterruptedException {
         try {
@@ -259,11 +266,12 @@
     }
 
     /**
-     * A dry run, before anybody can come: what clients ask first would otherwise be served by cold code. It keeps the loop
-     * late, by a second and more on a part of a core, so that a front door that could be reached meanwhile (after a restart
-     * clients come at once) would answer late, and go on sending by a list that is superseded by one it has not read.
+     * Runs the warm-up before clients can connect, as the first requests would otherwise be served by cold code. It
+     * keeps the loop busy, for a second and more on a fraction of a core: a front door that listened meanwhile (after a
+     * restart clients connect at once) would answer late, and would send by an outdated list because it has not read
+     * the newer one.
      *
-     * @return counted down when it is over
+     * @return counted down when the warm-up has finished
      */
     CountDownLatch warmUp() {
         CountDownLatch over = new CountDownLatch(1);
@@ -273,7 +281,9 @@
         return over;
     }
 
-    /** Bound on the loop, which also begins the drain: one that was told to end while it warmed up never listens. */
+    /**
+     * Binds on the loop, which also starts the drain: a front door that is drained during its warm-up never listens.
+     */
     private void listen() throws InterruptedException {
         ChannelFuture bound = loop.submit(this::bind).sync().getNow();
         if (bound == null) {
@@ -295,7 +305,7 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // A look mostly reads nothing, by which the next read's buffer would get smaller than a request.
+                // A poll mostly reads nothing, which would shrink the next read's buffer below the size of a request.
                 .childOption(ChannelOption.RCVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, MIN_READ_BYTES, MAX_READ_BYTES)
                         .maxMessagesPerRead(MAX_READS_PER_TURN))
@@ -309,7 +319,7 @@
         return bound;
     }
 
-    /** Whether others can connect. Any thread. */
+    /** Whether clients can connect. Any thread. */
     boolean listens() {
         return serverChannel != null && serverChannel.isOpen();
     }
@@ -318,7 +328,7 @@
         return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    /** Ends at once: for a start that failed, and for tests. */
+    /** Stops at once, without a drain: for a failed start, and for tests. */
     public void stop() {
         frontends.forEach(Frontend::close);
         limiter.close();
@@ -327,25 +337,26 @@
         group.shutdownGracefully(0, 2, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** The longest that a client waits, by the settings. */
+    /** The longest client deadline of the settings in ms, at most the protocol's. */
     private long maxDeadlineMs() {
         return Math.min(MAX_DEADLINE_MS, config.settings().maxDeadlineNanos() / 1_000_000);
     }
 
-    /** From SIGTERM to the end at the latest: all the time of a request that came last; before SIGKILL. */
+    /** Longest duration of a drain in ms: it covers the whole deadline of the last request, and ends before SIGKILL. */
     long maxDrainMs() {
         return ACCEPT_AFTER_TERM_MS + maxDeadlineMs() + FINAL_RESPONSES_MS;
     }
 
     /**
-     * Takes no more than it must, answers all that it holds, and returns when that is done. Its times count from this
-     * call, as SIGKILL's does, and not from when the loop gets to it.
+     * Stops accepting connections after a while, answers all active requests, and returns when that is done. Its times
+     * count from this call, as SIGKILL's does, and not from when the loop runs it.
      */
     public void drain() {
         long from = System.nanoTime();
         loop.execute(() -> {
-            Log.line("SIGTERM: draining, " + dispatcher.activeRequestCount() + " held");
-            // Answers now say that the connection closes; clients go on connecting for a while, and are served.
+            Log.line("SIGTERM: draining, " + dispatcher.activeRequestCount() + " requests active");
+            // Responses now announce that the connection closes; new connections are still accepted and served for a
+            // while.
             draining = true;
             frontends.forEach(Frontend::drain);
             long elapsedMs = (System.nanoTime() - from) / 1_000_000;
@@ -353,19 +364,22 @@
                 stopListening();
                 loop.scheduleWithFixedDelay(this::checkDrained, 0, 10, TimeUnit.MILLISECONDS);
             }, ACCEPT_AFTER_TERM_MS - elapsedMs, TimeUnit.MILLISECONDS);
-            // A loop that read a request late counts its time from then: cut off by the exit, it would be lost.
+            // A late loop counts a request's deadline from the late read: the exit would cut that request off.
             loop.schedule(dispatcher::expireAll, maxDrainMs() - FINAL_RESPONSES_MS - elapsedMs, TimeUnit.MILLISECONDS);
         });
         try {
             boolean all = drained.await(maxDrainMs(), TimeUnit.MILLISECONDS);
-            Log.line(all ? "drained" : "drain: time is up");
+            Log.line(all ? "drained" : "drain: deadline reached");
             membership.leave();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** What the kernel has accepted is ours: it may hold a request, and a close of the listener would reset it. */
+    /**
+     * Accepts the kernel's queue before closing: a queued connection may hold a request, and closing the listener
+     * resets it.
+     */
     void stopListening() {
         if (serverChannel == null) {
             return;
@@ -373,21 +387,24 @@
         long before = -1;
         long limit = acceptedCount + evictionThreshold;
         acceptLimit = acceptLimit == 0 ? acceptedCount + LISTEN_BACKLOG
-                : acceptLimit; // who comes while this goes on has no end
+                : acceptLimit; // a limit, as clients may keep connecting meanwhile
         while (before < acceptedCount && acceptedCount < limit && clients.size() < maxClients + evictionThreshold) {
             before = acceptedCount;
-            serverChannel.config().setAutoRead(true); // it may have waited for room
+            serverChannel.config().setAutoRead(true); // accepting may have been paused
             PendingInput.readAll(serverChannel);
         }
         if (acceptedCount >= limit && acceptedCount < acceptLimit && clients.size() < maxClients + evictionThreshold) {
-            // The descriptors of those that made room are free only after the loop's next look at its sockets.
+            // Descriptors of evicted connections are freed only at the loop's next select.
             loop.schedule(this::stopListening, 1, TimeUnit.MILLISECONDS);
         } else {
             serverChannel.close();
         }
     }
 
-    /** A connection is gone only when its last answer is written, so that none is cut off by the exit. */
+    /**
+     * Ends the drain when all is answered. A connection is removed only once its last response is written, so that the
+     * exit cuts none off.
+     */
     private void checkDrained() {
         closeIdle(RECENT_CONNECTION_NANOS);
         if (dispatcher.activeRequestCount() == 0 && clients.isEmpty() && !listens()
@@ -396,7 +413,7 @@
         }
     }
 
-    /** Closes the connections that have stood between two requests for longer than this, ns. On the loop. */
+    /** Closes connections that have been idle for longer than this, in ns. On the loop. */
     void closeIdle(long minIdleNanos) {
         long now = System.nanoTime();
         for (ClientHandler client : List.copyOf(clients)) {
@@ -406,17 +423,17 @@
         }
     }
 
-    /** The one that all of it runs on. */
+    /** The event loop that everything here runs on. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Requests taken on and not answered, or with an attempt still out. Any thread. */
+    /** Number of requests that have no final response yet or still have an open attempt. Any thread. */
     public int activeRequestCount() {
         return loop.submit(dispatcher::activeRequestCount).syncUninterruptibly().getNow();
     }
 
-    /** Client connections open; to be asked on the loop. */
+    /** Number of open client connections. On the loop. */
     int clients() {
         return clients.size();
     }
@@ -428,7 +445,7 @@
         }
     }
 
-    // ---- What connections and discovery tell ------------------------------------------------------------
+    // ---- Callbacks of connections and discovery ---------------------------------------------------------
 
     @Override
     public boolean ready() {
@@ -454,15 +471,15 @@
     }
 
     /**
-     * Makes room by a connection with no request open: refusing the new one could lose a request written to it.
-     * First one that never said anything, as those that come by hundreds do, then one that stopped within a
-     * request, then the one longest idle. False if there is none that has stood for so long.
+     * Evicts a connection without an open request: closing the new one instead could lose a request written to it.
+     * Prefers a connection that never sent anything, as in a connection flood, then one that stopped within a request,
+     * then the one idle longest. False if none has been idle for long enough.
      */
     private boolean closeOldest(ClientHandler newest, long minIdleNanos) {
         for (ClientHandler oldest = oldest(newest, minIdleNanos); oldest != null; oldest = oldest(newest,
                 minIdleNanos)) {
-            // Left out at once: the channel tells its end only at the loop's next turn, and for all that are taken
-            // in the same turn the same one would be found again. A crowd would grow past every descriptor.
+            // Removed at once: the channel reports its close only at the loop's next turn, and for all connections
+            // accepted in the same turn the same one would be chosen again. A flood would then use up every descriptor.
             if (oldest.closeIfEvictable()) {
                 clients.remove(oldest);
                 return true;
--- a/front-door/src/main/java/nettletrail/door/FrontDoorConfig.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoorConfig.java
@@ -12,21 +12,21 @@
 import nettletrail.decision.GatewaySettingsReader;
 
 /**
- * What a front door is told at its start.
+ * A front door's configuration, read at its start.
  *
- * @param name its name, the same after a restart
- * @param listen where clients connect
- * @param discovery where discovery's agent listens
- * @param seed for random numbers
- * @param maxSockets descriptors that the process may hold
- * @param knownEndpoints the list of backends as last held, in discovery's form; it may be old
+ * @param name the front door's name, the same after a restart
+ * @param listen address that clients connect to
+ * @param discovery address of the discovery agent
+ * @param seed seed for random numbers
+ * @param maxSockets number of file descriptors that the process may use
+ * @param knownEndpoints the last known list of backends, in discovery's format; may be outdated
  * @param settings the deployment's settings
  */
 public record FrontDoorConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
         int maxSockets,
         Map<?, ?> knownEndpoints, GatewaySettingsReader settings) {
 
-    /** A configuration that can't be used; the message is one line that says why. */
+    /** The configuration is unusable; the message is one line with the reason. */
     public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Reads the variables and the file that they name. */
+    /** Reads the environment variables and the file that they name. */
     public static FrontDoorConfig read(Map<String, String> env) throws InvalidConfigException {
         String name = requiredVariable(env, "EDGE_NAME");
         InetSocketAddress listen = address(requiredVariable(env, "EDGE_LISTEN"), "EDGE_LISTEN");
@@ -51,7 +51,7 @@
                 new GatewaySettingsReader(text.toString()));
     }
 
-    /** Where the file, perhaps replaced since the start, says that discovery's agent listens now. */
+    /** The discovery agent's address from the file, which may have been replaced since the start. */
     static InetSocketAddress currentDiscoveryAddress(Map<String, String> env) throws InvalidConfigException {
         Object address = readFile(requiredVariable(env, "EDGE_CONFIG")).get("discovery");
         return address(String.valueOf(address), "EDGE_CONFIG: discovery");
@@ -60,7 +60,7 @@
     private static InetSocketAddress address(String text, String source) throws InvalidConfigException {
         InetSocketAddress address = Endpoint.parseAddress(text);
         if (address == null) {
-            throw new InvalidConfigException(source + ": '" + text + "' is no address of the form IP:PORT");
+            throw new InvalidConfigException(source + ": '" + text + "' is not an address of the form IP:PORT");
         }
         return address;
     }
@@ -87,7 +87,8 @@
         try {
             return Long.parseUnsignedLong(String.valueOf(file.get("seed")), 16);
         } catch (NumberFormatException e) {
-            throw new InvalidConfigException("EDGE_CONFIG: seed '" + file.get("seed") + "' is no hexadecimal number");
+            throw new InvalidConfigException("EDGE_CONFIG: seed '" + file.get("seed")
+                    + "' is not a hexadecimal number");
         }
     }
 
@@ -95,10 +96,10 @@
         if (file.get(key) instanceof Map<?, ?> map) {
             return map;
         }
-        throw new InvalidConfigException("EDGE_CONFIG: '" + key + "' is missing or no object");
+        throw new InvalidConfigException("EDGE_CONFIG: '" + key + "' is missing or not an object");
     }
 
-    /** Writes nested JSON as the simulator writes settings, so that one reader serves both. */
+    /** Flattens nested JSON into the simulator's settings format, so that one reader serves both. */
     private static void flatten(String path, Object value, StringBuilder to) {
         if (value instanceof Map<?, ?> map) {
             map.forEach((key, inner) -> flatten(path.isEmpty() ? "" + key : path + "." + key, inner, to));
--- a/front-door/src/main/java/nettletrail/door/FrontDoorWarmUp.java
+++ b/front-door/src/main/java/nettletrail/door/FrontDoorWarmUp.java
@@ -32,12 +32,12 @@
 import nettletrail.upstream.BackendPool;
 
 /**
- * Requests of nobody, from a client to a backend that both live in this process, before the front door is ready: a
- * JVM interprets what it has not run often, and with a part of a core the first clients would wait for seconds and be
- * refused, while the module took the delay for slow backends. Parts of its own, with a module of its own: nothing is
- * learned here that stays, and no socket is opened. It guards as well against any slow first use (classes, compiler,
- * buffers). It does harm where a front door is missed more while it warms up than it would lose cold, so its time is
- * bounded.
+ * Sends synthetic requests from an in-process client to an in-process backend before the front door is ready. A JVM
+ * interprets code that it has not run often: on a fraction of a core the first clients would wait for seconds and be
+ * rejected, and the decision module would take the delay for slow backends. The warm-up also covers other slow first
+ * uses (class loading, compilation, buffers). It has its own dispatcher and decision module, so that no state remains,
+ * and opens no socket. Its duration is bounded: a front door that is missing for longer than it would be slow is worse
+ * than a cold one.
  */
 final class FrontDoorWarmUp implements ClientHandler.Owner {
     private static final int REQUESTS = 250;
@@ -80,7 +80,10 @@
                 FrontDoor.GATEWAY_FACTORY);
     }
 
-    /** Runs on the loop, between all else that it does; at the end, or when its time is up, goes on with what follows. */
+    /**
+     * Runs on the loop, interleaved with its other work; then, or after {@link #MAX_DURATION_MS}, calls {@code
+     * onFinished}.
+     */
     void start(Runnable onFinished) {
         this.onFinished = onFinished;
         startedAt = System.nanoTime();
@@ -129,7 +132,7 @@
         return served;
     }
 
-    /** Of each class and plan in turn, within the smallest quota. */
+    /** A request of each class and plan in turn, small enough for the smallest quota. */
     private String request(int number) {
         int kind = number % classes.size();
         boolean get = settings.classes().get(kind).idempotency() == Gateway.Idempotency.IDEMPOTENT;
@@ -145,7 +148,7 @@
         context.writeAndFlush(ByteBufUtil.writeAscii(context.alloc(), text));
     }
 
-    /** A client: the next request when the last is answered. */
+    /** A client that sends its next request when the previous one is answered. */
     private final class SyntheticClient extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -169,7 +172,7 @@
         }
     }
 
-    /** A backend that answers each request at once, with all that an answer may tell. */
+    /** A backend that answers each request at once, with every response header. */
     private final class SyntheticBackend extends ChannelInboundHandlerAdapter {
         private final String answer = "HTTP/1.1 200 OK\r\nContent-Length: 7\r\nX-Quota-Used: 10\r\nX-Units-Charged: 1\r\n"
                 + "X-Pressure: " + String.join("=0,", reader.loadReportFields()) + "=0\r\n\r\ndry run";
@@ -185,7 +188,7 @@
         }
     }
 
-    // ---- The door that it plays -------------------------------------------------------------------------
+    // ---- Owner of the client connections ----------------------------------------------------------------
 
     @Override
     public boolean ready() {
--- a/front-door/src/main/java/nettletrail/door/Main.java
+++ b/front-door/src/main/java/nettletrail/door/Main.java
@@ -6,8 +6,8 @@
 import nettletrail.sim.SimulatorAdapter;
 
 /**
- * The command line: {@code serve} is one front door on sockets, {@code adapter} hosts instances of the module on
- * the simulator's wire.
+ * The command line: {@code serve} runs one front door on sockets, {@code adapter} runs instances of the decision module
+ * for the simulator.
  */
 public final class Main {
     private Main() { }
--- a/front-door/src/main/java/nettletrail/door/package-info.java
+++ b/front-door/src/main/java/nettletrail/door/package-info.java
@@ -1,2 +1,2 @@
-/** One front door: its configuration, start, dry run, reload and drain. */
+/** One front door: its configuration, start, warm-up, reload and drain. */
 package nettletrail.door;
--- a/front-door/src/main/java/nettletrail/sim/SimulatorAdapter.java
+++ b/front-door/src/main/java/nettletrail/sim/SimulatorAdapter.java
@@ -19,7 +19,10 @@
 import nettletrail.decision.GatewaySettingsReader;
 import nettletrail.decision.InvalidInputException;
 
-/** Hosts instances of the module on the simulator's wire: framing and translation, nothing else. */
+/**
+ * Runs instances of the decision module for the simulator: frames, events and actions of its wire protocol, nothing
+ * else.
+ */
 public final class SimulatorAdapter {
     private static final int EVENT_SIZE = 56;
     private static final int ACTION_SIZE = 24;
@@ -41,7 +44,7 @@
         this.out = out;
     }
 
-    /** Answers batches until the input ends. */
+    /** Processes batches until the input ends. */
     public void run() throws IOException {
         ByteBuffer header = buffer(BATCH_HEADER);
         while (readHeader(header)) {
@@ -149,7 +152,7 @@
                     (body.getShort(at + 21) & 0xffff) - 1, body.getShort(at + 23) & 0xffff, instance.load(at + 33)));
             case 1050 -> instance.gateway.onRequestCancelled(now, body.getLong(at + 4));
             case 1060 -> instance.gateway.onTimer(now, body.getInt(at + 4));
-            default -> { } // begun, probe_result, whisper, added: nothing that the module asks for
+            default -> { } // begun, probe_result, whisper, added: not used by the module
         }
     }
 
@@ -179,7 +182,7 @@
         };
     }
 
-    /** Where a tail field starts in the body, after a check that it lies inside the tail. */
+    /** Offset of a tail field in the body, checked to lie inside the tail. */
     private int tailStart(int field, int tail, int end, int size, String context) {
         long offset = body.getInt(field) & 0xffffffffL;
         long length = (body.getInt(field + 4) & 0xffffffffL) * size;
@@ -201,7 +204,7 @@
         return buffer(2 * from.capacity() + room).put(from.flip());
     }
 
-    /** One instance, and the translation of what it asks for. */
+    /** One instance of the module, and the translation of its actions. */
     private final class GatewayInstance implements Gateway.Actions {
         private final short number;
         private final int waitingAt;
@@ -231,7 +234,7 @@
             return position < 0 || position >= n ? Double.NaN : body.getFloat(at + 1 + 4 * position);
         }
 
-        /** Starts an action's record; the caller puts its fields at the place returned. */
+        /** Appends an action's record; the caller writes its fields at the returned offset. */
         private int action(int code) {
             actions = withCapacity(actions, ACTION_SIZE);
             int at = actions.position();
--- a/front-door/src/main/java/nettletrail/sim/package-info.java
+++ b/front-door/src/main/java/nettletrail/sim/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter that hosts the decision module on the simulator's wire. */
+/** The adapter that runs the decision module for the simulator. */
 package nettletrail.sim;
