--- a/front-door/src/test/java/nettletrail/core/DispatcherAuthorizationTest.java
+++ b/front-door/src/test/java/nettletrail/core/DispatcherAuthorizationTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The seam between dispatcher, admission, bound and module: who hears what, once, and when. */
+/**
+ * Checks the order in which the dispatcher calls the authorizer, the limiter and the decision module, and that each is
+ * called once.
+ */
 class DispatcherAuthorizationTest {
     private static final Authorizer.Denial DENIAL = new Authorizer.Denial(401, "Bearer", "no", 0);
     private static final String SETTINGS = "Services.count=1\nServices.0.Name=s\nServices.0.Aim=1000000000\n"
@@ -26,7 +29,7 @@
 
     private final DefaultEventLoopGroup group = new DefaultEventLoopGroup(1);
     private final EventLoop loop = group.next();
-    /** Each thing that somebody heard, in order. */
+    /** Every call that a part received, in order. */
     private final List<String> heard = new ArrayList<>();
     private final ByteBuf body = Unpooled.buffer().writeByte(1);
     private Authorizer.Decision word = new Authorizer.Pending();
--- a/front-door/src/test/java/nettletrail/core/PendingInputTest.java
+++ b/front-door/src/test/java/nettletrail/core/PendingInputTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A look finds the end behind more than one of the loop's own reads would take. */
+/** A close is found behind more data than the event loop reads in one turn. */
 @Timeout(30)
 class PendingInputTest {
     @Test
--- a/front-door/src/test/java/nettletrail/door/ClientDisconnectTest.java
+++ b/front-door/src/test/java/nettletrail/door/ClientDisconnectTest.java
@@ -23,32 +23,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A request whose client left while it waited reaches no backend, though the loop was at something else for half a
- * second and has not read that the client left: in each case the loop is held at the instant, the client goes, and what
- * would send the request is the first thing that the loop does. Backends count what comes.
+ * Guards against sending a waiting request to a backend after its client has disconnected. The failure comes about when
+ * the event loop is busy for half a second and has not read the disconnect yet. Each test pauses the loop at the
+ * critical moment, disconnects the client, and lets the loop's next step be the one that would send the request.
  */
 @Timeout(60)
 class ClientDisconnectTest {
     @TempDir
     private Path folder;
-    private FrontDoorFixture rig;
-    private final PausingGateway module = new PausingGateway();
+    private FrontDoorFixture fixture;
+    private final PausingGateway gateway = new PausingGateway();
     private ServerSocket backend;
 
     @BeforeEach
     void setUp() throws IOException {
-        rig = new FrontDoorFixture(folder);
-        backend = rig.backend();
+        fixture = new FrontDoorFixture(folder);
+        backend = fixture.backend();
     }
 
     @AfterEach
     void tearDown() throws Exception {
-        module.resume();
-        rig.close();
+        gateway.resume();
+        fixture.close();
     }
 
     private FrontDoor start() throws Exception {
-        return rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        return fixture.start(gateway.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
     }
 
     private static void disconnect(TestPeer client, boolean reset) throws IOException {
@@ -65,195 +65,204 @@
     }
 
     private void pauseLoop(String txn) throws Exception {
-        rig.client().write(PausingGateway.pausingRequest(txn));
-        module.awaitPaused();
+        fixture.client().write(PausingGateway.pausingRequest(txn));
+        gateway.awaitPaused();
     }
 
-    /** What was asked to be sent never left, and the request is over: what it drew is given back by that. */
+    /** The attempt was never sent and the request has ended, which returns its units. */
     private void assertNeverSent() throws InterruptedException {
-        Gateway.AttemptReport told = PausingGateway.next(module.answers);
+        Gateway.AttemptReport told = PausingGateway.next(gateway.answers);
         assertEquals(Gateway.Outcome.NEVER_SENT, told.outcome());
         assertTrue(told.requestEnded());
     }
 
-    /** However late the loop is: also where it is not, but has the event that sends before the one that tells. */
+    /**
+     * At any delay of the loop: also without one, when the event that sends precedes the one that reports the
+     * disconnect.
+     */
     @ParameterizedTest
     @CsvSource({"false, 500", "true, 500", "false, 60", "true, 60", "false, 0", "true, 0"})
     void disconnectWhileTheGatewayHoldsTheRequest(boolean reset, int lateMs) throws Exception {
-        module.lateMs = lateMs;
+        gateway.lateMs = lateMs;
         FrontDoor door = start();
-        module.onArrival = request -> { };
-        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
-        Gateway.Request kept = PausingGateway.next(module.arrivals);
-        module.afterPause = () -> module.send(kept);
+        gateway.onArrival = request -> { };
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        Gateway.Request kept = PausingGateway.next(gateway.arrivals);
+        gateway.afterPause = () -> gateway.send(kept);
         pauseLoop("b");
         disconnect(client, reset);
-        module.resume();
+        gateway.resume();
         assertNeverSent();
         assertNoConnection();
         assertEquals(0, door.activeRequestCount());
     }
 
-    /** The whole of it lies unread, and behind it that the client has gone. */
+    /** The whole request is unread, and behind it the client's disconnect. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void disconnectBeforeTheRequestIsRead(boolean reset) throws Exception {
         FrontDoor door = start();
-        TestPeer client = rig.client();
+        TestPeer client = fixture.client();
         assertEquals(404, client.write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n").read().status());
-        TestPeer other = rig.client().write(PausingGateway.pausingRequest("b"));
-        module.awaitPaused();
+        TestPeer other = fixture.client().write(PausingGateway.pausingRequest("b"));
+        gateway.awaitPaused();
         client.write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
         disconnect(client, reset);
-        module.resume();
+        gateway.resume();
         assertEquals(502, other.read().status());
         assertNoConnection();
-        assertTrue(module.arrivals.isEmpty(), "nobody asks for it");
+        assertTrue(gateway.arrivals.isEmpty(), "nobody asks for it");
         assertEquals(0, door.activeRequestCount());
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void disconnectWhileTheBackendConnectionIsBeingOpened(boolean reset) throws Exception {
-        rig.connectTimeoutMs(15_000);
-        ServerSocket full = rig.backend(1);
-        FrontDoor door = rig.start(module.factory(), FrontDoorFixture.entry("s-1", full.getLocalPort(), "SERVING"));
-        // With its backlog taken, a further connection to it does not come up before the kernel asks again.
+        fixture.connectTimeoutMs(15_000);
+        ServerSocket full = fixture.backend(1);
+        FrontDoor door = fixture.start(gateway.factory(), FrontDoorFixture.entry("s-1", full.getLocalPort(),
+                "SERVING"));
+        // With its backlog full, a further connection is not established before the kernel retries.
         try (Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
             assertTrue(first.isConnected() && second.isConnected());
-            TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
-            PausingGateway.next(module.arrivals);
+            TestPeer client = fixture.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+            PausingGateway.next(gateway.arrivals);
             pauseLoop("b");
             TestPeer.accept(full).close();
             TestPeer.accept(full).close();
-            try (TestPeer up = TestPeer.accept(full)) { // it is up, and the loop does not know
+            try (TestPeer up = TestPeer.accept(full)) { // it is established, and the loop has not seen that yet
                 disconnect(client, reset);
-                module.resume();
+                gateway.resume();
                 assertNeverSent();
                 assertEquals(0, door.activeRequestCount());
-                rig.client().write(FrontDoorFixture.request("look", "c", 30_000, ""));
-                assertEquals(FrontDoorFixture.txn("c"), up.read().header("X-Txn"),
+                fixture.client().write(FrontDoorFixture.request("look", "c", 30_000, ""));
+                assertEquals(FrontDoorFixture.requestId("c"), up.read().header("X-Txn"),
                         "the first that comes on it is another's");
             }
         }
     }
 
-    /** Its rest ends when the next request looks for a connection, in the same turn. */
+    /** The connection's cool-down ends when the next request looks for a connection, in the same turn of the loop. */
     @Test
     void disconnectWhileWaitingForACoolingConnection() throws Exception {
         start();
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
-        long first = PausingGateway.next(module.arrivals).id();
-        module.onArrival = request -> { };
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
+        long first = PausingGateway.next(gateway.arrivals).id();
+        gateway.onArrival = request -> { };
         try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
-            TestPeer leaving = rig.client().write(FrontDoorFixture.request("buy", "b", 30_000, "x"));
-            Gateway.Request kept = PausingGateway.next(module.arrivals);
-            TestPeer staying = rig.client().write(FrontDoorFixture.request("look", "c", 30_000, ""));
-            Gateway.Request other = PausingGateway.next(module.arrivals);
-            module.onAnswer = told -> {
+            TestPeer leaving = fixture.client().write(FrontDoorFixture.request("buy", "b", 30_000, "x"));
+            Gateway.Request kept = PausingGateway.next(gateway.arrivals);
+            TestPeer staying = fixture.client().write(FrontDoorFixture.request("look", "c", 30_000, ""));
+            Gateway.Request other = PausingGateway.next(gateway.arrivals);
+            gateway.onAnswer = told -> {
                 if (told.requestId() == first) {
-                    module.send(kept); // waits for the connection that rests
-                    module.pause();
-                    module.send(other); // and by this its rest is over
+                    gateway.send(kept); // waits for the connection that cools down
+                    gateway.pause();
+                    gateway.send(other); // which ends the cool-down
                 }
             };
             server.answer("200 OK", "", "one");
             assertEquals("one", client.read().body());
-            module.awaitPaused();
+            gateway.awaitPaused();
             leaving.close();
-            module.resume();
-            assertEquals(FrontDoorFixture.txn("c"), server.read().header("X-Txn"), "who left got the connection");
+            gateway.resume();
+            assertEquals(FrontDoorFixture.requestId("c"), server.read().header("X-Txn"), "who left got the connection");
             server.answer("200 OK", "", "two");
             assertEquals("two", staying.read().body());
         }
         assertNoConnection();
     }
 
-    /** Turned away by a backend, and asked for again. */
+    /** The backend rejects the request and the module retries it. */
     @ParameterizedTest
     @ValueSource(ints = {500, 60, 0})
     void disconnectBetweenTwoAttempts(int lateMs) throws Exception {
-        module.lateMs = lateMs;
+        gateway.lateMs = lateMs;
         FrontDoor door = start();
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
-        Gateway.Request request = PausingGateway.next(module.arrivals);
-        module.onAnswer = told -> {
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
+        Gateway.Request request = PausingGateway.next(gateway.arrivals);
+        gateway.onAnswer = told -> {
             if (told.outcome() == Gateway.Outcome.FULL) {
-                module.pause();
-                module.send(request);
+                gateway.pause();
+                gateway.send(request);
             }
         };
         try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             server.answer("503 Full", "X-Turned-Away: 1\r\n", "");
-            module.awaitPaused();
+            gateway.awaitPaused();
             client.close();
-            module.resume();
-            assertEquals(Gateway.Outcome.FULL, PausingGateway.next(module.answers).outcome());
+            gateway.resume();
+            assertEquals(Gateway.Outcome.FULL, PausingGateway.next(gateway.answers).outcome());
             assertNeverSent();
             assertEquals(0, door.activeRequestCount());
-            rig.client().write(FrontDoorFixture.request("look", "c", 30_000, ""));
-            assertEquals(FrontDoorFixture.txn("c"), server.read().header("X-Txn"), "the next that comes is another's");
+            fixture.client().write(FrontDoorFixture.request("look", "c", 30_000, ""));
+            assertEquals(FrontDoorFixture.requestId("c"), server.read().header("X-Txn"),
+                    "the next that comes is another's");
         }
         assertNoConnection();
     }
 
     /**
-     * A connection that is refused proves that nothing ran: the next attempt goes elsewhere, if there still is
-     * somebody.
+     * A refused connection proves that nothing was executed: the module retries at another backend, unless the client
+     * left.
      */
     @ParameterizedTest
     @ValueSource(ints = {500, 60, 0})
     void disconnectAfterAFailedConnect(int lateMs) throws Exception {
-        module.lateMs = lateMs;
+        gateway.lateMs = lateMs;
         FrontDoor door = start();
         int nobody;
         try (ServerSocket gone = new ServerSocket(0, 1, backend.getInetAddress())) {
             nobody = gone.getLocalPort();
         }
-        module.onArrival = request -> { };
-        rig.watch.answer("200 OK", "", FrontDoorFixture.list(8, true, FrontDoorFixture.entry("s-2", nobody, "SERVING"),
+        gateway.onArrival = request -> { };
+        fixture.watch.answer("200 OK", "",
+                FrontDoorFixture.list(8, true, FrontDoorFixture.entry("s-2", nobody, "SERVING"),
                 FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING")));
-        rig.watch.read();
-        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
-        Gateway.Request request = PausingGateway.next(module.arrivals);
-        module.onAnswer = told -> {
+        fixture.watch.read();
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        Gateway.Request request = PausingGateway.next(gateway.arrivals);
+        gateway.onAnswer = told -> {
             if (told.outcome() == Gateway.Outcome.CONNECT_FAILED) {
-                module.pause();
-                module.actions.send(request.id(), Endpoint.idOf("s-1"), 0);
+                gateway.pause();
+                gateway.actions.send(request.id(), Endpoint.idOf("s-1"), 0);
             }
         };
-        door.loop().execute(() -> module.actions.send(request.id(), Endpoint.idOf("s-2"), 0));
-        module.awaitPaused();
+        door.loop().execute(() -> gateway.actions.send(request.id(), Endpoint.idOf("s-2"), 0));
+        gateway.awaitPaused();
         client.close();
-        module.resume();
-        assertEquals(Gateway.Outcome.CONNECT_FAILED, PausingGateway.next(module.answers).outcome());
+        gateway.resume();
+        assertEquals(Gateway.Outcome.CONNECT_FAILED, PausingGateway.next(gateway.answers).outcome());
         assertNeverSent();
         assertNoConnection();
         assertEquals(0, door.activeRequestCount());
     }
 
-    /** All places are taken, so that nobody is taken in: who then comes, asks and leaves lies in the kernel's queue. */
+    /**
+     * All client connections are in use and accepting is paused: a client that connects, sends and disconnects is in
+     * the kernel's queue.
+     */
     @Test
     void disconnectBeforeTheConnectionIsAccepted() throws Exception {
-        rig.sockets(68); // ten for clients
+        fixture.sockets(68); // ten for clients
         FrontDoor door = start();
-        module.onArrival = request -> { };
+        gateway.onArrival = request -> { };
         List<TestPeer> open = new ArrayList<>();
         for (int i = 0; i < 11; i++) {
-            open.add(rig.client().write(FrontDoorFixture.request("buy", Integer.toHexString(i + 16), 30_000, "x")));
-            PausingGateway.next(module.arrivals);
+            open.add(fixture.client().write(FrontDoorFixture.request("buy", Integer.toHexString(i + 16), 30_000, "x")));
+            PausingGateway.next(gateway.arrivals);
         }
-        module.onArrival = module::send;
-        rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x")).close();
-        TestPeer next = rig.client().write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n");
+        gateway.onArrival = gateway::send;
+        fixture.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x")).close();
+        TestPeer next = fixture.client().write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n");
         open.get(0).close();
         open.get(1).close();
         open.get(2).close();
         assertEquals(404, next.read().status());
-        assertTrue(module.arrivals.isEmpty(), "nobody asks for it");
+        assertTrue(gateway.arrivals.isEmpty(), "nobody asks for it");
         assertNoConnection();
         assertEquals(8, door.activeRequestCount());
     }
@@ -261,40 +270,41 @@
     @Test
     void disconnectBehindAnOpenRequestOnTheSameConnection() throws Exception {
         FrontDoor door = start();
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, "")
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "a", 30_000, "")
                 + FrontDoorFixture.request("buy", "b", 30_000, "x"));
         try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             pauseLoop("c");
-            server.answer("200 OK", "", "one"); // which brings the second up
+            server.answer("200 OK", "", "one"); // which starts the second request
             client.close();
-            module.resume();
-            rig.client().write(FrontDoorFixture.request("look", "d", 30_000, ""));
-            assertEquals(FrontDoorFixture.txn("d"), server.read().header("X-Txn"), "the next that comes is another's");
+            gateway.resume();
+            fixture.client().write(FrontDoorFixture.request("look", "d", 30_000, ""));
+            assertEquals(FrontDoorFixture.requestId("d"), server.read().header("X-Txn"),
+                    "the next that comes is another's");
             server.answer("200 OK", "", "");
         }
         assertNoConnection();
         assertEquals(0, door.activeRequestCount());
     }
 
-    /** It sent more than is read as requests: what follows is thrown away, but that it leaves is seen. */
+    /** It sent more than is parsed as requests: the rest is discarded, but its disconnect is detected. */
     @Test
     void disconnectIsDetectedOnAConnectionWhoseInputIsDiscarded() throws Exception {
         FrontDoor door = start();
-        module.onArrival = request -> { };
+        gateway.onArrival = request -> { };
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 5_000; i++) {
             many.append(FrontDoorFixture.request("buy", Integer.toHexString(i + 16), 30_000, "x"));
         }
-        TestPeer client = rig.client().write(many.toString());
-        Gateway.Request kept = PausingGateway.next(module.arrivals);
-        rig.allRead(client);
-        module.afterPause = () -> module.send(kept);
+        TestPeer client = fixture.client().write(many.toString());
+        Gateway.Request kept = PausingGateway.next(gateway.arrivals);
+        fixture.awaitAllRead(client);
+        gateway.afterPause = () -> gateway.send(kept);
         pauseLoop("b");
         client.close();
-        module.resume();
+        gateway.resume();
         assertNeverSent();
-        assertTrue(module.arrivals.isEmpty());
+        assertTrue(gateway.arrivals.isEmpty());
         assertNoConnection();
         assertEquals(0, door.activeRequestCount());
     }
@@ -303,16 +313,17 @@
     @ValueSource(booleans = {false, true})
     void burstOfDisconnectsSendsNothingAlsoDuringADrain(boolean draining) throws Exception {
         int clients = 300;
-        rig.sockets(4096);
+        fixture.sockets(4096);
         FrontDoor door = start();
-        module.onArrival = request -> { };
+        gateway.onArrival = request -> { };
         List<TestPeer> burst = new ArrayList<>();
         List<Gateway.Request> kept = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
-            burst.add(rig.client().write(FrontDoorFixture.request("buy", Integer.toHexString(i + 16), 30_000, "x")));
-            kept.add(PausingGateway.next(module.arrivals));
+            burst.add(fixture.client().write(FrontDoorFixture.request("buy", Integer.toHexString(i + 16), 30_000,
+                    "x")));
+            kept.add(PausingGateway.next(gateway.arrivals));
         }
-        module.afterPause = () -> kept.forEach(module::send);
+        gateway.afterPause = () -> kept.forEach(gateway::send);
         Thread drain = new Thread(door::drain);
         if (draining) {
             drain.start();
@@ -324,7 +335,7 @@
         for (TestPeer each : burst) {
             each.close();
         }
-        module.resume();
+        gateway.resume();
         for (int i = 0; i < clients; i++) {
             assertNeverSent();
         }
--- a/front-door/src/test/java/nettletrail/door/DescriptorLimitTest.java
+++ b/front-door/src/test/java/nettletrail/door/DescriptorLimitTest.java
@@ -23,66 +23,69 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that fill all places that a front door with few descriptors has, and what must find one all the same. */
+/**
+ * Guards against exhaustion of file descriptors: clients use all connections of a front door with few descriptors, and
+ * discovery, backends and new clients must still get one.
+ */
 @Timeout(60)
 class DescriptorLimitTest {
     private static final String ODD = "GET /x HTTP/1.1\r\nHost: gw\r\n\r\n";
     private static final int SOCKETS = 128;
-    /** Forty of them are clients'. */
-    private static final int CROWD = 200;
+    /** Forty of the descriptors are for clients. */
+    private static final int CONNECTIONS = 200;
     private static final int LARGE = 500_000;
 
     @TempDir
     private Path folder;
-    private FrontDoorFixture rig;
-    private final PausingGateway module = new PausingGateway();
+    private FrontDoorFixture fixture;
+    private final PausingGateway gateway = new PausingGateway();
     private ServerSocket backend;
     private FrontDoor door;
-    /** Of the last request, for its id. */
+    /** Number of the last request, for its id. */
     private int number = 4_096;
 
     @BeforeEach
     void setUp() throws Exception {
-        rig = new FrontDoorFixture(folder);
-        backend = rig.backend();
-        rig.sockets(SOCKETS);
-        door = rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        fixture = new FrontDoorFixture(folder);
+        backend = fixture.backend();
+        fixture.sockets(SOCKETS);
+        door = fixture.start(gateway.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
     }
 
     @AfterEach
     void tearDown() throws Exception {
-        module.resume();
-        rig.close();
+        gateway.resume();
+        fixture.close();
     }
 
-    /** Each says this and nothing more; some are shut at once to make room for others. */
+    /** Opens connections that send just this text; some are evicted at once for others. */
     private void connectMany(String says) throws IOException {
-        for (int i = 0; i < CROWD; i++) {
-            TestPeer one = rig.client();
+        for (int i = 0; i < CONNECTIONS; i++) {
+            TestPeer one = fixture.client();
             try {
                 one.write(says);
             } catch (IOException e) {
-                continue; // it had to make room already
+                continue; // it has been evicted already
             }
         }
     }
 
-    /** Discovery's connection is gone, and nobody answers there. */
+    /** Closes the discovery connection; no further one is answered. */
     private void stopDiscovery() throws IOException {
-        rig.watch.close();
+        fixture.watch.close();
     }
 
-    /** It answers again: the first call that is still open is given this list. */
+    /** Discovery answers again: the first request that is still open gets this list. */
     private void restartDiscovery(String list) throws IOException {
         while (true) {
-            TestPeer call = rig.keep(TestPeer.accept(rig.discovery));
+            TestPeer call = fixture.closeLater(TestPeer.accept(fixture.discovery));
             try {
                 call.read();
                 call.answer("200 OK", "", list);
                 call.read();
                 return;
             } catch (IOException e) {
-                call.close(); // given up meanwhile
+                call.close(); // closed by the front door meanwhile
             }
         }
     }
@@ -90,7 +93,7 @@
     private void assertServedBy(ServerSocket listening, TestPeer client, String txn) throws Exception {
         client.write(FrontDoorFixture.request("look", txn, 30_000, ""));
         try (TestPeer server = TestPeer.accept(listening)) {
-            assertEquals(FrontDoorFixture.txn(txn), server.read().header("X-Txn"));
+            assertEquals(FrontDoorFixture.requestId(txn), server.read().header("X-Txn"));
             server.answer("200 OK", "", "seen");
             assertEquals("seen", client.read().body());
         }
@@ -100,21 +103,24 @@
         return door.loop().submit(door::clients).get();
     }
 
-    /** Silent, asked once, half a head, half a body: the list is taken in when discovery is back, and a new client served by it. */
+    /**
+     * With silent connections, finished requests, half a head or half a body: once discovery is back its list is
+     * applied, and a new client is served by it.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", ODD, "GET /api HTTP/1.1\r\nX-Txn", "POST /api HTTP/1.1\r\nHost: gw\r\nContent-Length: 9000\r\n\r\nhalf"})
     void newClientIsServedWhenManyConnectDuringADiscoveryOutage(String says) throws Exception {
         stopDiscovery();
         connectMany(says);
-        ServerSocket other = rig.backend();
+        ServerSocket other = fixture.backend();
         restartDiscovery(FrontDoorFixture.list(9, true, FrontDoorFixture.entry("s-2", other.getLocalPort(),
                 "SERVING")));
         connectMany(says);
-        assertServedBy(other, rig.client(), "a");
+        assertServedBy(other, fixture.client(), "a");
         assertTrue(clients() <= (SOCKETS - 48) / 2 + 16, "what is taken in one turn at most beyond the clients' part");
     }
 
-    /** The same when SIGTERM has come: who then connects is served, and the drain ends. */
+    /** The same after SIGTERM: a new client is served, and the drain ends. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HTTP/1.1\r\nX-Txn"})
     void newClientIsServedWhenManyConnectDuringADrain(String says) throws Exception {
@@ -126,12 +132,15 @@
             Thread.onSpinWait();
         }
         connectMany(says);
-        assertServedBy(backend, rig.client(), "a");
+        assertServedBy(backend, fixture.client(), "a");
         drain.join();
         assertEquals(0, door.activeRequestCount());
     }
 
-    /** Closed ones give their descriptors back only after the loop's turn: the end of listening takes in so many a turn, and all of them. */
+    /**
+     * Closed connections free their descriptors only after the loop's turn: stopListening accepts a bounded number per
+     * turn, and the whole queue in the end.
+     */
     @Test
     void stopListeningAcceptsABoundedNumberPerTurn() throws Exception {
         int queued = 150;
@@ -147,7 +156,7 @@
         there.await();
         List<TestPeer> queue = new ArrayList<>();
         for (int i = 0; i < queued; i++) {
-            queue.add(rig.client().write(ODD));
+            queue.add(fixture.client().write(ODD));
         }
         waiting.countDown();
         assertTrue(more.get() <= SOCKETS / 4 + 16, "beyond a turn's part: " + more.get());
@@ -163,30 +172,31 @@
         return new File("/proc/self/fd").list().length;
     }
 
-    /** All connections to backends break, and all are opened anew, with the clients' places full. */
+    /** All backend connections break and are reopened, while all client connections are in use. */
     @Test
     void backendConnectionsAreReopenedAfterAllBreak() throws Exception {
         int both = 20;
         List<TestPeer> clients = new ArrayList<>();
         List<TestPeer> servers = new ArrayList<>();
         for (int i = 0; i < both; i++) {
-            clients.add(rig.client().write(FrontDoorFixture.request("look", Integer.toHexString(i + 16), 30_000, "")));
-            servers.add(rig.keep(TestPeer.accept(backend)));
+            clients.add(fixture.client().write(FrontDoorFixture.request("look", Integer.toHexString(i + 16), 30_000,
+                    "")));
+            servers.add(fixture.closeLater(TestPeer.accept(backend)));
             servers.get(i).read();
         }
         connectMany("");
-        module.onAnswer = told -> { };
+        gateway.onAnswer = told -> { };
         for (TestPeer each : servers) {
             each.reset();
         }
         for (TestPeer each : clients) {
-            assertEquals(502, each.read().status()); // the module fails what is reset
+            assertEquals(502, each.read().status()); // the module fails a request whose attempt is reset
         }
         for (int i = 0; i < both; i++) {
             clients.get(i).write(FrontDoorFixture.request("look", Integer.toHexString(i + 256), 30_000, ""));
         }
         for (int i = 0; i < both; i++) {
-            TestPeer server = rig.keep(TestPeer.accept(backend));
+            TestPeer server = fixture.closeLater(TestPeer.accept(backend));
             server.read();
             server.answer("200 OK", "", "seen");
         }
@@ -196,8 +206,9 @@
     }
 
     /**
-     * All that it may hold break in one turn of the loop, and all are asked for again in the same: the broken ones' descriptors come
-     * back only after it, so that the new ones wait for these and take nobody else's.
+     * All allowed backend connections break in one turn of the loop, and all are requested again in the same turn. The
+     * broken ones' descriptors are freed only afterwards, so the new connections must wait for them and use no one
+     * else's.
      */
     @Test
     void newConnectionsWaitForTheDescriptorsOfBrokenOnes() throws Exception {
@@ -214,7 +225,7 @@
                 answers.add(told);
             }
         };
-        FrontDoorFixture small = new FrontDoorFixture(folder).sockets(64); // eight for backends
+        FrontDoorFixture small = new FrontDoorFixture(folder).sockets(64); // eight descriptors for backends
         try {
             small.start(again.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
             List<TestPeer> clients = new ArrayList<>();
@@ -236,7 +247,7 @@
                 assertEquals(Gateway.Outcome.RESET, PausingGateway.next(again.answers).outcome());
             }
             for (int i = 0; i < most; i++) {
-                TestPeer server = small.keep(TestPeer.accept(backend));
+                TestPeer server = small.closeLater(TestPeer.accept(backend));
                 server.read();
                 server.answer("200 OK", "", "seen");
             }
@@ -250,54 +261,54 @@
         }
     }
 
-    // ---- Answers that are not read ----------------------------------------------------------------------
+    // ---- Responses that the client does not read --------------------------------------------------------
 
-    /** A client with a small window, which reads only when it is told to. */
+    /** A client with a small receive window, which reads only on demand. */
     private TestPeer smallWindowClient() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4_096);
         InetSocketAddress to = door.address();
         socket.connect(new InetSocketAddress(to.getAddress(), to.getPort()));
-        return rig.keep(new TestPeer(socket));
+        return fixture.closeLater(new TestPeer(socket));
     }
 
-    /** Large answers to it, one after the other, until its connection takes no more; how many were given. */
+    /** Sends it large responses, one after another, until its connection accepts no more; returns their number. */
     private int fillSendBuffer(TestPeer client, TestPeer server, int most) throws Exception {
         int given = 0;
         while (given < most) {
             client.write(FrontDoorFixture.request("look", Integer.toHexString(++number), 30_000, ""));
-            if (module.arrivals.poll(500, TimeUnit.MILLISECONDS) == null) {
+            if (gateway.arrivals.poll(500, TimeUnit.MILLISECONDS) == null) {
                 return given;
             }
             server.read();
             server.answer("200 OK", "", "x".repeat(LARGE));
-            PausingGateway.next(module.answers);
+            PausingGateway.next(gateway.answers);
             given++;
-            TimeUnit.MILLISECONDS.sleep(20); // at least so long: its connection has rested then
+            TimeUnit.MILLISECONDS.sleep(20); // at least this long, so that the connection's cool-down is over
         }
         return given;
     }
 
-    /** The last of its answers is partly with the kernel: what makes room, and a drain, leave it whole. */
+    /** The last response is partly in the kernel: neither eviction nor a drain may cut it off. */
     @Test
     void responseBeingWrittenIsNotCutOff() throws Exception {
-        assertServedBy(backend, rig.client(), "a");
-        PausingGateway.next(module.arrivals);
-        PausingGateway.next(module.answers);
+        assertServedBy(backend, fixture.client(), "a");
+        PausingGateway.next(gateway.arrivals);
+        PausingGateway.next(gateway.answers);
         TestPeer first = smallWindowClient();
         first.write(FrontDoorFixture.request("look", "b", 30_000, ""));
-        PausingGateway.next(module.arrivals);
-        TestPeer server = rig.keep(TestPeer.accept(backend));
+        PausingGateway.next(gateway.arrivals);
+        TestPeer server = fixture.closeLater(TestPeer.accept(backend));
         server.read();
         server.answer("200 OK", "", "x".repeat(LARGE));
-        PausingGateway.next(module.answers);
+        PausingGateway.next(gateway.answers);
         TimeUnit.MILLISECONDS.sleep(20);
         int enough = 1 + fillSendBuffer(first, server, 40);
         first.close();
         TestPeer second = smallWindowClient();
         int took = fillSendBuffer(second, server, enough);
         for (int again = 0; again < 5 && took < enough; again++) {
-            second.close(); // the kernel took less this time, and one request waits: that one could not be closed as idle
+            second.close(); // the kernel accepted less this time, and a waiting request keeps it from being idle
             enough = took;
             second = smallWindowClient();
             took = fillSendBuffer(second, server, enough);
@@ -309,16 +320,16 @@
         }
     }
 
-    /** One that never reads is ended, and its place is another's. */
+    /** A client that never reads is disconnected, which frees its connection for another. */
     @Test
     void clientThatNeverReadsIsDisconnected() throws Exception {
         TestPeer first = smallWindowClient();
         first.write(FrontDoorFixture.request("look", "b", 30_000, ""));
-        PausingGateway.next(module.arrivals);
-        TestPeer server = rig.keep(TestPeer.accept(backend));
+        PausingGateway.next(gateway.arrivals);
+        TestPeer server = fixture.closeLater(TestPeer.accept(backend));
         server.read();
         server.answer("200 OK", "", "x".repeat(LARGE));
-        PausingGateway.next(module.answers);
+        PausingGateway.next(gateway.answers);
         TimeUnit.MILLISECONDS.sleep(20);
         fillSendBuffer(first, server, 40);
         long since = System.nanoTime();
--- a/front-door/src/test/java/nettletrail/door/DrainAndEvictionTest.java
+++ b/front-door/src/test/java/nettletrail/door/DrainAndEvictionTest.java
@@ -20,37 +20,37 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The instants at which something ends and something is still owed: a drain, an eviction, a list that changes, a
- * connection that closes. The loop is held at the instant; what crosses it happens meanwhile, and lies unread.
+ * Guards against losing requests when a drain, an eviction, an endpoint update or a close coincides with input that the
+ * event loop has not read yet. Each test pauses the loop at the critical moment and sends the input meanwhile.
  */
 @Timeout(60)
 class DrainAndEvictionTest {
     private static final String ODD = "GET /x HTTP/1.1\r\nHost: gw\r\n\r\n";
     @TempDir
     private Path folder;
-    private FrontDoorFixture rig;
-    private final PausingGateway module = new PausingGateway();
+    private FrontDoorFixture fixture;
+    private final PausingGateway gateway = new PausingGateway();
     private ServerSocket backend;
 
     @BeforeEach
     void setUp() throws IOException {
-        rig = new FrontDoorFixture(folder);
-        backend = rig.backend();
+        fixture = new FrontDoorFixture(folder);
+        backend = fixture.backend();
     }
 
     @AfterEach
     void tearDown() throws Exception {
-        module.resume();
-        rig.close();
+        gateway.resume();
+        fixture.close();
     }
 
     private FrontDoor start() throws Exception {
-        return rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        return fixture.start(gateway.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
     }
 
     private TestPeer pauseLoop(String txn) throws Exception {
-        TestPeer client = rig.client().write(PausingGateway.pausingRequest(txn));
-        module.awaitPaused();
+        TestPeer client = fixture.client().write(PausingGateway.pausingRequest(txn));
+        gateway.awaitPaused();
         return client;
     }
 
@@ -65,17 +65,17 @@
 
     // ---- Drains -----------------------------------------------------------------------------------------
 
-    /** The kernel has accepted them, more than the loop takes in one turn, when the listener's time is over. */
+    /** When listening ends, the kernel's queue holds more connections than the loop accepts in one turn. */
     @Test
     void connectionsInTheAcceptQueueAreServedWhenListeningStops() throws Exception {
         FrontDoor door = start();
         Thread drain = drain(door);
-        TestPeer held = pauseLoop("b"); // longer than connections are taken after SIGTERM
+        TestPeer held = pauseLoop("b"); // longer than connections are accepted after SIGTERM
         List<TestPeer> queue = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            queue.add(rig.client().write(ODD));
+            queue.add(fixture.client().write(ODD));
         }
-        module.resume();
+        gateway.resume();
         for (TestPeer each : queue) {
             assertEquals(404, each.read().status());
         }
@@ -83,20 +83,22 @@
         drain.join();
     }
 
-    /** What it wrote lies unread when the drain closes what looks idle: after the reads of that turn, before the next. */
+    /**
+     * A request arrives after the loop's reads of a turn, and the drain closes idle connections before the next reads.
+     */
     @Test
     void drainAnswersAnUnreadRequestOnAnIdleConnection() throws Exception {
         FrontDoor door = start();
-        TestPeer idle = rig.client();
+        TestPeer idle = fixture.client();
         assertEquals(404, idle.write(ODD).read().status());
-        TestPeer half = rig.client().write(ODD.substring(0, 10));
-        TestPeer silent = rig.client();
+        TestPeer half = fixture.client().write(ODD.substring(0, 10));
+        TestPeer silent = fixture.client();
         CountDownLatch there = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
         var closing = door.loop().submit(() -> {
             there.countDown();
             written.await();
-            door.closeIdle(0); // as a drain does every 10 ms when listening is over
+            door.closeIdle(0); // as a drain does every 10 ms once listening has ended
             return null;
         });
         there.await();
@@ -106,10 +108,10 @@
         assertEquals(404, idle.read().status());
         assertEquals(404, half.read().status());
         closing.sync();
-        assertTrue(silent.ended(), "on which nothing is owed");
+        assertTrue(silent.isClosedByPeer(), "on which nothing is owed");
     }
 
-    /** Its request is on its way when the listener closes: it connected in the last moment. */
+    /** A client connects just before the listener closes, and its request is still in flight. */
     @Test
     void drainKeepsAConnectionOpenedJustBeforeListeningStops() throws Exception {
         FrontDoor door = start();
@@ -123,61 +125,63 @@
             return null;
         });
         there.await();
-        TestPeer last = rig.client();
+        TestPeer last = fixture.client();
         connected.countDown();
         closing.sync();
         assertEquals(404, last.write(ODD).read().status());
     }
 
-    /** A process told to end while it started never listens: who then connected would be reset. */
+    /** A process that is drained during its start must never listen: a client that connected then would be reset. */
     @Test
     void drainBeforeOpenPreventsListening() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            FrontDoor door = rig.prepare(taken.getLocalPort());
+            FrontDoor door = fixture.prepare(taken.getLocalPort());
             door.drain();
-            door.open(); // to listen there would throw: the port is another's
+            door.open(); // listening would throw, as the port is in use
             assertTrue(!door.listens());
         }
     }
 
-    /** SIGTERM in the dry run: it ends by itself, and well in time. */
+    /** SIGTERM during the warm-up: the drain completes, and in time. */
     @Test
     void drainDuringWarmUpCompletes() throws Exception {
-        FrontDoor door = rig.deadlineMs(1_000).prepare(0);
+        FrontDoor door = fixture.deadlineMs(1_000).prepare(0);
         CountDownLatch over = door.warmUp();
         door.drain();
         over.await();
         door.open();
         assertTrue(!door.listens());
-        door.drain(); // told twice: nothing is left to do
+        door.drain(); // a second drain has nothing to do
     }
 
-    /** SIGKILL's clock runs from SIGTERM, whether or not the loop has heard of it. */
+    /** SIGKILL's delay counts from SIGTERM, whether or not the loop has processed it. */
     @Test
     void drainOnALateLoopStillAnswersInTime() throws Exception {
-        rig.deadlineMs(400);
+        fixture.deadlineMs(400);
         FrontDoor door = start();
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
-        rig.keep(TestPeer.accept(backend)).read();
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
+        fixture.closeLater(TestPeer.accept(backend)).read();
         pauseLoop("b");
         Thread drain = new Thread(door::drain);
         drain.start();
-        module.resume();
+        gateway.resume();
         drain.join();
         assertEquals(0, door.activeRequestCount(), "answered when the drain was over");
         assertEquals(502, client.read().status(), "as the module decides");
     }
 
-    /** A client that sends on behind its open request: at the drain's end all that was taken is answered, and nothing sent. */
+    /**
+     * A client pipelines behind its open request: at the end of the drain all are answered, and no further one is sent.
+     */
     @Test
     void drainAnswersPipelinedRequestsBehindAnOpenOne() throws Exception {
-        rig.deadlineMs(300);
+        fixture.deadlineMs(300);
         FrontDoor door = start();
-        TestPeer client = rig.client();
+        TestPeer client = fixture.client();
         for (String txn : List.of("a", "b", "c")) {
             client.write(FrontDoorFixture.request("buy", txn, 30_000, "x"));
         }
-        TestPeer server = rig.keep(TestPeer.accept(backend));
+        TestPeer server = fixture.closeLater(TestPeer.accept(backend));
         server.read();
         door.drain();
         assertEquals(502, client.read().status(), "as the module decides");
@@ -186,41 +190,41 @@
         assertEquals(429, last.status());
         assertEquals("close", last.header("Connection"));
         assertEquals(0, door.activeRequestCount());
-        assertTrue(server.ended());
+        assertTrue(server.isClosedByPeer());
     }
 
     // ---- Evictions --------------------------------------------------------------------------------------
 
-    /** A crowd comes before it, so that its turn to be read is after theirs to be taken: each makes room by who looks idle. */
+    /** Many connections are accepted before the request is read, and each evicts a connection that looks idle. */
     @Test
     void evictionAnswersAnUnreadRequest() throws Exception {
-        rig.sockets(80);
+        fixture.sockets(80);
         start();
-        TestPeer idle = rig.client(); // has said nothing yet: the first that has to go
-        assertEquals(404, rig.client().write(ODD).read().status()); // by then the first is taken, too
+        TestPeer idle = fixture.client(); // has sent nothing yet: the first to be evicted
+        assertEquals(404, fixture.client().write(ODD).read().status()); // by then the first is accepted, too
         pauseLoop("b");
         for (int i = 0; i < 30; i++) {
-            rig.client();
+            fixture.client();
         }
         idle.write(ODD);
-        module.resume();
+        gateway.resume();
         assertEquals(404, idle.read().status());
     }
 
     // ---- Lists and backends' connections ----------------------------------------------------------------
 
-    /** Two backends, and a connection to the first that stands free. */
+    /** Starts with two backends and returns an idle connection to the first. */
     private TestPeer idleBackendConnection(ServerSocket second) throws Exception {
-        rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"),
+        fixture.start(gateway.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"),
                 FrontDoorFixture.entry("s-2", second.getLocalPort(), "SERVING"));
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "1", 30_000, ""));
-        TestPeer server = rig.keep(TestPeer.accept(backend));
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "1", 30_000, ""));
+        TestPeer server = fixture.closeLater(TestPeer.accept(backend));
         server.read();
         server.answer("200 OK", "", "one");
         assertEquals("one", client.read().body());
-        // Whoever looks for a connection anywhere ends the rests that are over.
-        module.onArrival = request -> module.actions.send(request.id(), Endpoint.idOf("s-2"), 0);
-        TimeUnit.MILLISECONDS.sleep(20); // at least so long; more does no harm
+        // A request that looks for any connection ends the cool-downs that are over.
+        gateway.onArrival = request -> gateway.actions.send(request.id(), Endpoint.idOf("s-2"), 0);
+        TimeUnit.MILLISECONDS.sleep(20); // at least this long
         client.write(FrontDoorFixture.request("look", "2", 30_000, ""));
         try (TestPeer other = TestPeer.accept(second)) {
             other.read();
@@ -228,40 +232,43 @@
             assertEquals("two", client.read().body());
         }
         for (int i = 0; i < 2; i++) {
-            PausingGateway.next(module.answers);
-            PausingGateway.next(module.arrivals);
+            PausingGateway.next(gateway.answers);
+            PausingGateway.next(gateway.arrivals);
         }
-        module.onArrival = request -> { };
+        gateway.onArrival = request -> { };
         return server;
     }
 
-    /** The list that closes the backend was written before the send, and lies unread on a loop that is late. */
+    /** The update that drains the backend arrives before the send, and is unread on a late loop. */
     @Test
     void unreadEndpointUpdateIsAppliedBeforeASend() throws Exception {
-        TestPeer server = idleBackendConnection(rig.backend());
-        rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
-        Gateway.Request kept = PausingGateway.next(module.arrivals);
-        module.afterPause = () -> module.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
+        TestPeer server = idleBackendConnection(fixture.backend());
+        fixture.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        Gateway.Request kept = PausingGateway.next(gateway.arrivals);
+        gateway.afterPause = () -> gateway.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
         pauseLoop("b");
-        rig.watch.answer("200 OK", "",
+        fixture.watch.answer("200 OK", "",
                 FrontDoorFixture.list(8, false, FrontDoorFixture.entry("s-1", backend.getLocalPort(), "DRAINING")));
-        module.resume();
-        assertEquals(Gateway.Outcome.NEVER_SENT, PausingGateway.next(module.answers).outcome());
-        assertTrue(server.ended(), "nothing came");
+        gateway.resume();
+        assertEquals(Gateway.Outcome.NEVER_SENT, PausingGateway.next(gateway.answers).outcome());
+        assertTrue(server.isClosedByPeer(), "nothing came");
     }
 
-    /** Closed by the backend in the turn in which it is chosen: a request written to it would be lost, and may have run. */
+    /**
+     * The backend closes the connection in the turn in which it is chosen: a request written to it would be lost, and
+     * counts as possibly executed.
+     */
     @Test
     void backendConnectionWithAnUnreadCloseIsNotUsed() throws Exception {
-        TestPeer server = idleBackendConnection(rig.backend());
-        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "c", 30_000, "x"));
-        Gateway.Request kept = PausingGateway.next(module.arrivals);
-        module.afterPause = () -> module.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
+        TestPeer server = idleBackendConnection(fixture.backend());
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("buy", "c", 30_000, "x"));
+        Gateway.Request kept = PausingGateway.next(gateway.arrivals);
+        gateway.afterPause = () -> gateway.actions.send(kept.id(), Endpoint.idOf("s-1"), 0);
         pauseLoop("d");
-        server.shut();
-        module.resume();
+        server.shutdownOutput();
+        gateway.resume();
         try (TestPeer fresh = TestPeer.accept(backend)) {
-            assertEquals(FrontDoorFixture.txn("c"), fresh.read().header("X-Txn"));
+            assertEquals(FrontDoorFixture.requestId("c"), fresh.read().header("X-Txn"));
             fresh.answer("200 OK", "", "three");
             assertEquals("three", client.read().body());
         }
@@ -269,17 +276,17 @@
 
     // ---- Ids --------------------------------------------------------------------------------------------
 
-    /** A second copy would run beside the first, however long that is open. */
+    /** A second copy must be rejected for as long as the first is open, or both would be executed. */
     @Test
     void requestIdStaysUsedWhileItsFirstRequestIsOpen() throws Exception {
-        rig.deadlineMs(200);
+        fixture.deadlineMs(200);
         start();
-        TestPeer client = rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x"));
         try (TestPeer server = TestPeer.accept(backend)) {
             server.read();
             for (int i = 0; i < 3; i++) {
                 TimeUnit.MILLISECONDS.sleep(250); // longer than the settings' longest deadline
-                assertEquals(400, rig.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x")).read()
+                assertEquals(400, fixture.client().write(FrontDoorFixture.request("buy", "a", 30_000, "x")).read()
                         .status());
             }
             server.answer("200 OK", "", "sold");
--- a/front-door/src/test/java/nettletrail/door/FailureRecoveryTest.java
+++ b/front-door/src/test/java/nettletrail/door/FailureRecoveryTest.java
@@ -20,31 +20,31 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What made the rough days rough, with the project's own module behind the sockets. */
+/** Failures seen under adverse conditions, with the project's decision module behind real sockets. */
 @Timeout(60)
 class FailureRecoveryTest {
     @TempDir
     private Path folder;
-    private FrontDoorFixture rig;
+    private FrontDoorFixture fixture;
 
     @BeforeEach
     void setUp() throws IOException {
-        rig = new FrontDoorFixture(folder);
+        fixture = new FrontDoorFixture(folder);
     }
 
     @AfterEach
     void tearDown() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
-    /** Rationed as cold it would get less than one request at first, and then for the whole ramp nothing. */
+    /** In slow start the backend would get less than one request at first, and then none for the whole ramp. */
     @Test
     void oneRefusedConnectionDoesNotStartSlowStart() throws Exception {
-        ServerSocket first = rig.backend();
+        ServerSocket first = fixture.backend();
         int port = first.getLocalPort();
-        rig.start(FrontDoorFixture.entry("s-1", port, "SERVING"));
+        fixture.start(FrontDoorFixture.entry("s-1", port, "SERVING"));
         first.close();
-        TestPeer client = rig.client();
+        TestPeer client = fixture.client();
         assertEquals(429, client.write(FrontDoorFixture.request("look", "a", 3000, "")).read().status());
         try (ServerSocket again = new ServerSocket(port, 50, InetAddress.getLoopbackAddress())) {
             client.write(FrontDoorFixture.request("look", "b", 3000, ""));
@@ -59,28 +59,31 @@
         }
     }
 
-    /** The first list allows twelve attempts out at once; here all twelve stay silent for longer than their aim. */
+    /**
+     * The first list allows twelve concurrent attempts; here all twelve stay unanswered for longer than their latency
+     * target.
+     */
     @Test
     void unansweredAttemptsDoNotBlockNewRequests() throws Exception {
-        ServerSocket backend = rig.backend();
-        rig.start(FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        ServerSocket backend = fixture.backend();
+        fixture.start(FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
         for (int i = 0; i < 12; i++) {
-            rig.client().write(FrontDoorFixture.request("look", "a" + Integer.toHexString(i), 9000, ""));
-            rig.keep(TestPeer.accept(backend)).read();
+            fixture.client().write(FrontDoorFixture.request("look", "a" + Integer.toHexString(i), 9000, ""));
+            fixture.closeLater(TestPeer.accept(backend)).read();
         }
         Thread.sleep(1_200);
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "c", 9000, ""));
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "c", 9000, ""));
         try (TestPeer next = TestPeer.accept(backend)) {
-            assertEquals(FrontDoorFixture.txn("c"), next.read().header("X-Txn"));
+            assertEquals(FrontDoorFixture.requestId("c"), next.read().header("X-Txn"));
             next.answer("200 OK", "", "served");
             assertEquals("served", client.read().body());
         }
     }
 
-    /** What is run there must be what clients will use; a request that it got wrong would warm the refusals only. */
+    /** The warm-up must run the code that clients use: malformed requests would only warm up the rejections. */
     @Test
     void warmUpServesRequestsAndFinishes() throws Exception {
-        FrontDoorConfig config = rig.config();
+        FrontDoorConfig config = fixture.config();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         try {
             FrontDoorWarmUp run = new FrontDoorWarmUp(group.next(), config.settings(), config.settings().settings(1));
@@ -93,34 +96,34 @@
         }
     }
 
-    /** A restarted one that could be reached before took requests that it answered late or not at all. */
+    /** A restarted front door that listened earlier accepted requests that it answered late or not at all. */
     @Test
     void listensOnlyAfterWarmUpAndWarmUpContactsNoBackend() throws Exception {
-        ServerSocket backend = rig.backend();
+        ServerSocket backend = fixture.backend();
         int port;
         try (ServerSocket free = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        FrontDoor door = rig.prepare(port, FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        FrontDoor door = fixture.prepare(port, FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
         CountDownLatch over = door.warmUp();
         assertThrows(ConnectException.class, () -> TestPeer.connect(address));
         over.await();
         assertThrows(ConnectException.class, () -> TestPeer.connect(address));
         door.open();
-        while (rig.client().write("GET /-/ready HTTP/1.1\r\nHost: gw\r\n\r\n").read().status() != 200) {
+        while (fixture.client().write("GET /-/ready HTTP/1.1\r\nHost: gw\r\n\r\n").read().status() != 200) {
             Thread.sleep(20);
         }
         backend.setSoTimeout(1);
         assertThrows(SocketTimeoutException.class, backend::accept);
     }
 
-    /** SIGKILL comes so long after the longest deadline at the earliest, counted from SIGTERM. */
+    /** Earliest SIGKILL, counted from SIGTERM plus the longest deadline. */
     private static final long KILL_AFTER_MS = 700;
 
     /**
-     * A request that came last before the listening socket closed has all its time, and SIGKILL finds nothing open,
-     * whatever deadlines the settings name. Longer ones than the protocol's 3 s don't move SIGKILL.
+     * The last request before the listener closes gets its whole deadline, and no request is open at SIGKILL, for any
+     * deadline in the settings. Deadlines above the protocol's 3 s don't delay SIGKILL.
      */
     @Test
     void drainCoversTheLongestDeadlineAndEndsBeforeSigkill() throws Exception {
@@ -135,34 +138,37 @@
         }
     }
 
-    /** Whatever it still waits for: a connection that ends with no answer loses the request. */
+    /** A connection that closes without a response loses its request. */
     @Test
     void requestOpenAtTheEndOfADrainIsAnswered() throws Exception {
-        ServerSocket backend = rig.backend();
-        FrontDoor door = rig.start(FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a", 9_000, ""));
-        rig.keep(TestPeer.accept(backend)).read();
+        ServerSocket backend = fixture.backend();
+        FrontDoor door = fixture.start(FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "a", 9_000, ""));
+        fixture.closeLater(TestPeer.accept(backend)).read();
         door.drain();
         assertEquals(0, door.activeRequestCount());
         int status = client.read().status();
         assertTrue(status == 429 || status == 504, "as the module decides: " + status);
     }
 
-    /** What it can't listen on is told when it opens, in a line. */
+    /** An address in use is reported on open, in one line. */
     @Test
     void openFailsOnAnAddressInUse() throws Exception {
         try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            FrontDoor door = rig.prepare(other.getLocalPort());
+            FrontDoor door = fixture.prepare(other.getLocalPort());
             assertTrue(assertThrows(IllegalArgumentException.class, door::open).getMessage().startsWith("EDGE_LISTEN: can't listen on "));
         }
     }
 
-    /** What a backend, or a balancer before it, drops without a word is told only by the next request, which is lost. */
+    /**
+     * A backend, or a load balancer before it, may drop an idle connection silently: only the next request shows it,
+     * and is lost.
+     */
     @Test
     void idleConnectionsAreNotReusedAtAnAgeAtWhichTheyBroke() throws Exception {
-        ServerSocket listening = rig.backend();
-        rig.start(FrontDoorFixture.entry("s-1", listening.getLocalPort(), "SERVING"));
-        TestPeer client = rig.client();
+        ServerSocket listening = fixture.backend();
+        fixture.start(FrontDoorFixture.entry("s-1", listening.getLocalPort(), "SERVING"));
+        TestPeer client = fixture.client();
         for (int i = 0; i < 3; i++) {
             client.write(FrontDoorFixture.request("buy", "a" + i, 3000, "x"));
             try (TestPeer backend = TestPeer.accept(listening)) {
@@ -184,7 +190,7 @@
             Thread.sleep(300);
             client.write(FrontDoorFixture.request("buy", "d", 3000, "x"));
             try (TestPeer fresh = TestPeer.accept(listening)) {
-                assertEquals(FrontDoorFixture.txn("d"), fresh.read().header("X-Txn"));
+                assertEquals(FrontDoorFixture.requestId("d"), fresh.read().header("X-Txn"));
                 fresh.answer("200 OK", "", "served");
                 assertEquals("served", client.read().body());
             }
--- a/front-door/src/test/java/nettletrail/door/FrontDoorConfigTest.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorConfigTest.java
@@ -18,7 +18,7 @@
     @TempDir
     private Path folder;
 
-    private static void unusable(Map<String, String> env, String why) {
+    private static void assertInvalid(Map<String, String> env, String why) {
         String message = assertThrows(FrontDoorConfig.InvalidConfigException.class, () -> FrontDoorConfig.read(env))
                 .getMessage();
         assertTrue(message.contains(why), message);
@@ -26,9 +26,9 @@
     }
 
     @Test
-    void nestedSettingsAreReadAsTheSimulatorsAre() throws Exception {
-        try (FrontDoorFixture rig = new FrontDoorFixture(folder)) {
-            FrontDoorConfig config = rig.config();
+    void nestedSettingsReadLikeTheSimulatorsFormat() throws Exception {
+        try (FrontDoorFixture fixture = new FrontDoorFixture(folder)) {
+            FrontDoorConfig config = fixture.config();
             assertEquals(0xf0000000000000ffL, config.seed());
             assertEquals(List.of("look", "buy"), config.settings().names("Services"));
             assertEquals(List.of("a", "b"), config.settings().list("Dcs"));
@@ -40,26 +40,26 @@
     }
 
     @Test
-    void eachVariableIsNeededAndEachFaultIsOneLine() throws Exception {
-        try (FrontDoorFixture rig = new FrontDoorFixture(folder)) {
-            Map<String, String> good = rig.env();
+    void everyVariableIsRequiredAndEveryErrorIsOneLine() throws Exception {
+        try (FrontDoorFixture fixture = new FrontDoorFixture(folder)) {
+            Map<String, String> good = fixture.env();
             for (String name : good.keySet()) {
                 Map<String, String> env = new HashMap<>(good);
                 env.remove(name);
-                unusable(env, name + " is not set");
+                assertInvalid(env, name + " is not set");
             }
             Map<String, String> env = new HashMap<>(good);
             env.put("EDGE_LISTEN", "localhost:3000");
-            unusable(env, "EDGE_LISTEN");
+            assertInvalid(env, "EDGE_LISTEN");
             env = new HashMap<>(good);
             env.put("EDGE_CONFIG", folder.resolve("none.json").toString());
-            unusable(env, "EDGE_CONFIG");
+            assertInvalid(env, "EDGE_CONFIG");
             Path file = Path.of(good.get("EDGE_CONFIG"));
             String text = Files.readString(file);
             for (String bad : List.of("{", text.replace("f0000000000000ff", "no seed"), text.replace("\"known\"", "\"k\""),
                     text.replace("\"settings\"", "\"s\""), text.replace("\"limits\"", "\"l\""))) {
                 Files.writeString(file, bad);
-                unusable(good, "EDGE_CONFIG");
+                assertInvalid(good, "EDGE_CONFIG");
             }
         }
     }
--- a/front-door/src/test/java/nettletrail/door/FrontDoorFixture.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorFixture.java
@@ -17,7 +17,7 @@
 import nettletrail.core.FrontDoorExtensions;
 import nettletrail.decision.Gateway;
 
-/** A front door on loopback sockets, with discovery and backends that the test plays. */
+/** A front door on loopback sockets, with discovery and backends driven by the test. */
 final class FrontDoorFixture implements AutoCloseable {
     static final String SETTINGS = """
             {"Balancers":1,"Ceilings":{"ConnIdle":150000000000,"ConnectTimeout":%d,"MaxAttempts":4},
@@ -38,7 +38,7 @@
     private int agentPort = -1;
     private int listenPort;
     private FrontDoor door;
-    /** The watch that the front door keeps, once started. */
+    /** The front door's discovery watch, once started. */
     TestPeer watch;
 
     FrontDoorFixture(Path folder) throws IOException {
@@ -50,7 +50,7 @@
         return this;
     }
 
-    /** The longest of the classes; 0 for settings that name none. */
+    /** The longest deadline of the request classes; 0 for settings without one. */
     FrontDoorFixture deadlineMs(int ms) {
         deadlineMs = ms;
         return this;
@@ -61,7 +61,7 @@
         return this;
     }
 
-    /** The agent that the file names; the variable goes on naming the first. */
+    /** Sets the discovery agent in the file; the environment variable keeps the first one. */
     FrontDoorFixture agent(int port) {
         agentPort = port;
         return this;
@@ -100,7 +100,7 @@
                 "127.0.0.1:" + discovery.getLocalPort(), "EDGE_CONFIG", file.toString());
     }
 
-    /** Up to where others could connect, at this port. */
+    /** Prepares a front door for this port without listening yet. */
     FrontDoor prepare(int port, String... entries) throws Exception {
         known = String.join(",", entries);
         listenPort = port;
@@ -108,12 +108,12 @@
         return door;
     }
 
-    /** Starts it with the project's own module. */
+    /** Starts it with the project's decision module. */
     FrontDoor start(String... entries) throws Exception {
         return start(FrontDoor.GATEWAY_FACTORY, entries);
     }
 
-    /** Starts it and answers its first call with these entries. */
+    /** Starts it and answers its first discovery request with these entries. */
     FrontDoor start(Dispatcher.GatewayFactory module, String... entries) throws Exception {
         known = String.join(",", entries);
         door = FrontDoor.start(config(), module);
@@ -132,18 +132,18 @@
     }
 
     /**
-     * The door has read all that this client has written: neither side's kernel holds any of it back, as Linux tells. What a
-     * kernel still held would come before the client's end.
+     * Waits until the front door has read all that this client has written, so that neither side's kernel (as Linux
+     * reports) buffers any of it. Buffered bytes would arrive before the client's close.
      */
-    void allRead(TestPeer client) throws IOException, InterruptedException {
+    void awaitAllRead(TestPeer client) throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (heldBack(client.port())) {
+        while (hasUnreadBytes(client.port())) {
             assertTrue(System.nanoTime() < until, "the door has not read all in 20 s");
             Thread.sleep(1);
         }
     }
 
-    private static boolean heldBack(int port) throws IOException {
+    private static boolean hasUnreadBytes(int port) throws IOException {
         String end = String.format(Locale.ROOT, ":%04X", port);
         for (Path table : List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"))) {
             for (String line : Files.readAllLines(table)) {
@@ -157,20 +157,21 @@
         return false;
     }
 
-    /** Closed at the end. */
-    TestPeer keep(TestPeer peer) {
+    /** Registers a peer to be closed at the end. */
+    TestPeer closeLater(TestPeer peer) {
         open.add(peer);
         return peer;
     }
 
-    /** An id of the form that clients send. */
-    static String txn(String end) {
+    /** A request id in the format that clients send. */
+    static String requestId(String end) {
         return "0".repeat(16 - end.length()) + end;
     }
 
-    static String request(String lane, String txn, int remainingMs, String body) {
+    static String request(String lane, String requestId, int remainingMs, String body) {
         boolean buy = lane.equals("buy");
-        return (buy ? "POST" : "GET") + " /api/x?y=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: " + txn(txn) + "\r\nX-Lane: "
+        return (buy ? "POST" : "GET") + " /api/x?y=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: "
+                + requestId(requestId) + "\r\nX-Lane: "
                 + lane + "\r\nX-Plan: team\r\nX-Customer: 00000000b4d65521\r\nX-Remaining-Ms: " + remainingMs
                 + (buy ? "\r\nContent-Length: " + body.length() : "")
                 + "\r\nX-Quota: units=2,spread=1,first=0\r\n\r\n" + body;
@@ -186,7 +187,7 @@
         }
     }
 
-    /** A module that leaves the front door's own doing to be seen. */
+    /** A decision module without behaviour, so that a test sees only what the front door does. */
     abstract static class ScriptedGateway implements Gateway {
         Gateway.Actions actions;
 
--- a/front-door/src/test/java/nettletrail/door/FrontDoorFormTest.java
+++ b/front-door/src/test/java/nettletrail/door/FrontDoorFormTest.java
@@ -136,7 +136,7 @@
     private void backends(FrontDoorFixture rig, ServerSocket server) throws Exception {
         String used = "X-Quota-Used: 17\r\nX-Units-Charged: 1.5\r\nX-Pressure: cpu_share=0.5,pending=3\r\n";
         TestPeer client = rig.client().write(FrontDoorFixture.request("look", "d", 3_000, ""));
-        TestPeer backend = rig.keep(TestPeer.accept(server));
+        TestPeer backend = rig.closeLater(TestPeer.accept(server));
         add("to a backend", backend.read());
         backend.answer("200 OK", "Content-Type: text/x\r\n" + used, "done");
         add("served", client.read());
--- a/front-door/src/test/java/nettletrail/door/PausingGateway.java
+++ b/front-door/src/test/java/nettletrail/door/PausingGateway.java
@@ -10,8 +10,8 @@
 import nettletrail.decision.Gateway;
 
 /**
- * A module that does what a test says, and keeps the event loop at an instant that the test chooses. A request of one
- * unit is the one that it stands still at; all others it keeps, sends or answers as told.
+ * A scripted decision module that can pause the event loop at a moment that the test chooses. It pauses at a request of
+ * one unit; every other request is kept, sent or answered as the test says.
  */
 class PausingGateway extends FrontDoorFixture.ScriptedGateway {
     final BlockingQueue<Gateway.Request> arrivals = new LinkedBlockingQueue<>();
@@ -19,11 +19,11 @@
     final BlockingQueue<Long> departures = new LinkedBlockingQueue<>();
     private final CountDownLatch paused = new CountDownLatch(1);
     private final CountDownLatch resumed = new CountDownLatch(1);
-    /** All called on the loop. */
+    /** Callbacks, all called on the loop. */
     volatile Consumer<Gateway.Request> onArrival = this::send;
     volatile Consumer<Gateway.AttemptReport> onAnswer = told -> { };
     volatile Runnable afterPause = () -> { };
-    /** The loop is late by so much at least when it goes on. */
+    /** Minimum length of the pause. */
     volatile long lateMs = 500;
     long backend;
 
@@ -31,7 +31,7 @@
         actions.send(request.id(), backend, 0);
     }
 
-    /** On the loop: stands still until {@link #resume}, then does what is to follow. */
+    /** Pauses the loop until {@link #resume}, then runs {@link #afterPause}. On the loop. */
     void pause() {
         long since = System.nanoTime();
         paused.countDown();
@@ -59,7 +59,7 @@
         return next;
     }
 
-    /** A request at which the loop stands still. */
+    /** A request that pauses the loop. */
     static String pausingRequest(String txn) {
         return FrontDoorFixture.request("look", txn, 30_000, "").replace("units=2", "units=1");
     }
@@ -85,7 +85,7 @@
         answers.add(told);
         onAnswer.accept(told);
         if (!told.requestEnded()) {
-            actions.fail(told.requestId()); // nothing, where the test has ended it
+            actions.fail(told.requestId()); // no effect if the test has ended the request
         }
     }
 
--- a/front-door/src/test/java/nettletrail/door/PipelinedFloodTest.java
+++ b/front-door/src/test/java/nettletrail/door/PipelinedFloodTest.java
@@ -19,18 +19,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients that send far more behind an open request than is kept: what has been read as a request gets its answer, in turn,
- * whatever is kept of it is bounded, and that such a client leaves is seen.
+ * Guards against a client that pipelines far more requests behind an open one than are queued: every parsed request is
+ * answered in order, memory is bounded, and the client's disconnect is detected.
  */
 @Timeout(60)
 class PipelinedFloodTest {
-    /** Behind the open one; the rest is refused without a word to the module. */
-    private static final int KEPT = 64;
-    private static final int OWED = 4_096;
+    /** Requests queued behind the open one; further ones are rejected without the module. */
+    private static final int MAX_QUEUED = 64;
+    private static final int MAX_UNANSWERED = 4_096;
     @TempDir
     private Path folder;
-    private FrontDoorFixture rig;
-    private final PausingGateway module = new PausingGateway();
+    private FrontDoorFixture fixture;
+    private final PausingGateway gateway = new PausingGateway();
     private ServerSocket backend;
     private FrontDoor door;
     private TestPeer client;
@@ -38,19 +38,19 @@
 
     @BeforeEach
     void setUp() throws Exception {
-        rig = new FrontDoorFixture(folder);
-        backend = rig.backend();
-        door = rig.start(module.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
-        module.onArrival = request -> { };
-        client = rig.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
-        open = PausingGateway.next(module.arrivals);
-        module.onArrival = request -> module.actions.reject(request.id(), 0);
+        fixture = new FrontDoorFixture(folder);
+        backend = fixture.backend();
+        door = fixture.start(gateway.factory(), FrontDoorFixture.entry("s-1", backend.getLocalPort(), "SERVING"));
+        gateway.onArrival = request -> { };
+        client = fixture.client().write(FrontDoorFixture.request("look", "a", 30_000, ""));
+        open = PausingGateway.next(gateway.arrivals);
+        gateway.onArrival = request -> gateway.actions.reject(request.id(), 0);
     }
 
     @AfterEach
     void tearDown() throws Exception {
-        module.resume();
-        rig.close();
+        gateway.resume();
+        fixture.close();
     }
 
     private static String flood(int requests, String body) {
@@ -62,15 +62,15 @@
     }
 
     private void answerOpen() throws IOException {
-        door.loop().execute(() -> module.send(open));
+        door.loop().execute(() -> gateway.send(open));
         try (TestPeer server = TestPeer.accept(backend)) {
-            assertEquals(FrontDoorFixture.txn("a"), server.read().header("X-Txn"));
+            assertEquals(FrontDoorFixture.requestId("a"), server.read().header("X-Txn"));
             server.answer("200 OK", "", "seen");
         }
         assertEquals("seen", client.read().body());
     }
 
-    /** 1 MB behind the open request: each of them is answered, and the connection goes on. */
+    /** 1 MB behind the open request: each request is answered, and the connection stays open. */
     @Test
     void everyPipelinedRequestIsAnswered() throws Exception {
         int requests = 3_500;
@@ -81,25 +81,25 @@
             assertEquals(429, answer.status());
             assertNull(answer.header("Connection"));
         }
-        assertEquals(KEPT, module.arrivals.size(), "the module hears of those that were kept");
+        assertEquals(MAX_QUEUED, gateway.arrivals.size(), "the module hears of those that were kept");
         assertEquals(404, client.write("GET /x HTTP/1.1\r\nHost: gw\r\n\r\n").read().status());
         assertEquals(0, door.activeRequestCount());
     }
 
-    /** Several MB: what can't be read as requests any more is read all the same, and the connection ends with its last answer. */
+    /** Several MB: input beyond the limit is read and discarded, and the connection closes after the last response. */
     @Test
     void endlessPipelineIsAnsweredUpToTheLimitThenClosed() throws Exception {
         client.write(flood(12_000, "x"));
         answerOpen();
-        for (int i = 1; i < KEPT + OWED; i++) {
+        for (int i = 1; i < MAX_QUEUED + MAX_UNANSWERED; i++) {
             assertNull(client.read().header("Connection"), "answer " + i);
         }
         assertEquals("close", client.read().header("Connection"));
-        assertTrue(client.ended());
+        assertTrue(client.isClosedByPeer());
         assertEquals(0, door.activeRequestCount());
     }
 
-    /** Of bodies no more is kept than 128 KB, and of those refused nothing. */
+    /** At most 128 KB of bodies are queued, and nothing of rejected requests. */
     @Test
     void queuedBodiesAreBoundedInBytes() throws Exception {
         int requests = 40;
@@ -108,17 +108,20 @@
         for (int i = 0; i < requests; i++) {
             assertEquals(429, client.read().status());
         }
-        assertEquals(2, module.arrivals.size());
+        assertEquals(2, gateway.arrivals.size());
         assertEquals(0, door.activeRequestCount());
     }
 
-    /** Never a word that the same request may be sent again where it may have run; and what is no request is told so. */
+    /**
+     * A duplicate of a request that may have been executed is never answered as safe to retry, and invalid input is
+     * reported.
+     */
     @Test
     void rejectedPipelinedRequestsAreStillValidated() throws Exception {
-        client.write(flood(KEPT, "x") + FrontDoorFixture.request("look", "a", 30_000, "")
+        client.write(flood(MAX_QUEUED, "x") + FrontDoorFixture.request("look", "a", 30_000, "")
                 + "GET /x HTTP/1.1\r\nHost: gw\r\n\r\nGET /-/ready HTTP/1.1\r\nHost: gw\r\n\r\nnonsense\r\n\r\n");
         answerOpen();
-        for (int i = 0; i < KEPT; i++) {
+        for (int i = 0; i < MAX_QUEUED; i++) {
             assertEquals(429, client.read().status());
         }
         assertEquals(400, client.read().status(), "the open one's id");
@@ -127,24 +130,27 @@
         TestPeer.Message last = client.read();
         assertEquals(400, last.status());
         assertEquals("close", last.header("Connection"));
-        assertTrue(client.ended());
+        assertTrue(client.isClosedByPeer());
     }
 
-    /** It left behind all that it sent: that is seen, and nothing of it is sent on, though the loop was late. */
+    /**
+     * The client disconnects after sending: the disconnect is detected behind the unread input, and nothing is
+     * forwarded, even on a late loop.
+     */
     @ParameterizedTest
     @ValueSource(ints = {2_000, 12_000})
-    void thatItLeavesIsSeen(int requests) throws Exception {
+    void disconnectBehindAFloodIsDetected(int requests) throws Exception {
         client.write(flood(requests, "x"));
-        rig.allRead(client);
-        module.afterPause = () -> module.send(open);
-        rig.client().write(PausingGateway.pausingRequest("b"));
-        module.awaitPaused();
+        fixture.awaitAllRead(client);
+        gateway.afterPause = () -> gateway.send(open);
+        fixture.client().write(PausingGateway.pausingRequest("b"));
+        gateway.awaitPaused();
         client.close();
-        module.resume();
-        Gateway.AttemptReport told = PausingGateway.next(module.answers);
+        gateway.resume();
+        Gateway.AttemptReport told = PausingGateway.next(gateway.answers);
         assertEquals(Gateway.Outcome.NEVER_SENT, told.outcome());
         assertTrue(told.requestEnded());
-        assertTrue(module.arrivals.isEmpty());
+        assertTrue(gateway.arrivals.isEmpty());
         backend.setSoTimeout(100);
         assertThrows(SocketTimeoutException.class, backend::accept);
         assertEquals(0, door.activeRequestCount());
@@ -155,14 +161,14 @@
     @ValueSource(booleans = {false, true})
     void disconnectIsReportedImmediately(boolean reset) throws Exception {
         client.write(flood(12_000, "x"));
-        rig.allRead(client);
+        fixture.awaitAllRead(client);
         long since = System.nanoTime();
         if (reset) {
             client.reset();
         } else {
             client.close();
         }
-        assertEquals(open.id(), PausingGateway.next(module.departures));
+        assertEquals(open.id(), PausingGateway.next(gateway.departures));
         long tookMs = (System.nanoTime() - since) / 1_000_000;
         assertTrue(tookMs < 100, "took " + tookMs + " ms");
         assertEquals(0, door.activeRequestCount());
--- a/front-door/src/test/java/nettletrail/door/StrictRequestHeadTest.java
+++ b/front-door/src/test/java/nettletrail/door/StrictRequestHeadTest.java
@@ -20,22 +20,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Heads that two readers could take in two ways: none comes to the module, and the connection's other requests are
- * served.
+ * Request heads that two parsers could read differently: none reaches the decision module, and other requests of the
+ * connection are served.
  */
 @Timeout(60)
 class StrictRequestHeadTest {
     @TempDir
     private Path folder;
-    private FrontDoorFixture rig;
+    private FrontDoorFixture fixture;
     private ServerSocket backend;
     private final List<Gateway.Request> heard = new ArrayList<>();
 
     @BeforeEach
     void setUp() throws Exception {
-        rig = new FrontDoorFixture(folder);
-        backend = rig.backend();
-        rig.start(new FrontDoorFixture.ScriptedGateway() {
+        fixture = new FrontDoorFixture(folder);
+        backend = fixture.backend();
+        fixture.start(new FrontDoorFixture.ScriptedGateway() {
             private long node;
 
             @Override
@@ -53,33 +53,34 @@
 
     @AfterEach
     void tearDown() throws Exception {
-        rig.close();
+        fixture.close();
     }
 
     private static String requestWithHeader(String line) {
         return FrontDoorFixture.request("look", "a1", 3000, "").replace("\r\n\r\n", "\r\n" + line + "\r\n\r\n");
     }
 
-    /** It is answered, nothing is sent on, and the next request of the connection is served. */
+    /** The request is answered with 400 and not forwarded, and the next request of the connection is served. */
     private void assertRejectedAndConnectionKept(String request, String told) throws Exception {
-        TestPeer client = rig.client().write(request + FrontDoorFixture.request("look", "b2", 3000, ""));
+        TestPeer client = fixture.client().write(request + FrontDoorFixture.request("look", "b2", 3000, ""));
         TestPeer.Message answer = client.read();
         assertEquals(400, answer.status());
         assertTrue(answer.body().contains(told), answer.body());
         try (TestPeer server = TestPeer.accept(backend)) {
-            assertEquals(FrontDoorFixture.txn("b2"), server.read().header("X-Txn"), "the refused one came through");
+            assertEquals(FrontDoorFixture.requestId("b2"), server.read().header("X-Txn"),
+                    "the refused one came through");
             server.answer("200 OK", "", "served");
             assertEquals("served", client.read().body());
         }
     }
 
-    /** The connection can't go on: where the next request begins is in doubt. */
+    /** The connection is closed, as the start of the next request is ambiguous. */
     private void assertRejectedAndClosed(String request, int status, String told) throws IOException {
-        TestPeer client = rig.client().write(request);
+        TestPeer client = fixture.client().write(request);
         TestPeer.Message answer = client.read();
         assertEquals(status, answer.status());
         assertTrue(answer.body().contains(told), answer.body());
-        assertTrue(client.ended());
+        assertTrue(client.isClosedByPeer());
         assertEquals(0, heard.size());
     }
 
@@ -94,14 +95,14 @@
     @ParameterizedTest
     @ValueSource(strings = {"x-txn", "X-CUSTOMER"})
     void duplicateHeaderIsRejectedInAnyCaseAndWithEqualValues(String name) throws Exception {
-        String value = name.equals("x-txn") ? FrontDoorFixture.txn("a1") : "00000000b4d65521";
+        String value = name.equals("x-txn") ? FrontDoorFixture.requestId("a1") : "00000000b4d65521";
         assertRejectedAndConnectionKept(requestWithHeader(name + ": " + value), "is there twice");
     }
 
     @Test
     void duplicateCredentialsAreRejectedAndNotEchoed() throws Exception {
         String request = requestWithHeader("Authorization: Bearer tok-a\r\nAuthorization: Bearer tok-b");
-        TestPeer client = rig.client().write(request);
+        TestPeer client = fixture.client().write(request);
         TestPeer.Message answer = client.read();
         assertEquals(400, answer.status());
         assertFalse((answer.head() + answer.body()).contains("tok-"), answer.body());
@@ -127,12 +128,12 @@
     void missingHostIsRejected() throws Exception {
         assertRejectedAndConnectionKept(FrontDoorFixture.request("look", "a1", 3000, "")
                 .replace("Host: service.internal\r\n", ""), "Host is missing");
-        assertEquals(400, rig.client().write("GET /-/ready HTTP/1.1\r\n\r\n").read().status());
+        assertEquals(400, fixture.client().write("GET /-/ready HTTP/1.1\r\n\r\n").read().status());
     }
 
     @Test
     void http10RequestNeedsNoHost() throws Exception {
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a1", 3000, "")
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "a1", 3000, "")
                 .replace("Host: service.internal\r\n", "")
                 .replace("HTTP/1.1", "HTTP/1.0"));
         try (TestPeer server = TestPeer.accept(backend)) {
@@ -149,7 +150,7 @@
                 "HTTP/1.1");
     }
 
-    /** RFC 9113 section 3.4: what an HTTP/2 client says first. */
+    /** RFC 9113 section 3.4: the first bytes of an HTTP/2 client. */
     @Test
     void http2PrefaceIsRejected() throws Exception {
         assertRejectedAndClosed("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 505, "HTTP/1.1");
@@ -163,7 +164,7 @@
 
     @Test
     void absoluteFormTargetIsReducedToItsPath() throws Exception {
-        TestPeer client = rig.client().write(FrontDoorFixture.request("look", "a1", 3000, "")
+        TestPeer client = fixture.client().write(FrontDoorFixture.request("look", "a1", 3000, "")
                 .replace("/api/x?y=1", "http://gw:80/api/x?y=1"));
         try (TestPeer server = TestPeer.accept(backend)) {
             assertEquals("GET /api/x?y=1 HTTP/1.1", server.read().start());
--- a/front-door/src/test/java/nettletrail/door/TestPeer.java
+++ b/front-door/src/test/java/nettletrail/door/TestPeer.java
@@ -9,12 +9,12 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** One end of a connection, played by a test: it writes what it is told to and reads one message at a time. */
+/** One end of a connection, driven by a test: writes given text and reads one HTTP message at a time. */
 final class TestPeer implements Closeable {
-    /** A hang fails the test; no test waits for it to pass. */
+    /** Limit for each wait: a hang fails the test. No passing test waits this long. */
     static final int TIMEOUT_MS = 10_000;
 
-    /** What came: the first line with the headers, and the body. */
+    /** A received message: the start line with the headers, and the body. */
     record Message(String head, String body) {
         String start() {
             return head.substring(0, head.indexOf("\r\n"));
@@ -63,7 +63,7 @@
         return this;
     }
 
-    /** Answers with this status line's end, headers (each ending its line) and body. */
+    /** Sends a response with this status, headers (each with its line end) and body. */
     TestPeer answer(String status, String headers, String body) throws IOException {
         return write("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n" + headers + "\r\n" + body);
     }
@@ -83,13 +83,16 @@
         return new Message(bare.head(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** Where nobody listens on a port of the ephemeral range, the kernel may connect a socket to itself: a refusal too. */
-    boolean itself() {
+    /**
+     * Whether the kernel connected the socket to itself, which can happen on an ephemeral port without a listener; this
+     * counts as refused.
+     */
+    boolean isSelfConnected() {
         return socket.getLocalPort() == socket.getPort();
     }
 
     /** Waits until the other side has closed; false if it sends something instead. */
-    boolean ended() {
+    boolean isClosedByPeer() {
         try {
             return in.read() < 0;
         } catch (IOException e) {
@@ -97,12 +100,12 @@
         }
     }
 
-    /** Ends its sending: the other side reads an end. */
-    void shut() throws IOException {
+    /** Closes the output: the other side reads an end of stream. */
+    void shutdownOutput() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** Breaks the connection, as the death of a process does. */
+    /** Resets the connection, as when a process is killed. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/front-door/src/test/java/nettletrail/sim/SimulatorAdapterTest.java
+++ b/front-door/src/test/java/nettletrail/sim/SimulatorAdapterTest.java
@@ -34,7 +34,7 @@
                 .putInt(0, 9).putInt(4, length).putLong(8, 5_000_000_000L).putInt(16, records);
     }
 
-    /** Start of instance 3, a list of one backend, and a request of 5 s patience. */
+    /** Starts instance 3, lists one backend, and sends a request with a deadline of 5 s. */
     private static ByteBuffer opening(String settings) {
         return opening(settings, 77, 0x12034a07);
     }
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         byte[] reply = run(frame(0, 0).array());
         assertArrayEquals(new byte[] {9, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, reply);
         assertEquals(0, run(new byte[0]).length, "end of input is a clean end");
     }
 
     @Test
-    void aRequestIsHandedOff() throws IOException {
+    void requestIsSentToTheBackend() throws IOException {
         ByteBuffer reply = ByteBuffer.wrap(run(opening(SETTINGS).array())).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(1, reply.getInt(4));
         assertEquals(12 + 24, reply.limit());
@@ -85,9 +85,11 @@
         assertEquals(0x12034a07, reply.getInt(24));
     }
 
-    /** Each of two gateways has one of two backends, whatever its seed; without its number, or switched off, both. */
+    /**
+     * Each of two gateways uses one of two backends, for any seed; without an index, or with the aperture off, both.
+     */
     @Test
-    void aGatewayThatKnowsItsNumberKeepsToItsAperture() throws IOException {
+    void gatewayWithAnIndexUsesOnlyItsAperture() throws IOException {
         String two = SETTINGS.replace("Balancers=1", "Balancers=2") + "Aperture.Least=1\nAperture.DoorsPerBackend=1\n";
         Set<Integer> first = sentTo(two + "Index=0\n");
         Set<Integer> second = sentTo(two + "Index=1\n");
@@ -110,7 +112,7 @@
     }
 
     @Test
-    void brokenFramesAreNamed() {
+    void malformedFrameIsReported() {
         assertEquals("batch 9: input ended inside the frame",
                 fault(ByteBuffer.wrap(Arrays.copyOf(frame(1, 0).array(), 40))));
         assertEquals("input ended inside a batch header, after 7 bytes", fault(ByteBuffer.allocate(7)));
@@ -122,14 +124,14 @@
     }
 
     @Test
-    void malformedSettingsAreNamed() {
+    void malformedSettingsAreReported() {
         assertEquals("batch 9, record 0 (start of instance 3): settings: malformed value 'many' of Balancers",
                 fault(opening(SETTINGS.replace("Balancers=1", "Balancers=many"))));
         assertTrue(fault(opening(SETTINGS + "Obligations.ColdFrom=-1\n")).contains("Settings.coldCapacityShare"));
     }
 
     @Test
-    void anExceptionInTheModuleIsReported() throws IOException {
+    void exceptionInTheModuleIsReported() throws IOException {
         ByteBuffer reply = ByteBuffer.wrap(run(opening(SETTINGS).putFloat(160, -1).array()))
                 .order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(1100, reply.getShort(12));
