--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcStream.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcStream.java
@@ -92,8 +92,8 @@
             case NONE, STREAMED, BUFFERED, BUFFERED_PARTIAL -> true;
             case FULL_DUPLEX_STREAMED, UNRECOGNIZED -> {
                 endWithError(Status.FAILED_PRECONDITION, key + " " + mode
-                        + " is not served: this processor does not read "
-                        + "bodies and would have to send them back; set it to NONE");
+                        + " is not served: bodies are not looked at here and "
+                        + "would have to be sent back; set it to NONE");
                 yield false;
             }
         };
@@ -128,7 +128,7 @@
             protocolError("request_headers after their decision: open another stream to ask again");
         } else {
             processor.counters().duplicates++;
-            fail(502, "it was forwarded before and may have run");
+            fail(502, "it was handed out before and may have run");
         }
     }
 
@@ -161,7 +161,7 @@
         KnownHeaders headers = new KnownHeaders(message.getResponseHeaders().getHeaders());
         int status = headers.nonNegativeInt(KnownHeaders.STATUS);
         if (status < 100 || status > 599) {
-            protocolError("response_headers without a valid :status");
+            protocolError("response_headers without a sound :status");
             return;
         }
         boolean repeated = phase == Phase.RESPONSE_SEEN;
@@ -184,9 +184,9 @@
         if (replacementStatus == 0) {
             send(ExtProcResponses.RESPONSE_HEADERS);
         } else if (replacementStatus == 503) {
-            endWithResponse(ExtProcResponses.refuse(503, 0, "the request was not started; a retry is safe"));
+            endWithResponse(ExtProcResponses.refuse(503, 0, "the request was not begun; trying again is harmless"));
         } else {
-            endWithResponse(ExtProcResponses.fail(replacementStatus, "the request may have run; its response is lost"));
+            endWithResponse(ExtProcResponses.fail(replacementStatus, "the request may have run; its answer is lost"));
         }
     }
 
@@ -255,7 +255,7 @@
 
     @Override
     public void refuse(long retryAfterNanos) {
-        endWithResponse(ExtProcResponses.refuse(429, retryAfterNanos, "refused; a retry is safe"));
+        endWithResponse(ExtProcResponses.refuse(429, retryAfterNanos, "refused; trying again is harmless"));
     }
 
     @Override
--- a/ext-proc/src/main/java/nettletrail/extproc/ForwardAuthHandler.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ForwardAuthHandler.java
@@ -113,14 +113,14 @@
             uri = new QueryStringDecoder(request.uri());
             denyAs403 = List.of("403").equals(uri.parameters().get("deny"));
         } catch (IllegalArgumentException e) {
-            answer(400, "malformed", 0, "the query can't be parsed");
+            answer(400, "malformed", 0, "the query can't be read");
             return;
         }
         switch (uri.path()) {
             case DECISION_PATH -> openRequest(headers);
             case OUTCOME_PATH -> outcome(request.method(), headers);
             case COUNTERS_PATH -> counters();
-            default -> answer(404, "malformed", 0, "unknown path; use " + DECISION_PATH + ", " + OUTCOME_PATH + " or "
+            default -> answer(404, "malformed", 0, "there is " + DECISION_PATH + ", " + OUTCOME_PATH + " and "
                     + COUNTERS_PATH);
         }
     }
@@ -176,9 +176,9 @@
         Processor.OutcomeReportResult result = processor.outcome(id, outcome, reportReader.read(headers::get));
         switch (result) {
             case ACCEPTED -> answer(200, "taken", 0, "taken");
-            case TOO_LATE -> answer(409, "too-late", 0, "its outcome was reported before, or it timed out");
-            case NO_DECISION -> answer(404, "no-decision", 0, "no request was forwarded with this id, or the id is no "
-                    + "longer retained");
+            case TOO_LATE -> answer(409, "too-late", 0, "its outcome was told before, or its time was up");
+            case NO_DECISION -> answer(404, "no-decision", 0, "nothing was handed out under this id, or it is no "
+                    + "longer remembered");
         }
     }
 
@@ -212,7 +212,7 @@
 
     @Override
     public void refuse(long retryAfterNanos) {
-        answer(429, "refuse", retryAfterNanos, "refused; a retry is safe");
+        answer(429, "refuse", retryAfterNanos, "refused; trying again is harmless");
     }
 
     @Override
--- a/ext-proc/src/main/java/nettletrail/extproc/Processor.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/Processor.java
@@ -115,7 +115,7 @@
             if (awaitingDecision()) {
                 finishUnforwarded();
                 counters.failed++;
-                listener.fail(status, status == 504 ? "it timed out" : "no endpoint is available for it");
+                listener.fail(status, status == 504 ? "its time is up" : "no node could be found for it");
             }
         }
 
@@ -280,7 +280,7 @@
             DecisionListener before = existing.listener;
             existing.listener = listener;
             if (before != listener) {
-                before.fail(502, "superseded by a later request with the same id");
+                before.fail(502, "asked again since, and answered there");
             }
             return existing;
         }
@@ -297,12 +297,12 @@
             case PERHAPS_RAN -> {
                 counters.duplicates++;
                 counters.failed++;
-                listener.fail(502, "it was forwarded before and may have run");
+                listener.fail(502, "it was handed out before and may have run");
             }
             case NOT_SEEN -> {
                 counters.duplicates++;
                 counters.failed++;
-                listener.fail(502, "it was attempted before, and the outcome of that attempt is unknown here");
+                listener.fail(502, "it was tried before, and what became of that is not known here");
             }
             case NEVER_RAN -> {
                 counters.duplicates++;
