--- a/front-door/src/test/java/nettletrail/core/LogTest.java
+++ b/front-door/src/test/java/nettletrail/core/LogTest.java
@@ -13,22 +13,23 @@
 import org.junit.jupiter.api.Test;
 
 class LogTest {
-    private final PrintStream before = System.err;
+  private final PrintStream before = System.err;
 
-    @AfterEach
-    void restoreLogging() throws IOException {
-        System.setErr(before);
-        LogManager.getLogManager().readConfiguration();
-    }
+  @AfterEach
+  void restoreLogging() throws IOException {
+    System.setErr(before);
+    LogManager.getLogManager().readConfiguration();
+  }
 
-    @Test
-    void libraryLogRecordIsWrittenAsOneLine() {
-        ByteArrayOutputStream written = new ByteArrayOutputStream();
-        System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
-        Log.install();
-        Logger.getLogger("io.netty").log(Level.WARNING, "accept", new IOException("Too many open files"));
-        String text = written.toString(StandardCharsets.UTF_8);
-        assertTrue(text.contains("Z accept: java.io.IOException: Too many open files at "), text);
-        assertTrue(text.lines().count() == 1, text);
-    }
+  @Test
+  void libraryLogRecordIsWrittenAsOneLine() {
+    ByteArrayOutputStream written = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
+    Log.install();
+    Logger.getLogger("io.netty")
+        .log(Level.WARNING, "accept", new IOException("Too many open files"));
+    String text = written.toString(StandardCharsets.UTF_8);
+    assertTrue(text.contains("Z accept: java.io.IOException: Too many open files at "), text);
+    assertTrue(text.lines().count() == 1, text);
+  }
 }
--- a/front-door/src/test/java/nettletrail/core/PendingInputTest.java
+++ b/front-door/src/test/java/nettletrail/core/PendingInputTest.java
@@ -29,44 +29,60 @@
 /** A close is found behind more data than the event loop reads in one turn. */
 @Timeout(30)
 class PendingInputTest {
-    @Test
-    void closeIsDetectedBehindAllPendingBytes() throws Exception {
-        NioEventLoopGroup group = new NioEventLoopGroup(1);
-        BlockingQueue<Channel> taken = new LinkedBlockingQueue<>();
-        AtomicInteger bytes = new AtomicInteger();
-        try {
-            Channel listening = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                    .childOption(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(4_096)) // 4 KB a turn
-                    .childHandler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel made) {
-                            made.pipeline().addLast(new ChannelInboundHandlerAdapter() {
+  @Test
+  void closeIsDetectedBehindAllPendingBytes() throws Exception {
+    NioEventLoopGroup group = new NioEventLoopGroup(1);
+    BlockingQueue<Channel> taken = new LinkedBlockingQueue<>();
+    AtomicInteger bytes = new AtomicInteger();
+    try {
+      Channel listening =
+          new ServerBootstrap()
+              .group(group)
+              .channel(NioServerSocketChannel.class)
+              .childOption(
+                  ChannelOption.RCVBUF_ALLOCATOR,
+                  new FixedRecvByteBufAllocator(4_096)) // 4 KB a turn
+              .childHandler(
+                  new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel made) {
+                      made.pipeline()
+                          .addLast(
+                              new ChannelInboundHandlerAdapter() {
                                 @Override
-                                public void channelRead(ChannelHandlerContext context, Object message) {
-                                    bytes.addAndGet(((ByteBuf) message).readableBytes());
-                                    ReferenceCountUtil.release(message);
+                                public void channelRead(
+                                    ChannelHandlerContext context, Object message) {
+                                  bytes.addAndGet(((ByteBuf) message).readableBytes());
+                                  ReferenceCountUtil.release(message);
                                 }
-                            });
-                            taken.add(made);
-                        }
-                    }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
-            InetSocketAddress address = (InetSocketAddress) listening.localAddress();
-            CountDownLatch gone = new CountDownLatch(1);
-            Future<Boolean> look;
-            try (Socket client = new Socket(address.getAddress(), address.getPort())) {
-                Channel channel = taken.take();
-                look = group.next().submit(() -> {
-                    gone.await();
-                    PendingInput.readAll(channel);
-                    return channel.isActive();
-                });
-                client.getOutputStream().write(new byte[40_000]);
-            }
-            gone.countDown();
-            assertFalse(look.get());
-            assertEquals(40_000, bytes.get());
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-        }
+                              });
+                      taken.add(made);
+                    }
+                  })
+              .bind(InetAddress.getLoopbackAddress(), 0)
+              .sync()
+              .channel();
+      InetSocketAddress address = (InetSocketAddress) listening.localAddress();
+      CountDownLatch gone = new CountDownLatch(1);
+      Future<Boolean> look;
+      try (Socket client = new Socket(address.getAddress(), address.getPort())) {
+        Channel channel = taken.take();
+        look =
+            group
+                .next()
+                .submit(
+                    () -> {
+                      gone.await();
+                      PendingInput.readAll(channel);
+                      return channel.isActive();
+                    });
+        client.getOutputStream().write(new byte[40_000]);
+      }
+      gone.countDown();
+      assertFalse(look.get());
+      assertEquals(40_000, bytes.get());
+    } finally {
+      group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
+  }
 }
