--- a/ext-proc/src/main/java/nettletrail/extproc/DecisionListener.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/DecisionListener.java
@@ -24,12 +24,17 @@
      * The request must not be forwarded because it may have run already or its effect is unknown.
      *
      * @param status 502 or 504
+     * @param reason text for the response
      */
     void fail(int status, String reason);
 
     /** The request must not be forwarded because its credentials were denied. */
     void deny(Authorizer.Denial denial);
 
-    /** The request is invalid. */
+    /**
+     * The request is invalid.
+     *
+     * @param problem what is wrong with it, for the response
+     */
     void malformed(String problem);
 }
--- a/ext-proc/src/main/java/nettletrail/extproc/DeduplicationDecider.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/DeduplicationDecider.java
@@ -145,7 +145,7 @@
         return new Result.Accepted(accepted);
     }
 
-    /** The latest request with this id, or null if the id is unknown. */
+    /** Returns the latest request with this id, or null if the id is unknown. */
     TrackedRequest find(String id) {
         return ids.get(id);
     }
@@ -198,12 +198,12 @@
         }
     }
 
-    /** Number of requests that await a decision or an outcome. */
+    /** Returns the number of requests that await a decision or an outcome. */
     int open() {
         return open;
     }
 
-    /** Number of known ids. */
+    /** Returns the number of known ids. */
     int ids() {
         return ids.size();
     }
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcResponses.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcResponses.java
@@ -41,13 +41,20 @@
         this.settings = settings;
     }
 
-    /** The address as {@code IP:port}, with an IPv6 address in brackets. */
+    /** Formats the address as {@code IP:port}, with an IPv6 address in brackets. */
     static String hostPort(SocketAddress address) {
         InetSocketAddress socket = (InetSocketAddress) address;
         String host = socket.getAddress().getHostAddress();
         return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + socket.getPort();
     }
 
+    /**
+     * Builds the response that forwards the request.
+     *
+     * @param hostPort address of the endpoint, as {@link #hostPort} formats it
+     * @param remainingMs how long this server waits for the outcome, in ms
+     * @param unsafe whether the request must not run twice
+     */
     ProcessingResponse forward(String hostPort, long remainingMs, boolean unsafe) {
         HeaderMutation.Builder headers = HeaderMutation.newBuilder();
         if (!settings.destinationHeader().isEmpty()) {
@@ -75,27 +82,37 @@
         return response.build();
     }
 
-    /** @param retryAfterNs delay before a retry, in ns; 0 sends no {@code retry-after} header */
-    static ProcessingResponse refuse(int status, long retryAfterNs, String reason) {
-        return withRetryAfter(immediate(status, "refuse", reason), retryAfterNs);
+    /**
+     * Builds the response for a request that was not forwarded and may be retried.
+     *
+     * @param retryAfterNanos delay before a retry, in ns; 0 sends no {@code retry-after} header
+     */
+    static ProcessingResponse refuse(int status, long retryAfterNanos, String reason) {
+        return withRetryAfter(immediate(status, "refuse", reason), retryAfterNanos);
     }
 
-    private static ProcessingResponse withRetryAfter(ImmediateResponse.Builder response, long retryAfterNs) {
-        if (retryAfterNs > 0) {
-            response.getHeadersBuilder().addSetHeaders(overwriteHeader("retry-after", retryAfterSeconds(retryAfterNs)));
+    private static ProcessingResponse withRetryAfter(ImmediateResponse.Builder response, long retryAfterNanos) {
+        if (retryAfterNanos > 0) {
+            response.getHeadersBuilder().addSetHeaders(
+                    overwriteHeader("retry-after", retryAfterSeconds(retryAfterNanos)));
         }
         return ProcessingResponse.newBuilder().setImmediateResponse(response).build();
     }
 
-    /** Whole seconds (RFC 9110 section 10.2.3), rounded up so that the client never retries too early. */
+    /**
+     * Formats a delay in ns as whole seconds (RFC 9110 section 10.2.3), rounded up so that the client never retries too
+     * early.
+     */
     static String retryAfterSeconds(long nanos) {
         return Long.toString(Math.max(1, (nanos + NANOS_PER_SECOND - 1) / NANOS_PER_SECOND));
     }
 
+    /** Builds the response for a request that may have run already: 502 or 504, with the reason as text. */
     static ProcessingResponse fail(int status, String reason) {
         return ProcessingResponse.newBuilder().setImmediateResponse(immediate(status, "fail", reason)).build();
     }
 
+    /** Builds the response for a request whose credentials were denied. */
     static ProcessingResponse deny(Authorizer.Denial denial) {
         ImmediateResponse.Builder response = immediate(denial.status(), "deny", denial.message());
         if (!denial.challenge().isEmpty()) {
@@ -104,6 +121,7 @@
         return withRetryAfter(response, denial.retryAfterNanos());
     }
 
+    /** Builds the response for an invalid request; the problem is its text. */
     static ProcessingResponse malformed(String problem) {
         return ProcessingResponse.newBuilder().setImmediateResponse(immediate(400, "malformed", problem)).build();
     }
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcServer.java
@@ -59,7 +59,7 @@
     private Server grpcServer;
     private Channel httpListener;
 
-    /** A factory for the server that the settings describe. */
+    /** Returns a factory for the server that the settings describe. */
     public static Frontend.Factory factory(ExtProcSettings settings) {
         return (group, reader, deployment) -> new ExtProcServer(settings, group, reader, deployment, true);
     }
@@ -151,34 +151,35 @@
                 .keepAliveTime(30, TimeUnit.SECONDS).keepAliveTimeout(5, TimeUnit.SECONDS)
                 .addService(new ExternalProcessorGrpc.ExternalProcessorImplBase() {
                     @Override
-                    public StreamObserver<ProcessingRequest> process(StreamObserver<ProcessingResponse> responseObserver) {
+                    public StreamObserver<ProcessingRequest> process(
+                            StreamObserver<ProcessingResponse> responseObserver) {
                         return new ExtProcStream(processor, responses, reportReader, settings,
                                 (ServerCallStreamObserver<ProcessingResponse>) responseObserver);
                     }
                 }).build();
     }
 
-    /** The address of the gRPC listener, or null if there is none. */
+    /** Returns the address of the gRPC listener, or null if there is none. */
     public InetSocketAddress grpcAddress() {
         return grpcServer == null ? null : (InetSocketAddress) grpcServer.getListenSockets().get(0);
     }
 
-    /** The address of the HTTP listener, or null if there is none. */
+    /** Returns the address of the HTTP listener, or null if there is none. */
     public InetSocketAddress httpAddress() {
         return httpListener == null ? null : (InetSocketAddress) httpListener.localAddress();
     }
 
-    /** For tests; call it on the event loop. */
+    /** Returns the processor, for tests; call it on the event loop. */
     Processor processor() {
         return processor;
     }
 
-    /** The counters since the start, by name; call it on the event loop. */
+    /** Returns the counters since the start, by name; call it on the event loop. */
     public java.util.Map<String, Object> counters() {
         return processor.counters().all();
     }
 
-    /** Open calls continue: gRPC clients are told to open no more, idle HTTP connections are closed. */
+    /** Open calls continue: gRPC clients are instructed to open no more, idle HTTP connections are closed. */
     @Override
     public void drain() {
         Log.line("ext_proc: draining, " + processor.awaitingDecision() + " awaiting a decision, "
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcStream.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcStream.java
@@ -38,8 +38,8 @@
     private int earlyBodyMessages;
     private boolean earlyRequestTrailers;
 
-    ExtProcStream(Processor processor, ExtProcResponses responses, BackendReport.Reader reportReader, ExtProcSettings settings,
-            ServerCallStreamObserver<ProcessingResponse> responseObserver) {
+    ExtProcStream(Processor processor, ExtProcResponses responses, BackendReport.Reader reportReader,
+            ExtProcSettings settings, ServerCallStreamObserver<ProcessingResponse> responseObserver) {
         this.processor = processor;
         this.responses = responses;
         this.reportReader = reportReader;
--- a/ext-proc/src/main/java/nettletrail/extproc/ExtProcWarmUp.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ExtProcWarmUp.java
@@ -73,7 +73,8 @@
         classes = reader.names("Services");
         plans = reader.names("TiersOfService");
         Processor processor = new Processor(loop, extProcSettings, new RequestValidator(reader, deployment));
-        dispatcher = new Dispatcher(loop, new EventLoopClock(), RequestLimiter.NONE, List.of(processor), reader, deployment, GatewayDecider::new);
+        dispatcher = new Dispatcher(loop, new EventLoopClock(), RequestLimiter.NONE, List.of(processor), reader,
+                deployment, GatewayDecider::new);
         processor.open(dispatcher);
         ExtProcResponses responses = new ExtProcResponses(extProcSettings);
         BackendReport.Reader reportReader = new BackendReport.Reader(reader);
--- a/ext-proc/src/main/java/nettletrail/extproc/ForwardAuthHandler.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/ForwardAuthHandler.java
@@ -186,7 +186,8 @@
         try {
             respond(200,
                     Unpooled.copiedBuffer(com.fasterxml.jackson.jr.ob.JSON.std.asString(processor.counters().all()),
-                    StandardCharsets.UTF_8), response -> response.set(HttpHeaderNames.CONTENT_TYPE, "application/json"));
+                            StandardCharsets.UTF_8),
+                    response -> response.set(HttpHeaderNames.CONTENT_TYPE, "application/json"));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/ext-proc/src/main/java/nettletrail/extproc/KnownHeaders.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/KnownHeaders.java
@@ -11,8 +11,7 @@
 /**
  * The headers of a message that this processor reads, by case-insensitive name; all others are ignored. A known header
  * that is repeated, or has a CR, LF or NUL in its value, is an error, because two parsers could interpret it
- * differently
- * (RFC 9113 sections 8.2.1 and 8.3.1).
+ * differently (RFC 9113 sections 8.2.1 and 8.3.1).
  */
 final class KnownHeaders implements Function<CharSequence, String> {
     static final String METHOD = ":method";
@@ -23,9 +22,8 @@
     static final String ATTEMPT_COUNT = "x-envoy-attempt-count";
     static final String NOT_STARTED = "x-turned-away";
     private static final Set<String> KNOWN_NAMES = Set.of(METHOD, PATH, AUTHORITY, HOST, STATUS, ATTEMPT_COUNT,
-            NOT_STARTED, "x-txn", "x-lane",
-            "x-plan", "x-customer", "x-remaining-ms", "x-quota", "x-quota-used", "x-units-charged", "x-pressure",
-            "authorization");
+            NOT_STARTED, "x-txn", "x-lane", "x-plan", "x-customer", "x-remaining-ms", "x-quota", "x-quota-used",
+            "x-units-charged", "x-pressure", "authorization");
     /** A longer value is invalid for each of the known headers and is read as empty. */
     private static final int MAX_VALUE_BYTES = 4_096;
 
@@ -65,7 +63,8 @@
     /** The header's value as a whole number of at most 9 digits, or -1 if it is absent or not such a number. */
     int nonNegativeInt(String name) {
         String value = values.get(name);
-        if (value == null || value.isEmpty() || value.length() > 9 || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (value == null || value.isEmpty() || value.length() > 9
+                || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
             return -1;
         }
         return Integer.parseInt(value);
--- a/ext-proc/src/main/java/nettletrail/extproc/OutcomeClassifier.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/OutcomeClassifier.java
@@ -5,14 +5,15 @@
 
 /**
  * Classifies the outcome of an attempt by the response that another proxy passes on. If the response leaves it open,
- * the
- * request is taken to have possibly run: a proxy generates responses of its own, and only their code details tell
+ * the request is taken to have possibly run: a proxy generates responses of its own, and only their code details tell
  * whether anything was sent.
  */
 final class OutcomeClassifier {
     private OutcomeClassifier() { }
 
     /**
+     * Returns the outcome that the response stands for.
+     *
      * @param status the HTTP status
      * @param notStarted whether the backend states that it has not started the request
      * @param codeDetails the proxy's {@code response.code_details}, or null; only to be trusted if the proxy makes a
@@ -52,7 +53,7 @@
         };
     }
 
-    /** The outcome with this name in the HTTP API, or null if there is none. */
+    /** Returns the outcome with this name in the HTTP API, or null if there is none. */
     static Outcome fromName(String name) {
         return switch (name) {
             case "not-sent" -> Outcome.NEVER_SENT;
--- a/ext-proc/src/main/java/nettletrail/extproc/Processor.java
+++ b/ext-proc/src/main/java/nettletrail/extproc/Processor.java
@@ -28,8 +28,7 @@
  * Handles decision requests of other proxies, from arrival to outcome, for both protocols. Each is a request of the
  * {@link Dispatcher} like any other; an attempt is carried by sending the decision to the proxy, which forwards the
  * request itself. The decision goes to the current listener, and the outcome that the proxy reports ends the attempt
- * and
- * the request. Everything runs on the event loop.
+ * and the request. Everything runs on the event loop.
  */
 final class Processor implements AttemptTransport {
     /** Result of reporting an outcome. */
@@ -195,7 +194,7 @@
         deduplication = new DeduplicationDecider(settings.maxOpen(), settings.maxIds(), settings.idRetentionNanos());
     }
 
-    /** Called before the first decision request. */
+    /** Sets the dispatcher; called once, before the first decision request. */
     void open(Dispatcher newDispatcher) {
         dispatcher = newDispatcher;
     }
@@ -215,7 +214,7 @@
         }
     }
 
-    /** For tests. */
+    /** Runs the task on the event loop and returns its future; for tests, callable from any thread. */
     Future<?> runOnLoop(Runnable task) {
         return loop.submit(task);
     }
@@ -224,7 +223,7 @@
         return counters;
     }
 
-    /** Number of requests that await a decision. */
+    /** Returns the number of requests that await a decision. */
     int awaitingDecision() {
         int waiting = 0;
         for (OpenRequest request : openRequests.values()) {
@@ -233,7 +232,7 @@
         return waiting;
     }
 
-    /** Number of requests that await a decision or an outcome. */
+    /** Returns the number of requests that await a decision or an outcome. */
     int openCount() {
         return openRequests.size();
     }
@@ -264,7 +263,8 @@
         if (unsafe && deduplication.find(arrival.requestId()) == null && !dispatcher.isUnusedId(arrival.requestId())) {
             // The front door's own listener has an open request with this id.
             counters.malformed++;
-            listener.malformed(RequestValidator.TXN + " is the id of another request that is open here: give each its own");
+            listener.malformed(RequestValidator.TXN
+                    + " is the id of another request that is open here: give each its own");
             return null;
         }
         Fingerprint fingerprint = new Fingerprint(arrival.requestClass(), arrival.plan(), arrival.customer(),
@@ -341,10 +341,8 @@
 
     /**
      * The caller no longer waits, or its connection is lost. A request that awaits its decision was never forwarded,
-     * and
-     * the decision module gets back what it had reserved for it. The outcome of a forwarded one may still be reported
-     * by
-     * another call, until the orphan timeout.
+     * and the decision module gets back what it had reserved for it. The outcome of a forwarded one may still be
+     * reported by another call, until the orphan timeout.
      */
     void callerGone(OpenRequest tracked, DecisionListener listener) {
         if (tracked.listener != listener) {
--- a/ext-proc/src/test/java/nettletrail/extproc/DeduplicationDeciderTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/DeduplicationDeciderTest.java
@@ -114,8 +114,9 @@
     }
 
     /**
-     * Any order of asks, decisions, outcomes and time, over few ids so that they meet: an unsafe id is handed out once at
-     * most while it is remembered, what is open is counted right, and no bound is passed.
+     * Runs decision requests, decisions, outcomes and time steps in any order over few ids, so that ids collide: an
+     * unsafe id is forwarded at most once while it is retained, the count of open requests is right, and no limit is
+     * exceeded.
      */
     @Property(tries = 400, seed = "20261201")
     void unsafeIdIsForwardedOnceInAnyOrderOfEvents(@ForAll long seed, @ForAll @IntRange(min = 1, max = 8) int maxOpen,
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcFormTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcFormTest.java
@@ -42,12 +42,12 @@
     }
 
     private ExtProcTestServer start() throws Exception {
-        ExtProcTestServer rig = new ExtProcTestServer(folder);
-        rig.agent.set("s-1", new java.net.InetSocketAddress("127.0.0.1", 7), "SERVING", 0);
-        return rig.with("budget_ms", 1_000L).start(module.module());
+        ExtProcTestServer server = new ExtProcTestServer(folder);
+        server.agent.set("s-1", new java.net.InetSocketAddress("127.0.0.1", 7), "SERVING", 0);
+        return server.with("budget_ms", 1_000L).start(module.module());
     }
 
-    private String told() throws InterruptedException {
+    private String describeNextCall() throws InterruptedException {
         Object next = module.calls.poll(10, TimeUnit.SECONDS);
         assertNotNull(next);
         return next instanceof Gateway.AttemptReport answer ? "  told outcome " + answer.outcome().ordinal() + " used "
@@ -55,10 +55,11 @@
     }
 
     /** The answer as it comes over HTTP; prose is left out. */
-    private void call(ExtProcTestServer rig, String method, String uri, Map<String, String> headers) throws Exception {
+    private void call(ExtProcTestServer server, String method, String uri, Map<String, String> headers)
+            throws Exception {
         StringBuilder text = new StringBuilder(method + " " + uri + " HTTP/1.1\r\nHost: gw\r\nConnection: close\r\n");
         headers.forEach((name, value) -> text.append(name.startsWith(":") ? "" : name + ": " + value + "\r\n"));
-        try (Socket socket = new Socket(rig.http().getAddress(), rig.http().getPort())) {
+        try (Socket socket = new Socket(server.http().getAddress(), server.http().getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write((text + "\r\n").getBytes(StandardCharsets.US_ASCII));
             String[] parts = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
@@ -81,40 +82,40 @@
 
     @Test
     void httpAsksAndOutcomesHaveTheirNames() throws Exception {
-        try (ExtProcTestServer rig = start()) {
+        try (ExtProcTestServer server = start()) {
             List<String> hows = List.of("200", "500", "503", "not-sent", "connect-failed", "reset", "timed-out",
                     "cancelled");
             for (String how : hows) {
                 String id = "a" + hows.indexOf(how);
-                call(rig, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit(id), "X-Forwarded-Method",
-                        "POST"));
-                lines.add(told());
+                call(server, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit(id),
+                        "X-Forwarded-Method", "POST"));
+                lines.add(describeNextCall());
                 lines.add("outcome " + how);
                 Map<String, String> more = outcome(id, how);
                 if (how.equals("503")) {
                     more.put("X-Turned-Away", "1");
                 }
-                call(rig, "POST", "/v1/outcome", more);
-                lines.add(told());
+                call(server, "POST", "/v1/outcome", more);
+                lines.add(describeNextCall());
             }
             for (String header : List.of("X-Forwarded-Uri", "X-Original-URI", "X-Forwarded-Method", "X-Original-Method",
                     "X-Gateway-Outcome", "x-envoy-attempt-count")) {
                 lines.add(header + " is read: twice it is a fault");
-                call(rig, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.status("c" + header.length()),
+                call(server, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.status("c" + header.length()),
                         header,
                         "1\r\n" + header + ": 1"));
             }
             Map<String, String> both = ExtProcTestServer.with(ExtProcTestServer.submit("d1"), "X-Original-Method",
                     "POST");
-            call(rig, "GET", "/v1/ask", ExtProcTestServer.with(both, "X-Original-URI", "/api/y"));
-            call(rig, "POST", "/v1/outcome", outcome("d1", "200"));
-            call(rig, "GET", "/v1/ask?deny=403", Map.of());
-            call(rig, "POST", "/v1/outcome", outcome("a0", "200"));
-            call(rig, "POST", "/v1/outcome", outcome("e9", "200"));
-            call(rig, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a0"), "X-Forwarded-Method",
+            call(server, "GET", "/v1/ask", ExtProcTestServer.with(both, "X-Original-URI", "/api/y"));
+            call(server, "POST", "/v1/outcome", outcome("d1", "200"));
+            call(server, "GET", "/v1/ask?deny=403", Map.of());
+            call(server, "POST", "/v1/outcome", outcome("a0", "200"));
+            call(server, "POST", "/v1/outcome", outcome("e9", "200"));
+            call(server, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a0"), "X-Forwarded-Method",
                     "POST"));
-            call(rig, "GET", "/v1/other", Map.of());
-            call(rig, "GET", "/v1/counts", Map.of());
+            call(server, "GET", "/v1/other", Map.of());
+            call(server, "GET", "/v1/counts", Map.of());
         }
         verify("ext-proc-http.txt");
     }
@@ -127,11 +128,11 @@
                 actions.reject(request.id(), 1_500_000_000L);
             }
         };
-        try (ExtProcTestServer rig = start()) {
-            call(rig, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "X-Forwarded-Method",
+        try (ExtProcTestServer server = start()) {
+            call(server, "GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "X-Forwarded-Method",
                     "POST"));
             add("refused",
-                    new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a2")).next());
+                    new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a2")).next());
         }
         verify("ext-proc-refusals.txt");
     }
@@ -148,37 +149,38 @@
 
     @Test
     void grpcAnswersHaveTheirHeaders() throws Exception {
-        try (ExtProcTestServer rig = start()) {
-            TestProxyStream unsafe = new TestProxyStream(rig.connection());
+        try (ExtProcTestServer server = start()) {
+            TestProxyStream unsafe = new TestProxyStream(server.connection());
             add("forward, not to be repeated", unsafe.sendRequestHeaders(ExtProcTestServer.submit("a1")).next());
-            lines.add(told());
+            lines.add(describeNextCall());
             add("its answer", unsafe.outcome(503, "x-quota-used", "17", "x-units-charged", "1.5").next());
-            lines.add(told());
+            lines.add(describeNextCall());
             add("forward",
-                    new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.status("a2")).next());
-            lines.add(told());
-            TestProxyStream full = new TestProxyStream(rig.connection());
+                    new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.status("a2")).next());
+            lines.add(describeNextCall());
+            TestProxyStream full = new TestProxyStream(server.connection());
             full.sendRequestHeaders(ExtProcTestServer.submit("a3")).next();
-            lines.add(told());
+            lines.add(describeNextCall());
             add("turned away", full.outcome(504, "x-turned-away", "1").next());
-            lines.add(told());
+            lines.add(describeNextCall());
             add("a path",
-                    new TestProxyStream(rig.connection())
+                    new TestProxyStream(server.connection())
                             .sendRequestHeaders(ExtProcTestServer.with(ExtProcTestServer.submit("a4"), ":method",
                             "GET"))
                     .next());
             int number = 0;
             for (String header : new TreeSet<>(ExtProcTestServer.submit("b1").keySet())) {
                 Map<String, String> good = ExtProcTestServer.submit("b" + number++);
-                TestProxyStream peer = new TestProxyStream(rig.connection());
-                ProcessingResponse answer = peer.sendRequestHeaders(ExtProcTestServer.with(good, header, null)).next();
+                TestProxyStream stream = new TestProxyStream(server.connection());
+                ProcessingResponse answer =
+                        stream.sendRequestHeaders(ExtProcTestServer.with(good, header, null)).next();
                 boolean forwarded = answer.hasRequestHeaders();
                 lines.add("without " + header + ": " + (forwarded ? "forward"
                         : answer.getImmediateResponse().getStatus().getCodeValue()));
                 if (forwarded) {
-                    lines.add(told());
-                    peer.outcome(200).next();
-                    lines.add(told());
+                    lines.add(describeNextCall());
+                    stream.outcome(200).next();
+                    lines.add(describeNextCall());
                 }
             }
             List<String> details = List.of("no_healthy_upstream",
@@ -186,11 +188,11 @@
                     "upstream_reset_before_response_started{connection_termination}", "response_timeout",
                     "via_upstream");
             for (String detail : details) {
-                TestProxyStream peer = new TestProxyStream(rig.connection());
-                peer.sendRequestHeaders(ExtProcTestServer.submit("c" + details.indexOf(detail))).next();
-                told();
-                peer.send(Messages.responseHeaders(Map.of(":status", "503"), detail)).next();
-                lines.add(detail + told());
+                TestProxyStream stream = new TestProxyStream(server.connection());
+                stream.sendRequestHeaders(ExtProcTestServer.submit("c" + details.indexOf(detail))).next();
+                describeNextCall();
+                stream.send(Messages.responseHeaders(Map.of(":status", "503"), detail)).next();
+                lines.add(detail + describeNextCall());
             }
         }
         verify("ext-proc-grpc.txt");
@@ -199,8 +201,8 @@
     @Test
     void sectionHasItsKeys() throws Exception {
         SettingsSection section = ExtProcSettings.section();
-        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.defaultValue() + ", kind "
-                + each.kind().ordinal() + " from " + each.min() + " to " + each.max()));
+        section.keys().forEach(each -> lines.add(section.name() + "." + each.name() + " = " + each.defaultValue()
+                + ", kind " + each.kind().ordinal() + " from " + each.min() + " to " + each.max()));
         ExtProcSettings.of(section.read(Map.of(), fault -> lines.add("fault " + fault.key())));
         verify("ext-proc-settings.txt");
     }
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcIntegrationTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcIntegrationTest.java
@@ -27,25 +27,25 @@
 class ExtProcIntegrationTest {
     @TempDir
     private Path folder;
-    private ExtProcTestServer rig;
+    private ExtProcTestServer server;
     private final Ledger ledger = new Ledger();
     private final List<StandInBackend> backends = new ArrayList<>();
 
     @BeforeEach
     void make() {
-        rig = new ExtProcTestServer(folder);
+        server = new ExtProcTestServer(folder);
     }
 
     @AfterEach
     void end() {
         backends.forEach(StandInBackend::close);
-        rig.close();
+        server.close();
     }
 
     private StandInBackend backend(StandInBackend.Manner manner, long sinceMs) {
-        StandInBackend made = new StandInBackend("s-" + backends.size(), rig.group, ledger, manner, backends.size());
+        StandInBackend made = new StandInBackend("s-" + backends.size(), server.group, ledger, manner, backends.size());
         backends.add(made);
-        rig.agent.set(made.name(), made.address(), "SERVING", sinceMs);
+        server.agent.set(made.name(), made.address(), "SERVING", sinceMs);
         return made;
     }
 
@@ -55,10 +55,10 @@
         for (int i = 0; i < 3; i++) {
             backend(StandInBackend.Manner.good(1), 0);
         }
-        rig.start(FrontDoor.GATEWAY_FACTORY);
+        server.start(FrontDoor.GATEWAY_FACTORY);
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
         Thread socket = new Thread(() -> {
-            try (Socket client = new Socket("127.0.0.1", rig.door().address().getPort())) {
+            try (Socket client = new Socket("127.0.0.1", server.door().address().getPort())) {
                 byte[] buffer = new byte[4_096];
                 for (int i = 0; System.nanoTime() < until; i++) {
                     StringBuilder text = new StringBuilder("POST /api HTTP/1.1\r\nHost: gw\r\nContent-Length: 0\r\n");
@@ -73,7 +73,7 @@
             }
         });
         socket.start();
-        try (StandInProxy proxy = new StandInProxy(rig.front().grpcAddress(), StandInProxy.Habits.ROUGH, 3, 1_000)) {
+        try (StandInProxy proxy = new StandInProxy(server.front().grpcAddress(), StandInProxy.Habits.ROUGH, 3, 1_000)) {
             for (int i = 0; System.nanoTime() < until; i++) {
                 int number = i;
                 proxy.loop().execute(() -> proxy.request(ExtProcTestServer.request("a" + Integer.toHexString(number
@@ -94,20 +94,19 @@
 
     /**
      * A faulty proxy and faulty backends: retries, duplicates, cancellations, resets, errors, timeouts. Every request
-     * is
-     * answered, no order is forwarded or run twice, and all slots are free at the end.
+     * is answered, no order is forwarded or run twice, and all slots are free at the end.
      */
     @Test
     void faultyProxyNeverRunsAnOrderTwice() throws Exception {
         for (int i = 0; i < 4; i++) {
             backend(new StandInBackend.Manner(10, 0.03, 0.03, 0.03, 0.01), 0);
         }
-        rig.with("orphan_ms", 100L).start(FrontDoor.GATEWAY_FACTORY);
+        server.with("orphan_ms", 100L).start(FrontDoor.GATEWAY_FACTORY);
         long seed = 20261201;
         System.out.println("seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
         StandInProxy.Habits habits = new StandInProxy.Habits(0.1, 0.15, 0.05, 0.1, 0.05, 4);
-        try (StandInProxy proxy = new StandInProxy(rig.front().grpcAddress(), habits, seed, 60_000)) {
+        try (StandInProxy proxy = new StandInProxy(server.front().grpcAddress(), habits, seed, 60_000)) {
             for (int i = 0; i < 1_500; i++) {
                 boolean unsafe = random.nextInt(3) > 0;
                 StandInProxy.Request request = ExtProcTestServer.request("c" + Integer.toHexString(i + 4096), unsafe,
@@ -136,26 +135,25 @@
 
     private int openCount() throws Exception {
         int[] openCount = new int[1];
-        rig.front().processor().runOnLoop(() -> openCount[0] = rig.front().processor().openCount()).get();
+        server.front().processor().runOnLoop(() -> openCount[0] = server.front().processor().openCount()).get();
         return openCount[0];
     }
 
     /**
      * Waits until no request awaits its decision, not until backends have finished. A duplicate may come 150 ms after
-     * the
-     * first, so two successive polls must find no new request.
+     * the first, so two successive polls must find no new request.
      */
     private static void settle(StandInProxy proxy) throws Exception {
         int undecided = 1;
-        long asks = -1;
+        long previousRequests = -1;
         for (int i = 0; i < 100; i++) {
             Thread.sleep(250);
             long[] now = proxy.loop().submit(() -> new long[] {proxy.undecided(), proxy.asks()}).get();
             undecided = (int) now[0];
-            if (undecided == 0 && now[1] == asks) {
+            if (undecided == 0 && now[1] == previousRequests) {
                 return;
             }
-            asks = now[1];
+            previousRequests = now[1];
         }
         assertEquals(0, undecided, "requests without a decision");
     }
@@ -167,12 +165,12 @@
             backend(StandInBackend.Manner.good(1), 0);
         }
         StandInBackend withoutWarmUp = backend(StandInBackend.Manner.good(1), System.currentTimeMillis());
-        rig.start(FrontDoor.GATEWAY_FACTORY);
+        server.start(FrontDoor.GATEWAY_FACTORY);
         int toCold = 0;
         int all = 0;
         List<ManagedChannel> proxies = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            proxies.add(rig.connection());
+            proxies.add(server.connection());
         }
         for (int round = 0; round < 25; round++) {
             List<TestProxyStream> asked = new ArrayList<>();
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcStreamTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcStreamTest.java
@@ -32,21 +32,21 @@
 
     @TempDir
     private Path folder;
-    private ExtProcTestServer rig;
+    private ExtProcTestServer server;
     private StandInBackend backend;
     private final Ledger ledger = new Ledger();
 
     @BeforeEach
     void make() {
-        rig = new ExtProcTestServer(folder);
-        backend = new StandInBackend("s-1", rig.group, ledger, StandInBackend.Manner.good(1), 1);
-        rig.agent.set("s-1", backend.address(), "SERVING", 0);
+        server = new ExtProcTestServer(folder);
+        backend = new StandInBackend("s-1", server.group, ledger, StandInBackend.Manner.good(1), 1);
+        server.agent.set("s-1", backend.address(), "SERVING", 0);
     }
 
     @AfterEach
     void end() {
         backend.close();
-        rig.close();
+        server.close();
     }
 
     private String node() {
@@ -58,9 +58,10 @@
     @Test
     void decisionNamesEndpointInHeadersAndMetadataAndOutcomeReachesModule() throws Exception {
         ScriptedGateway module = new ScriptedGateway(NODE);
-        rig.start(module.module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
-        ProcessingResponse decision = peer.next();
+        server.start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        ProcessingResponse decision = stream.next();
         assertEquals(node(), Messages.set(decision, "x-gateway-destination-endpoint"));
         assertEquals(node(), Messages.set(decision, "x-envoy-original-dst-host"));
         assertEquals("0", Messages.set(decision, "x-envoy-max-retries"));
@@ -68,52 +69,54 @@
         assertTrue(remaining > 2_000 && remaining <= 3_000, "" + remaining);
         assertEquals(node(), decision.getDynamicMetadata().getFieldsOrThrow("envoy.lb").getStructValue()
                 .getFieldsOrThrow("x-gateway-destination-endpoint").getStringValue());
-        Gateway.Request told = module.expectCall(Gateway.Request.class);
-        assertEquals(1, told.requestClass());
-        assertEquals(10_000_000L, told.maxQueueNanos(), "budget less reserve");
-        peer.outcome(200, "x-quota-used", "42", "x-units-charged", "3.5", "x-pressure", "pending=4,cpu_share=0.5");
-        assertTrue(peer.next().hasResponseHeaders());
+        Gateway.Request request = module.expectCall(Gateway.Request.class);
+        assertEquals(1, request.requestClass());
+        assertEquals(10_000_000L, request.maxQueueNanos(), "budget less reserve");
+        stream.outcome(200, "x-quota-used", "42", "x-units-charged", "3.5", "x-pressure", "pending=4,cpu_share=0.5");
+        assertTrue(stream.next().hasResponseHeaders());
         Gateway.AttemptReport answer = module.expectCall(Gateway.AttemptReport.class);
         assertEquals(Outcome.OK, answer.outcome());
         assertTrue(answer.requestEnded());
         assertEquals(42, answer.quotaUsedPercent());
         assertEquals(3.5, answer.actualUnits());
         assertEquals(4, answer.load().queuedRequests());
-        peer.complete();
-        assertEquals(Status.Code.OK, peer.end().getCode());
+        stream.complete();
+        assertEquals(Status.Code.OK, stream.end().getCode());
     }
 
     @Test
     void safeRequestKeepsProxyRetries() throws Exception {
-        rig.start(new ScriptedGateway(NODE).module());
+        server.start(new ScriptedGateway(NODE).module());
         ProcessingResponse decision =
-                new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.status("a1")).next();
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.status("a1")).next();
         assertNull(Messages.set(decision, "x-envoy-max-retries"));
     }
 
     @Test
     void refusalCarriesRetryAfterWhenKnown() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.start(module.module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        server.start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         long id = module.expectCall(Gateway.Request.class).id();
-        module.onLoop(rig, actions -> actions.reject(id, 1_200_000_000L));
-        ProcessingResponse answer = peer.next();
+        module.onLoop(server, actions -> actions.reject(id, 1_200_000_000L));
+        ProcessingResponse answer = stream.next();
         assertEquals(429, answer.getImmediateResponse().getStatus().getCodeValue());
         assertTrue(answer.getImmediateResponse().getHeaders().getSetHeadersList().stream().anyMatch(header ->
                 header.getHeader().getKey().equals("retry-after")
                         && header.getHeader().getRawValue().toStringUtf8().equals("2")), answer.toString());
-        assertEquals(Status.Code.OK, peer.end().getCode());
+        assertEquals(Status.Code.OK, stream.end().getCode());
     }
 
-    /** If the module never decides, the request is refused within its budget and the module is told of its end. */
+    /** If the module never decides, the request is rejected within its budget and the module is notified of its end. */
     @Test
     void undecidedRequestIsRefusedWithinBudget() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.start(module.module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        server.start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         long id = module.expectCall(Gateway.Request.class).id();
-        assertEquals(429, peer.expectImmediateStatus());
+        assertEquals(429, stream.expectImmediateStatus());
         assertEquals(id, module.expectCall(Long.class));
     }
 
@@ -126,13 +129,13 @@
             "connection,answered", "connection,broken", "connection,turned-away"})
     void repeatedOrderIsForwardedOnce(String where, String when) throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
-        ManagedChannel first = rig.connection();
+        server.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
+        ManagedChannel first = server.connection();
         TestProxyStream asked = new TestProxyStream(first).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         long id = module.expectCall(Gateway.Request.class).id();
         int forwards = 0;
         if (!when.equals("undecided")) {
-            module.onLoop(rig, actions -> actions.send(id, NODE, 0));
+            module.onLoop(server, actions -> actions.send(id, NODE, 0));
             assertEquals(node(), asked.expectForward());
             forwards++;
         }
@@ -150,14 +153,14 @@
         Map<String, String> again = ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "x-envoy-attempt-count",
                 "2");
         TestProxyStream second = where.equals("stream") ? asked.sendRequestHeaders(again)
-                : new TestProxyStream(where.equals("call") ? first : rig.connection()).sendRequestHeaders(again);
+                : new TestProxyStream(where.equals("call") ? first : server.connection()).sendRequestHeaders(again);
         if (when.equals("undecided")) {
             if (where.equals("stream")) {
                 awaitAskedAgain();
             } else {
                 assertEquals(502, asked.expectImmediateStatus(), "superseded");
             }
-            module.onLoop(rig, actions -> actions.send(id, NODE, 0));
+            module.onLoop(server, actions -> actions.send(id, NODE, 0));
             assertEquals(node(), second.expectForward());
             forwards++;
             second.outcome(200);
@@ -171,14 +174,15 @@
             asked.outcome(200).next();
             assertEquals(Outcome.OK, module.expectCall(Gateway.AttemptReport.class).outcome());
         }
-        module.calls.removeIf(told -> told instanceof Gateway.AttemptReport);
+        module.calls.removeIf(call -> call instanceof Gateway.AttemptReport);
         assertEquals(0, module.calls.size(), "nothing more reached the module: " + module.calls);
     }
 
     private void awaitAskedAgain() throws Exception {
         long[] seen = new long[1];
         for (int i = 0; i < 2_000 && seen[0] == 0; i++) {
-            rig.front().processor().runOnLoop(() -> seen[0] = (Long) rig.front().counters().get("asked_again")).get();
+            server.front().processor().runOnLoop(
+                    () -> seen[0] = (Long) server.front().counters().get("asked_again")).get();
             Thread.sleep(seen[0] == 0 ? 5 : 0);
         }
         assertEquals(1, seen[0], "the second message was read");
@@ -186,18 +190,18 @@
 
     @Test
     void retryOfUnknownIdIsForwardedOnlyIfSafe() throws Exception {
-        rig.start(new ScriptedGateway(NODE).module());
+        server.start(new ScriptedGateway(NODE).module());
         Map<String, String> order = ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "x-envoy-attempt-count",
                 "2");
-        assertEquals(502, new TestProxyStream(rig.connection()).sendRequestHeaders(order).expectImmediateStatus());
+        assertEquals(502, new TestProxyStream(server.connection()).sendRequestHeaders(order).expectImmediateStatus());
         Map<String, String> look = ExtProcTestServer.with(ExtProcTestServer.status("a2"), "x-envoy-attempt-count", "2");
-        assertEquals(node(), new TestProxyStream(rig.connection()).sendRequestHeaders(look).expectForward());
+        assertEquals(node(), new TestProxyStream(server.connection()).sendRequestHeaders(look).expectForward());
     }
 
     @Test
     void repeatedSafeRequestIsForwardedAgain() throws Exception {
-        rig.start(new ScriptedGateway(NODE).module());
-        ManagedChannel connection = rig.connection();
+        server.start(new ScriptedGateway(NODE).module());
+        ManagedChannel connection = server.connection();
         assertEquals(node(),
                 new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.status("a1")).expectForward());
         assertEquals(node(),
@@ -209,18 +213,19 @@
     @Test
     void cancellationBeforeDecisionReleasesRequestAndAllowsRetry() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        server.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         long id = module.expectCall(Gateway.Request.class).id();
-        peer.cancel();
+        stream.cancel();
         assertEquals(id, module.expectCall(Long.class), "the module is told of the end and releases its reservation");
-        module.onLoop(rig, actions -> actions.send(id, NODE, 0));
+        module.onLoop(server, actions -> actions.send(id, NODE, 0));
         assertEquals(Outcome.NEVER_SENT, module.expectCall(Gateway.AttemptReport.class).outcome());
         Map<String, String> again = ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "x-envoy-attempt-count",
                 "2");
-        TestProxyStream second = new TestProxyStream(rig.connection()).sendRequestHeaders(again);
+        TestProxyStream second = new TestProxyStream(server.connection()).sendRequestHeaders(again);
         long next = module.expectCall(Gateway.Request.class).id();
-        module.onLoop(rig, actions -> actions.send(next, NODE, 0));
+        module.onLoop(server, actions -> actions.send(next, NODE, 0));
         assertEquals(node(), second.expectForward());
     }
 
@@ -229,38 +234,39 @@
     @CsvSource({"cancel", "complete", "connection"})
     void streamLostAfterDecisionCountsAsPossiblyRun(String how) throws Exception {
         ScriptedGateway module = new ScriptedGateway(NODE);
-        rig.with("orphan_ms", 40L).start(module.module());
-        ManagedChannel connection = rig.connection();
-        TestProxyStream peer = new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a1"));
-        peer.expectForward();
+        server.with("orphan_ms", 40L).start(module.module());
+        ManagedChannel connection = server.connection();
+        TestProxyStream stream = new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        stream.expectForward();
         module.expectCall(Gateway.Request.class);
         switch (how) {
-            case "cancel" -> peer.cancel();
-            case "complete" -> peer.complete();
+            case "cancel" -> stream.cancel();
+            case "complete" -> stream.complete();
             default -> connection.shutdownNow();
         }
         Gateway.AttemptReport answer = module.expectCall(Gateway.AttemptReport.class);
         assertEquals(Outcome.CANCELLED, answer.outcome());
         assertTrue(answer.outcome().mayHaveRun && answer.requestEnded());
         assertEquals(502,
-                new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"))
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"))
                         .expectImmediateStatus());
     }
 
     @Test
     void missingOutcomeTimesOutAtDeadlineAndLateOutcomeIsIgnored() throws Exception {
         ScriptedGateway module = new ScriptedGateway(NODE);
-        rig.start(module.module());
+        server.start(module.module());
         Map<String, String> hurried = ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "x-remaining-ms", "120");
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(hurried);
-        peer.expectForward();
+        TestProxyStream stream = new TestProxyStream(server.connection()).sendRequestHeaders(hurried);
+        stream.expectForward();
         module.expectCall(Gateway.Request.class);
         assertEquals(Outcome.TIMED_OUT, module.expectCall(Gateway.AttemptReport.class).outcome());
         module.expectCall(Long.class);
-        peer.outcome(200);
-        assertTrue(peer.next().hasResponseHeaders(), "the client still gets its response");
+        stream.outcome(200);
+        assertTrue(stream.next().hasResponseHeaders(), "the client still gets its response");
         long[] late = new long[1];
-        rig.front().processor().runOnLoop(() -> late[0] = (Long) rig.front().counters().get("outcomes_late")).get();
+        server.front().processor().runOnLoop(
+                () -> late[0] = (Long) server.front().counters().get("outcomes_late")).get();
         assertEquals(1, late[0]);
         assertTrue(module.calls.isEmpty());
     }
@@ -268,13 +274,14 @@
     @Test
     void secondOutcomeIsIgnored() throws Exception {
         ScriptedGateway module = new ScriptedGateway(NODE);
-        rig.start(module.module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
-        peer.expectForward();
+        server.start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        stream.expectForward();
         module.expectCall(Gateway.Request.class);
-        peer.outcome(200).next();
-        peer.outcome(500);
-        assertTrue(peer.next().hasResponseHeaders());
+        stream.outcome(200).next();
+        stream.outcome(500);
+        assertTrue(stream.next().hasResponseHeaders());
         assertEquals(Outcome.OK, module.expectCall(Gateway.AttemptReport.class).outcome());
         assertTrue(module.calls.isEmpty());
     }
@@ -282,12 +289,12 @@
     @Test
     void outcomeWithoutDecisionIsRejectedWithReason() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
-        Status none = new TestProxyStream(rig.connection()).outcome(200).end();
+        server.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
+        Status none = new TestProxyStream(server.connection()).outcome(200).end();
         assertEquals(Status.Code.INVALID_ARGUMENT, none.getCode());
         assertTrue(none.getDescription().contains("before request_headers"), none.getDescription());
         TestProxyStream early =
-                new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         module.expectCall(Gateway.Request.class);
         assertTrue(early.outcome(200).end().getDescription().contains("before the decision"));
         module.expectCall(Long.class);
@@ -301,18 +308,19 @@
             "503,,no_healthy_upstream,0", "504,,response_timeout,0"})
     void responseNeverSignalsSafeRetryForOrderThatMayHaveRun(int status, String turnedAway, String details,
             int instead) throws Exception {
-        rig.start(new ScriptedGateway(NODE).module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
-        peer.expectForward();
+        server.start(new ScriptedGateway(NODE).module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        stream.expectForward();
         Map<String, String> headers = new java.util.LinkedHashMap<>(Map.of(":status", "" + status));
         if (turnedAway != null) {
             headers.put("x-turned-away", turnedAway);
         }
-        peer.send(Messages.responseHeaders(headers, details));
+        stream.send(Messages.responseHeaders(headers, details));
         if (instead == 0) {
-            assertTrue(peer.next().hasResponseHeaders());
+            assertTrue(stream.next().hasResponseHeaders());
         } else {
-            assertEquals(instead, peer.expectImmediateStatus());
+            assertEquals(instead, stream.expectImmediateStatus());
         }
     }
 
@@ -322,19 +330,20 @@
     @Test
     void concurrentlyDrainingEndpointIsNotForwardedTo() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        server.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         long id = module.expectCall(Gateway.Request.class).id();
-        module.onLoop(rig, actions -> {
-            rig.front().attemptTransport().endpointsUpdated(false, java.util.List.of(new Endpoint(NODE, "s-1", null, "a", "m1", 1,
-                    Gateway.DiscoveryState.DRAINING, 1, 0)));
+        module.onLoop(server, actions -> {
+            server.front().attemptTransport().endpointsUpdated(false, java.util.List.of(
+                    new Endpoint(NODE, "s-1", null, "a", "m1", 1, Gateway.DiscoveryState.DRAINING, 1, 0)));
             actions.send(id, NODE, 0);
         });
         Gateway.AttemptReport answer = module.expectCall(Gateway.AttemptReport.class);
         assertEquals(Outcome.NEVER_SENT, answer.outcome());
         assertFalse(answer.requestEnded(), "the module may choose another");
-        module.onLoop(rig, actions -> actions.reject(id, 0));
-        assertEquals(429, peer.expectImmediateStatus());
+        module.onLoop(server, actions -> actions.reject(id, 0));
+        assertEquals(429, stream.expectImmediateStatus());
     }
 
     // ---- SIGTERM ----------------------------------------------------------------------------------------
@@ -342,19 +351,19 @@
     @Test
     void drainAnswersOpenRequestsAndWaitsForOutcomes() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
-        ManagedChannel connection = rig.connection();
+        server.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
+        ManagedChannel connection = server.connection();
         TestProxyStream forwarded = new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         long first = module.expectCall(Gateway.Request.class).id();
-        module.onLoop(rig, actions -> actions.send(first, NODE, 0));
+        module.onLoop(server, actions -> actions.send(first, NODE, 0));
         forwarded.expectForward();
         TestProxyStream awaitingDecision =
                 new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a2"));
         long second = module.expectCall(Gateway.Request.class).id();
-        Thread draining = new Thread(() -> rig.door().drain());
+        Thread draining = new Thread(() -> server.door().drain());
         draining.start();
-        module.onLoop(rig, actions -> { }); // the drain has started or is the next task on the loop
-        module.onLoop(rig, actions -> actions.reject(second, 0));
+        module.onLoop(server, actions -> { }); // the drain has started or is the next task on the loop
+        module.onLoop(server, actions -> actions.reject(second, 0));
         assertEquals(429, awaitingDecision.expectImmediateStatus());
         forwarded.outcome(200);
         assertTrue(forwarded.next().hasResponseHeaders());
--- a/ext-proc/src/test/java/nettletrail/extproc/ExtProcTestServer.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ExtProcTestServer.java
@@ -59,10 +59,11 @@
 
     ExtProcTestServer start(Dispatcher.GatewayFactory module) throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, "{\"name\":\"n0\",\"discovery\":\"127.0.0.1:0\",\"seed\":\"77\",\"limits\":{\"sockets\":1024},"
+        Files.writeString(file,
+                "{\"name\":\"n0\",\"discovery\":\"127.0.0.1:0\",\"seed\":\"77\",\"limits\":{\"sockets\":1024},"
                 + "\"known\":" + agent.list(-1) + ",\"settings\":" + SETTINGS + "}");
-        FrontDoorConfig config = FrontDoorConfig.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0", "EDGE_DISCOVERY",
-                "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString()));
+        FrontDoorConfig config = FrontDoorConfig.read(Map.of("EDGE_NAME", "n0", "EDGE_LISTEN", "127.0.0.1:0",
+                "EDGE_DISCOVERY", "127.0.0.1:" + agent.address().getPort(), "EDGE_CONFIG", file.toString()));
         List<SettingsSection.Fault> faults = new ArrayList<>();
         SettingsSection.Values read = ExtProcSettings.section().read(values, faults::add);
         ExtProcSettings.check(read, faults::add);
@@ -157,8 +158,8 @@
         }
 
         /** Runs an action on the event loop, as the module would. */
-        void onLoop(ExtProcTestServer rig, java.util.function.Consumer<Gateway.Actions> what) throws Exception {
-            rig.front().processor().runOnLoop(() -> what.accept(actions)).get();
+        void onLoop(ExtProcTestServer server, java.util.function.Consumer<Gateway.Actions> what) throws Exception {
+            server.front().processor().runOnLoop(() -> what.accept(actions)).get();
         }
 
         @Override
--- a/ext-proc/src/test/java/nettletrail/extproc/ForwardAuthHandlerTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/ForwardAuthHandlerTest.java
@@ -32,20 +32,20 @@
 
     @TempDir
     private Path folder;
-    private ExtProcTestServer rig;
+    private ExtProcTestServer server;
     private StandInBackend backend;
 
     @BeforeEach
     void make() {
-        rig = new ExtProcTestServer(folder);
-        backend = new StandInBackend("s-1", rig.group, new Ledger(), StandInBackend.Manner.good(1), 1);
-        rig.agent.set("s-1", backend.address(), "SERVING", 0);
+        server = new ExtProcTestServer(folder);
+        backend = new StandInBackend("s-1", server.group, new Ledger(), StandInBackend.Manner.good(1), 1);
+        server.agent.set("s-1", backend.address(), "SERVING", 0);
     }
 
     @AfterEach
     void end() {
         backend.close();
-        rig.close();
+        server.close();
     }
 
     private record Answer(int status, Map<String, String> headers, String body) { }
@@ -55,7 +55,7 @@
         private final InputStream in;
 
         Caller() throws IOException {
-            socket = new Socket(rig.http().getAddress(), rig.http().getPort());
+            socket = new Socket(server.http().getAddress(), server.http().getPort());
             socket.setSoTimeout(10_000);
             in = new BufferedInputStream(socket.getInputStream());
         }
@@ -78,10 +78,12 @@
             String[] lines = head.toString().split("\r\n");
             for (int i = 1; i < lines.length; i++) {
                 int colon = lines[i].indexOf(':');
-                headers.put(lines[i].substring(0, colon).toLowerCase(Locale.ROOT), lines[i].substring(colon + 1).strip());
+                headers.put(lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
+                        lines[i].substring(colon + 1).strip());
             }
             byte[] body = in.readNBytes(Integer.parseInt(headers.get("content-length")));
-            return new Answer(Integer.parseInt(lines[0].split(" ")[1]), headers, new String(body, StandardCharsets.UTF_8));
+            return new Answer(Integer.parseInt(lines[0].split(" ")[1]), headers,
+                    new String(body, StandardCharsets.UTF_8));
         }
 
         Answer call(String method, String uri, Map<String, String> headers) throws IOException {
@@ -102,7 +104,7 @@
     @Test
     void forwardNamesEndpointAndOutcomeIsReportedSeparately() throws Exception {
         ScriptedGateway module = new ScriptedGateway(NODE);
-        rig.start(module.module());
+        server.start(module.module());
         try (Caller caller = new Caller()) {
             Map<String, String> order = ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "X-Forwarded-Method",
                     "POST");
@@ -113,9 +115,9 @@
                     forward.headers().get("x-gateway-destination-endpoint"));
             module.expectCall(Gateway.Request.class);
             assertEquals(200, caller.outcome("a1", "200").status());
-            Gateway.AttemptReport told = module.expectCall(Gateway.AttemptReport.class);
-            assertEquals(Outcome.OK, told.outcome());
-            assertEquals(17, told.quotaUsedPercent());
+            Gateway.AttemptReport report = module.expectCall(Gateway.AttemptReport.class);
+            assertEquals(Outcome.OK, report.outcome());
+            assertEquals(17, report.quotaUsedPercent());
             assertEquals(409, caller.outcome("a1", "500").status(), "reported before");
             assertEquals(404, caller.outcome("a2", "200").status(), "never forwarded");
             Answer again = caller.call("GET", "/v1/ask", order);
@@ -131,7 +133,7 @@
     @Test
     void namedOutcomesReachModule() throws Exception {
         ScriptedGateway module = new ScriptedGateway(NODE);
-        rig.start(module.module());
+        server.start(module.module());
         try (Caller caller = new Caller()) {
             for (String[] each : new String[][] {{"b1", "not-sent", "NEVER_SENT"}, {"b2", "connect-failed",
                 "CONNECT_FAILED"}, {"b3", "reset", "RESET"}, {"b4", "timed-out", "TIMED_OUT"}}) {
@@ -147,21 +149,21 @@
     @Test
     void refusalIs403OnRequestWithStatusInHeader() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.start(module.module());
+        server.start(module.module());
         try (Caller caller = new Caller()) {
             caller.write("GET", "/v1/ask?deny=403", ExtProcTestServer.submit("a1"));
             long id = module.expectCall(Gateway.Request.class).id();
-            module.onLoop(rig, actions -> actions.reject(id, 3_000_000_000L));
-            Answer refused = caller.read();
-            assertEquals(403, refused.status());
-            assertEquals("429", refused.headers().get("x-gateway-status"));
-            assertEquals("3", refused.headers().get("retry-after"));
+            module.onLoop(server, actions -> actions.reject(id, 3_000_000_000L));
+            Answer rejection = caller.read();
+            assertEquals(403, rejection.status());
+            assertEquals("429", rejection.headers().get("x-gateway-status"));
+            assertEquals("3", rejection.headers().get("retry-after"));
         }
     }
 
     @Test
     void errorIsNamedAndConnectionStaysOpen() throws Exception {
-        rig.start(new ScriptedGateway(NODE).module());
+        server.start(new ScriptedGateway(NODE).module());
         try (Caller caller = new Caller()) {
             Answer lane = caller.call("GET", "/v1/ask", ExtProcTestServer.with(ExtProcTestServer.submit("a1"),
                     "x-lane", "none"));
@@ -178,7 +180,7 @@
     @Test
     void closeBeforeDecisionReleasesRequest() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
+        server.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
         long id;
         try (Caller caller = new Caller()) {
             caller.write("GET", "/v1/ask", ExtProcTestServer.submit("a1"));
@@ -191,30 +193,30 @@
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         ScriptedGateway module = new ScriptedGateway(0);
-        rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
+        server.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(module.module());
         try (Caller caller = new Caller()) {
             caller.write("GET", "/v1/ask", ExtProcTestServer.submit("a1")).write("GET", "/v1/ask",
                     ExtProcTestServer.submit("a2"));
             long first = module.expectCall(Gateway.Request.class).id();
             assertNull(module.calls.peek(), "the second waits");
-            module.onLoop(rig, actions -> actions.reject(first, 0));
+            module.onLoop(server, actions -> actions.reject(first, 0));
             long second = module.expectCall(Gateway.Request.class).id();
-            module.onLoop(rig, actions -> actions.send(second, NODE, 0));
+            module.onLoop(server, actions -> actions.send(second, NODE, 0));
             assertEquals(429, caller.read().status());
             assertEquals(200, caller.read().status());
         }
     }
 
-    private void refused(String text, int status, String told) throws Exception {
+    private void assertRejected(String text, int status, String expectedText) throws Exception {
         try (Caller caller = new Caller()) {
             caller.socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
             Answer answer = caller.read();
             assertEquals(status, answer.status(), text);
-            assertTrue(answer.body().contains(told), answer.body());
+            assertTrue(answer.body().contains(expectedText), answer.body());
         }
     }
 
-    private static String ask(String more) {
+    private static String authRequest(String more) {
         StringBuilder text = new StringBuilder("GET /v1/ask HTTP/1.1\r\nHost: gw\r\nX-Forwarded-Method: POST\r\n");
         ExtProcTestServer.submit("a1").forEach((name, value) ->
                 text.append(name.startsWith(":") ? "" : name + ": " + value + "\r\n"));
@@ -228,28 +230,31 @@
     @Test
     void ambiguousHeadsAreRejected() throws Exception {
         ScriptedGateway module = new ScriptedGateway(NODE);
-        rig.start(module.module());
-        for (String name : java.util.List.of("X-Txn", "X-Customer", "X-Lane", "X-Plan", "X-Quota", "X-Remaining-Ms", "Host",
-                "X-Forwarded-Method")) {
-            refused(ask((name.equals("X-Plan") ? "x-plan" : name) + ": 1\r\n"), 400, name + " is there twice");
+        server.start(module.module());
+        for (String name : java.util.List.of("X-Txn", "X-Customer", "X-Lane", "X-Plan", "X-Quota", "X-Remaining-Ms",
+                "Host", "X-Forwarded-Method")) {
+            assertRejected(authRequest((name.equals("X-Plan") ? "x-plan" : name) + ": 1\r\n"), 400,
+                    name + " is there twice");
         }
-        refused(ask("Authorization: Bearer a\r\nAuthorization: Bearer b\r\n"), 400, "Authorization is there twice");
-        refused(ask("X-Original-Method: GET\r\n"), 400, "method or path is there twice");
-        refused(ask(" folded\r\n"), 400, "white space");
-        refused(ask("").replace("\r\nHost", "\r\n Host"), 400, "white space");
-        refused(ask("").replace("Host: gw\r\n", ""), 400, "Host is missing");
-        refused(ask("").replace("HTTP/1.1", "HTTP/2.0"), 505, "HTTP/1.1");
-        refused("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 505, "HTTP/1.1");
-        refused(ask("").replace("/v1/ask", "*"), 400, "target");
+        assertRejected(authRequest("Authorization: Bearer a\r\nAuthorization: Bearer b\r\n"), 400,
+                "Authorization is there twice");
+        assertRejected(authRequest("X-Original-Method: GET\r\n"), 400, "method or path is there twice");
+        assertRejected(authRequest(" folded\r\n"), 400, "white space");
+        assertRejected(authRequest("").replace("\r\nHost", "\r\n Host"), 400, "white space");
+        assertRejected(authRequest("").replace("Host: gw\r\n", ""), 400, "Host is missing");
+        assertRejected(authRequest("").replace("HTTP/1.1", "HTTP/2.0"), 505, "HTTP/1.1");
+        assertRejected("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 505, "HTTP/1.1");
+        assertRejected(authRequest("").replace("/v1/ask", "*"), 400, "target");
         assertTrue(module.calls.isEmpty());
     }
 
     /** A HEAD response has no body; otherwise the client would read the body as the next response. */
     @Test
     void headRequestGetsNoBody() throws Exception {
-        rig.start(new ScriptedGateway(0).module());
+        server.start(new ScriptedGateway(0).module());
         try (Caller caller = new Caller()) {
-            caller.socket.getOutputStream().write(("HEAD /else HTTP/1.1\r\nHost: gw\r\n\r\n" + "GET /else HTTP/1.1\r\nHost: gw\r\n\r\n")
+            caller.socket.getOutputStream().write(("HEAD /else HTTP/1.1\r\nHost: gw\r\n\r\n"
+                    + "GET /else HTTP/1.1\r\nHost: gw\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
--- a/ext-proc/src/test/java/nettletrail/extproc/InvalidInputTest.java
+++ b/ext-proc/src/test/java/nettletrail/extproc/InvalidInputTest.java
@@ -47,21 +47,21 @@
 
     @TempDir
     private Path folder;
-    private ExtProcTestServer rig;
+    private ExtProcTestServer server;
     private StandInBackend backend;
     private final ScriptedGateway module = new ScriptedGateway(NODE);
 
     @BeforeEach
     void make() {
-        rig = new ExtProcTestServer(folder);
-        backend = new StandInBackend("s-1", rig.group, new Ledger(), StandInBackend.Manner.good(1), 1);
-        rig.agent.set("s-1", backend.address(), "SERVING", 0);
+        server = new ExtProcTestServer(folder);
+        backend = new StandInBackend("s-1", server.group, new Ledger(), StandInBackend.Manner.good(1), 1);
+        server.agent.set("s-1", backend.address(), "SERVING", 0);
     }
 
     @AfterEach
     void end() {
         backend.close();
-        rig.close();
+        server.close();
     }
 
     private String body(ProcessingResponse answer) {
@@ -77,26 +77,26 @@
             "x-quota,'units=7,spread=1,first=0',X-Quota: it must be",
             "x-quota,'units=NaN,spread=1,first=0',X-Quota: it must be",
             "x-quota,'units=1,spread=0,first=0',X-Quota: it must be", ":method,GET,the method of class order-submit"})
-    void invalidHeaderIsNamedInError(String header, String value, String told) throws Exception {
-        rig.start(module.module());
-        TestProxyStream peer =
-                new TestProxyStream(rig.connection())
+    void invalidHeaderIsNamedInError(String header, String value, String expectedText) throws Exception {
+        server.start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection())
                         .sendRequestHeaders(ExtProcTestServer.with(ExtProcTestServer.submit("a1"), header, value));
-        ProcessingResponse answer = peer.next();
+        ProcessingResponse answer = stream.next();
         assertEquals(400, answer.getImmediateResponse().getStatus().getCodeValue());
-        assertTrue(body(answer).contains(told), body(answer));
+        assertTrue(body(answer).contains(expectedText), body(answer));
         assertTrue(!body(answer).contains("secret"), body(answer));
         assertTrue(module.calls.isEmpty());
-        assertEquals(Status.Code.OK, peer.end().getCode());
+        assertEquals(Status.Code.OK, stream.end().getCode());
     }
 
     @Test
     void repeatedRequestIdIsRejected() throws Exception {
-        rig.start(module.module());
+        server.start(module.module());
         HeaderMap.Builder twice = Messages.headers(ExtProcTestServer.submit("a1")).toBuilder();
         twice.addHeaders(HeaderValue.newBuilder().setKey("X-Txn").setRawValue(ByteString.copyFromUtf8(
                 ExtProcTestServer.txn("a2"))));
-        ProcessingResponse answer = new TestProxyStream(rig.connection()).send(ProcessingRequest.newBuilder()
+        ProcessingResponse answer = new TestProxyStream(server.connection()).send(ProcessingRequest.newBuilder()
                 .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(twice)).build()).next();
         assertTrue(body(answer).contains("x-txn is there twice"), body(answer));
         assertTrue(module.calls.isEmpty());
@@ -105,12 +105,12 @@
     @ParameterizedTest
     @CsvSource({"X-Customer", "x-lane", "X-Plan", "x-quota", "X-Remaining-Ms", "authorization", ":authority"})
     void repeatedSingleValueHeaderIsRejected(String name) throws Exception {
-        rig.start(module.module());
+        server.start(module.module());
         HeaderMap.Builder twice = Messages.headers(ExtProcTestServer.submit("a1")).toBuilder();
         for (int i = 0; i < 2; i++) {
             twice.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8("1")));
         }
-        ProcessingResponse answer = new TestProxyStream(rig.connection()).send(ProcessingRequest.newBuilder()
+        ProcessingResponse answer = new TestProxyStream(server.connection()).send(ProcessingRequest.newBuilder()
                 .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(twice)).build()).next();
         assertTrue(body(answer).contains(name.toLowerCase(java.util.Locale.ROOT) + " is there twice"), body(answer));
         assertTrue(module.calls.isEmpty());
@@ -120,10 +120,10 @@
     @ParameterizedTest
     @CsvSource({"'\r\n x'", "'\n'", "'\0'"})
     void controlCharacterInValueIsRejected(String end) throws Exception {
-        rig.start(module.module());
+        server.start(module.module());
         String text = end.replace("\\r", "\r").replace("\\n", "\n").replace("\\0", "\0");
         ProcessingResponse answer =
-                new TestProxyStream(rig.connection())
+                new TestProxyStream(server.connection())
                         .sendRequestHeaders(ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "x-customer",
                 "00000000000000aa" + text)).next();
         assertTrue(body(answer).contains("x-customer holds a line's end"), body(answer));
@@ -133,15 +133,15 @@
     @Test
     void idOpenAtFrontDoorIsRejected() throws Exception {
         ScriptedGateway silent = new ScriptedGateway(0);
-        rig.start(silent.module());
-        try (Socket client = new Socket("127.0.0.1", rig.door().address().getPort())) {
+        server.start(silent.module());
+        try (Socket client = new Socket("127.0.0.1", server.door().address().getPort())) {
             StringBuilder request = new StringBuilder("POST /api HTTP/1.1\r\nHost: gw\r\nContent-Length: 0\r\n");
             ExtProcTestServer.submit("a1").forEach((name, value) -> request.append(name.startsWith("x-")
                     ? name + ": " + value + "\r\n" : ""));
             client.getOutputStream().write((request + "\r\n").getBytes(StandardCharsets.US_ASCII));
             silent.expectCall(Gateway.Request.class);
             ProcessingResponse answer =
-                    new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1")).next();
+                    new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1")).next();
             assertEquals(400, answer.getImmediateResponse().getStatus().getCodeValue());
             assertTrue(body(answer).contains("open here"), body(answer));
         }
@@ -149,14 +149,14 @@
 
     @Test
     void oversizedHeadersEndOnlyTheirStream() throws Exception {
-        rig.start(module.module());
-        ManagedChannel connection = rig.connection();
+        server.start(module.module());
+        ManagedChannel connection = server.connection();
         TestProxyStream other = new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("b1"));
-        TestProxyStream peer =
+        TestProxyStream stream =
                 new TestProxyStream(connection)
                         .sendRequestHeaders(ExtProcTestServer.with(ExtProcTestServer.submit("a1"), "x-much",
                 "m".repeat(1 << 20)));
-        assertEquals(Status.Code.RESOURCE_EXHAUSTED, peer.end().getCode());
+        assertEquals(Status.Code.RESOURCE_EXHAUSTED, stream.end().getCode());
         other.expectForward();
         other.outcome(200);
         assertTrue(other.next().hasResponseHeaders());
@@ -164,8 +164,8 @@
 
     @Test
     void outOfOrderMessageEndsStreamAndIsNamed() throws Exception {
-        rig.start(module.module());
-        ManagedChannel connection = rig.connection();
+        server.start(module.module());
+        ManagedChannel connection = server.connection();
         ProcessingRequest body = ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()
                 .setBody(ByteString.copyFromUtf8("x"))).build();
         Status first = new TestProxyStream(connection).send(body).end();
@@ -197,46 +197,48 @@
     @CsvSource({"NONE,NONE", "STREAMED,STREAMED", "BUFFERED,BUFFERED", "BUFFERED_PARTIAL,NONE"})
     void bodiesAndTrailersAreAcknowledgedUnchanged(BodySendMode request, BodySendMode response)
             throws Exception {
-        rig.start(module.module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).send(modes(request, response).setRequestHeaders(
+        server.start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).send(modes(request, response).setRequestHeaders(
                 HttpHeaders.newBuilder().setHeaders(Messages.headers(ExtProcTestServer.submit("a1")))).build());
-        peer.expectForward();
+        stream.expectForward();
         for (int i = 0; i < 3; i++) {
-            peer.send(ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()
+            stream.send(ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()
                     .setBody(ByteString.copyFromUtf8("part")).setEndOfStream(i == 2)).build());
-            ProcessingResponse answer = peer.next();
+            ProcessingResponse answer = stream.next();
             assertTrue(answer.hasRequestBody() && !answer.getRequestBody().getResponse().hasBodyMutation());
         }
-        peer.send(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance()).build());
-        assertTrue(peer.next().hasRequestTrailers());
-        assertTrue(peer.outcome(200).next().hasResponseHeaders());
-        peer.send(ProcessingRequest.newBuilder().setResponseBody(HttpBody.getDefaultInstance()).build());
-        assertTrue(peer.next().hasResponseBody());
-        peer.send(ProcessingRequest.newBuilder().setResponseTrailers(HttpTrailers.getDefaultInstance()).build());
-        assertTrue(peer.next().hasResponseTrailers());
+        stream.send(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance()).build());
+        assertTrue(stream.next().hasRequestTrailers());
+        assertTrue(stream.outcome(200).next().hasResponseHeaders());
+        stream.send(ProcessingRequest.newBuilder().setResponseBody(HttpBody.getDefaultInstance()).build());
+        assertTrue(stream.next().hasResponseBody());
+        stream.send(ProcessingRequest.newBuilder().setResponseTrailers(HttpTrailers.getDefaultInstance()).build());
+        assertTrue(stream.next().hasResponseTrailers());
     }
 
     /** A proxy may send the body before the decision; the responses follow in order after the decision. */
     @Test
     void earlyBodyPartsAreAnsweredAfterDecision() throws Exception {
         ScriptedGateway slow = new ScriptedGateway(0);
-        rig.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(slow.module());
-        TestProxyStream peer = new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
+        server.with("budget_ms", 1_000L).with("reserve_ms", 10L).start(slow.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         long id = slow.expectCall(Gateway.Request.class).id();
         ProcessingRequest part = ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()).build();
-        peer.send(part).send(part);
-        peer.send(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance()).build());
-        slow.onLoop(rig, actions -> actions.send(id, NODE, 0));
-        peer.expectForward();
-        assertTrue(peer.next().hasRequestBody());
-        assertTrue(peer.next().hasRequestBody());
-        assertTrue(peer.next().hasRequestTrailers());
+        stream.send(part).send(part);
+        stream.send(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance()).build());
+        slow.onLoop(server, actions -> actions.send(id, NODE, 0));
+        stream.expectForward();
+        assertTrue(stream.next().hasRequestBody());
+        assertTrue(stream.next().hasRequestBody());
+        assertTrue(stream.next().hasRequestTrailers());
     }
 
     @Test
     void unsupportedModeIsNamed() throws Exception {
-        rig.start(module.module());
-        Status status = new TestProxyStream(rig.connection()).send(modes(BodySendMode.FULL_DUPLEX_STREAMED,
+        server.start(module.module());
+        Status status = new TestProxyStream(server.connection()).send(modes(BodySendMode.FULL_DUPLEX_STREAMED,
                 BodySendMode.NONE)
                 .setRequestHeaders(HttpHeaders.newBuilder()
                         .setHeaders(Messages.headers(ExtProcTestServer.submit("a1"))))
@@ -250,15 +252,15 @@
     /** The proxy continues regardless, so no quota is drawn and no response is sent. */
     @Test
     void observabilityModeDrawsNothingAndGetsNoResponse() throws Exception {
-        rig.start(module.module());
-        TestProxyStream peer =
-                new TestProxyStream(rig.connection()).send(Messages.requestHeaders(ExtProcTestServer.submit("a1"))
+        server.start(module.module());
+        TestProxyStream stream =
+                new TestProxyStream(server.connection()).send(Messages.requestHeaders(ExtProcTestServer.submit("a1"))
                         .toBuilder()
                 .setObservabilityMode(true).build());
-        peer.send(Messages.responseHeaders(Map.of(":status", "200"),
+        stream.send(Messages.responseHeaders(Map.of(":status", "200"),
                 null).toBuilder().setObservabilityMode(true).build());
-        peer.complete();
-        assertEquals(Status.Code.OK, peer.end().getCode());
+        stream.complete();
+        assertEquals(Status.Code.OK, stream.end().getCode());
         assertTrue(module.calls.isEmpty());
     }
 
@@ -267,8 +269,8 @@
     @Test
     void requestAboveOpenLimitIsRefusedAtOnce() throws Exception {
         ScriptedGateway silent = new ScriptedGateway(0);
-        rig.with("most_open", 2L).with("budget_ms", 1_000L).with("reserve_ms", 10L).start(silent.module());
-        ManagedChannel connection = rig.connection();
+        server.with("most_open", 2L).with("budget_ms", 1_000L).with("reserve_ms", 10L).start(silent.module());
+        ManagedChannel connection = server.connection();
         new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a1"));
         new TestProxyStream(connection).sendRequestHeaders(ExtProcTestServer.submit("a2"));
         silent.expectCall(Gateway.Request.class);
@@ -281,11 +283,11 @@
 
     @Test
     void connectionAboveLimitIsClosedAndOthersAreServed() throws Exception {
-        rig.with("most_callers", 1L).start(module.module());
-        ManagedChannel first = rig.connection();
+        server.with("most_callers", 1L).start(module.module());
+        ManagedChannel first = server.connection();
         new TestProxyStream(first).sendRequestHeaders(ExtProcTestServer.submit("a1")).expectForward();
         assertEquals(Status.Code.UNAVAILABLE,
-                new TestProxyStream(rig.connection()).sendRequestHeaders(ExtProcTestServer.submit("a2")).end()
+                new TestProxyStream(server.connection()).sendRequestHeaders(ExtProcTestServer.submit("a2")).end()
                         .getCode());
         new TestProxyStream(first).sendRequestHeaders(ExtProcTestServer.submit("a3")).expectForward();
     }
@@ -293,10 +295,10 @@
     /** A connection that opens and resets streams rapidly is closed; another is served meanwhile. */
     @Test
     void rapidResetClosesItsConnectionOnly() throws Exception {
-        rig.start(module.module());
-        ManagedChannel other = rig.connection();
+        server.start(module.module());
+        ManagedChannel other = server.connection();
         new TestProxyStream(other).sendRequestHeaders(ExtProcTestServer.submit("b0")).expectForward();
-        try (Socket socket = new Socket("127.0.0.1", rig.front().grpcAddress().getPort())) {
+        try (Socket socket = new Socket("127.0.0.1", server.front().grpcAddress().getPort())) {
             socket.setSoTimeout(10_000);
             DataOutputStream to = new DataOutputStream(new java.io.BufferedOutputStream(socket.getOutputStream()));
             to.write("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -369,11 +371,11 @@
     /** A caller that never reads: its responses wait for its flow-control window, and others are not delayed. */
     @Test
     void callerThatDoesNotReadDoesNotDelayOthers() throws Exception {
-        rig.start(module.module());
-        ManagedChannel other = rig.connection();
+        server.start(module.module());
+        ManagedChannel other = server.connection();
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(1_024);
-            socket.connect(rig.front().grpcAddress());
+            socket.connect(server.front().grpcAddress());
             DataOutputStream to = new DataOutputStream(socket.getOutputStream());
             to.write("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             frame(to, 4, 0, 0, new byte[] {0, 4, 0, 0, 0, 1}); // SETTINGS_INITIAL_WINDOW_SIZE = 1
@@ -394,10 +396,10 @@
                 module.expectCall(Gateway.Request.class);
             }
             for (int i = 0; i < 20; i++) {
-                TestProxyStream peer = new TestProxyStream(other).sendRequestHeaders(ExtProcTestServer.submit("e"
+                TestProxyStream stream = new TestProxyStream(other).sendRequestHeaders(ExtProcTestServer.submit("e"
                         + Integer.toHexString(i)));
-                peer.expectForward();
-                assertTrue(peer.outcome(200).next().hasResponseHeaders());
+                stream.expectForward();
+                assertTrue(stream.outcome(200).next().hasResponseHeaders());
             }
         }
     }
